--- a/Makefile
+++ b/Makefile
@@ -2,7 +2,7 @@
 # The tests named in KNOWN-RED.txt fail for a fault that is known and not mended; they are passed over and printed.
 KNOWN_RED := ^($(shell cut -d: -f1 KNOWN-RED.txt | paste -sd"|" -))$$
 
-.PHONY: build peers test lint run demo fleet-demo days
+.PHONY: build peers test lint tools run demo fleet-demo days
 
 build:
 	mkdir -p bin && CGO_ENABLED=1 go build -ldflags=-linkmode=external -o bin/ ./cmd/...
@@ -23,6 +23,10 @@
 	go vet ./...
 	go vet -tags peers ./cmd/pewterrudder
 
+# gopls renames identifiers throughout the module: gopls rename -w FILE:LINE:COLUMN NEW. The newest needs a newer Go.
+tools:
+	go install golang.org/x/tools/gopls@v0.22.0
+
 # RELAY_CONFIG names the configuration file.
 run: build
 	bin/pewterrudder
