--- a/internal/lab/mixedbuilds/box_test.go
+++ b/internal/lab/mixedbuilds/box_test.go
@@ -56,7 +56,9 @@
 }
 
 // withoutMoment removes the line that tells when an export was made.
-func withoutMoment(export string) string { return regexp.MustCompile(`(?m)^  "at": .*$`).ReplaceAllString(export, "") }
+func withoutMoment(export string) string {
+	return regexp.MustCompile(`(?m)^  "at": .*$`).ReplaceAllString(export, "")
+}
 
 // A state folder with operators' edits goes from one build to the other and back, and rudderctl of each serves the box of both.
 func TestBoxAndToolOfTwoBuilds(t *testing.T) {
