--- a/internal/lab/planted/faults.go
+++ b/internal/lab/planted/faults.go
@@ -4,7 +4,7 @@
 // in the compiler or in a run where nothing goes wrong at the wrong moment.
 var Faults = []Fault{
 	{Name: "second-answer", About: "a call that has its answer may get another", File: "internal/reducer/calls.go",
-		Old: `	if c == nil || c.over() {
+		Old: `	if c == nil || c.noMoreAttempts() {
 		return
 	}
 	c.done = true`,
@@ -37,44 +37,44 @@
 		Rules: []string{"cold"}},
 	{Name: "answer-to-the-wrong-call", About: "an answer goes to the call that came before", File: "internal/reducer/delegations.go",
 		Old:   `		r.answer(c, Reply{Kind: Served, Message: e.Message})`,
-		New:   `		if o := r.calls[c.ID-1]; o != nil && !o.over() {` + "\n" + `			r.answer(o, Reply{Kind: Served, Message: e.Message})` + "\n" + `		}` + "\n" + `		r.answer(c, Reply{Kind: Served, Message: e.Message})`,
+		New:   `		if o := r.calls[c.ID-1]; o != nil && !o.noMoreAttempts() {` + "\n" + `			r.answer(o, Reply{Kind: Served, Message: e.Message})` + "\n" + `		}` + "\n" + `		r.answer(c, Reply{Kind: Served, Message: e.Message})`,
 		Rules: []string{"answers"}},
 	{Name: "deadline-unmarked", About: "no timer is armed for the deadline of a call", File: "internal/reducer/calls.go",
-		Old: `	r.emit(Arm{max(0, c.deadline-r.now), deadline{c.ID}})
+		Old: `	r.emit(Arm{max(0, c.deadline-r.now), callDeadline{c.ID}})
 `,
 		New:   "",
 		Rules: []string{"answers"}},
 	{Name: "unsafe-repeated", About: "an attempt that broke after its last byte counts as never sent", File: "internal/reducer/delegations.go",
-		Old: `	case none:
-		r.end(d, brain.Dropped, nil)`,
-		New: `	case none:
-		r.end(d, brain.ConnectFailed, nil)`,
+		Old: `	case noAnswer:
+		r.endAttempt(att, brain.Dropped, nil)`,
+		New: `	case noAnswer:
+		r.endAttempt(att, brain.ConnectFailed, nil)`,
 		Rules: []string{"effects"}},
 	{Name: "connection-kept", About: "the connection of a flow whose client has left stays open, and its end meets nobody", File: "internal/reducer/delegations.go",
-		Old:   `		if k.state == busy || k.state == flowing {`,
-		New:   `		if k.state == busy {`,
+		Old:   `		if cn.state == busy || cn.state == flowing {`,
+		New:   `		if cn.state == busy {`,
 		Rules: []string{"sound"}},
 	{Name: "body-sent-twice", About: "an upload whose body is gone is sent again", File: "internal/reducer/delegations.go",
 		Old:   `	if c.OneShot && slices.ContainsFunc(`,
-		New:   `	if c.OneShot && len(c.delegations) > 9 && slices.ContainsFunc(`,
+		New:   `	if c.OneShot && len(c.attempts) > 9 && slices.ContainsFunc(`,
 		Rules: []string{"sound"}},
 	{Name: "used-after-its-end", About: "a connection that its app node has closed is given back, and stays among the idle ones",
 		File: "internal/reducer/reducer.go",
-		Old: `			r.close(c) // a busy one ends with its Exchanged
+		Old: `			r.close(cn) // a busy connection ends with its Exchanged event
 `,
-		New: `			delete(r.conns, c.id)
-			r.emit(Close{c.id})
+		New: `			delete(r.conns, cn.id)
+			r.emit(Close{cn.id})
 `,
 		Rules: []string{"sound"}},
 	{Name: "used-while-busy", About: "a connection whose answer was given up carries the next call", File: "internal/reducer/delegations.go",
-		Old: `		if k.state == busy || k.state == flowing {
-			r.close(k)`,
-		New: `		if k.state == busy || k.state == flowing {
-			r.rest(k)`,
+		Old: `		if cn.state == busy || cn.state == flowing {
+			r.close(cn)`,
+		New: `		if cn.state == busy || cn.state == flowing {
+			r.putIdle(cn)`,
 		Rules: []string{"answers", "effects", "sound"}},
 	{Name: "call-kept", About: "a call with more than one attempt is never forgotten", File: "internal/reducer/calls.go",
-		Old:   `	if c.done && c.out == 0 && r.calls[c.ID] == c {`,
-		New:   `	if c.done && c.out == 0 && r.calls[c.ID] == c && len(c.delegations) < 2 {`,
+		Old:   `	if c.done && c.outstanding == 0 && r.calls[c.ID] == c {`,
+		New:   `	if c.done && c.outstanding == 0 && r.calls[c.ID] == c && len(c.attempts) < 2 {`,
 		Rules: []string{"leaks"}},
 	{Name: "timer-kept", About: "the deadline of a call that is over is armed anew", File: "internal/reducer/calls.go",
 		Old: `	c := r.calls[id]
@@ -82,11 +82,11 @@
 		return`,
 		New: `	c := r.calls[id]
 	if c == nil {
-		r.emit(Arm{sweepEvery, deadline{id}})
+		r.emit(Arm{idleSweepInterval, callDeadline{id}})
 		return`,
 		Rules: []string{"leaks"}},
 	{Name: "no-answer-at-the-deadline", About: "a call whose deadline comes counts as answered", File: "internal/reducer/calls.go",
-		Old:   `	if !c.done { // held by the node, or forgotten`,
+		Old:   `	if !c.done { // held by the decider, or lost by it`,
 		New:   `	if c.done = true; !c.done {`,
 		Rules: []string{"answers"}},
 	{Name: "refused-after-it-ran", About: "keyed classes are refused as if all app nodes dropped their repeats", File: "brain/picking.go",
--- a/internal/reducer/adjust.go
+++ b/internal/reducer/adjust.go
@@ -6,158 +6,162 @@
 	"slices"
 )
 
-// Pools come, change and go one by one, with calls under way. What is new takes up its app nodes first; then the routes
-// change, and only then does what is to go lose its own: no call comes to a pool that has not seen the list. A refused
-// change leaves the others as they are.
+// Pools are added, changed and removed one by one while calls are open. New and changed pools get their app nodes first;
+// then the routes change, and only then do removed pools lose their app nodes. So no call reaches a pool that has not
+// seen the list. A rejected change does not affect the others.
 
-// Adjusted changes some of the pools and the routes. Done hears when that is in force: then all calls that come follow Route.
+// Adjusted changes some of the pools and the routes. Done is called once the change is in force: from then on all new
+// calls follow Route.
 type Adjusted struct {
 	Pools []PoolChange
-	Route func(*Call) int // names a pool by its ID; nil: as it was
+	Route func(*Call) int // returns the ID of a call's pool; nil: unchanged
 	Done  func()
 }
 
-// PoolChange is one pool as it is wanted from now on. A pool is known by its ID for as long as that has its name; an ID with
-// another name stands for another pool.
+// PoolChange sets the specification of one pool. An ID stands for the same pool as long as its name stays; with another
+// name it stands for another pool.
 type PoolChange struct {
 	ID   int
-	Spec *PoolSpec // nil: gone
+	Spec *PoolSpec // nil: remove the pool
 }
 
 func (Adjusted) event() {}
 
-// adjustment is what follows once the app nodes have been dealt.
+// adjustment is a change of pools and routes that takes effect once the app nodes have been assigned to the new pools.
 type adjustment struct {
-	bind  map[int]*pool // by ID; nil: none any more
-	route func(*Call) int
-	gone  []*pool
-	done  []func()
+	pools   map[int]*pool // by ID; nil: removed
+	route   func(*Call) int
+	removed []*pool
+	onDone  []func()
 }
 
 func (r *Reducer) onAdjusted(e *Adjusted) {
-	// What has not begun to be dealt takes this change along: however fast they come, the list is walked once for many.
-	var f *feed
-	fresh := true
-	if n := len(r.feeds); n > 1 && r.feeds[n-1].adjust != nil {
-		f, fresh = r.feeds[n-1], false
+	// A change joins an adjustment whose assignment has not started yet, so that however fast changes come, one scan of
+	// the list serves many of them.
+	var job *fleetJob
+	isNew := true
+	if n := len(r.jobs); n > 1 && r.jobs[n-1].adjustment != nil {
+		job, isNew = r.jobs[n-1], false
 	} else {
-		f = &feed{adjust: &adjustment{bind: map[int]*pool{}}}
+		job = &fleetJob{adjustment: &adjustment{pools: map[int]*pool{}}}
 	}
 	for i := range e.Pools {
-		if err := r.adjust(f, &e.Pools[i]); err != nil {
+		if err := r.applyPoolChange(job, &e.Pools[i]); err != nil {
 			r.emit(Log{"pools: " + err.Error()})
 		}
 	}
 	if e.Route != nil {
-		f.adjust.route = e.Route
+		job.adjustment.route = e.Route
 	}
 	if e.Done != nil {
-		f.adjust.done = append(f.adjust.done, e.Done)
+		job.adjustment.onDone = append(job.adjustment.onDone, e.Done)
 	}
-	if fresh {
-		r.enqueue(f)
+	if isNew {
+		r.enqueue(job)
 	}
 }
 
-// adjust enters one change.
-func (r *Reducer) adjust(f *feed, c *PoolChange) error {
-	had := r.asked[c.ID]
+// applyPoolChange adds one change to the job.
+func (r *Reducer) applyPoolChange(job *fleetJob, c *PoolChange) error {
+	current := r.poolsByID[c.ID]
 	if c.Spec == nil {
 		switch {
-		case had == nil:
+		case current == nil:
 			return nil
-		case len(r.asked) == 1:
-			return errors.New("the last pool cannot go: a layout needs one")
+		case len(r.poolsByID) == 1:
+			return errors.New("the last pool cannot be removed: a layout needs at least one")
 		}
-		r.dismiss(f, had)
-		delete(r.asked, c.ID)
-		f.adjust.bind[c.ID] = nil
+		r.scheduleRemoval(job, current)
+		delete(r.poolsByID, c.ID)
+		job.adjustment.pools[c.ID] = nil
 		return nil
 	}
-	if had != nil && had.Name != c.Spec.Name {
-		had = nil
+	if current != nil && current.Name != c.Spec.Name {
+		current = nil
 	}
 	if c.ID < 0 {
-		return fmt.Errorf("pool %q: %d is no ID", c.Spec.Name, c.ID)
+		return fmt.Errorf("pool %q: invalid ID %d", c.Spec.Name, c.ID)
 	}
-	if o := r.byName[c.Spec.Name]; o != nil && o != had {
-		return fmt.Errorf("two pools of the name %q", c.Spec.Name)
+	if o := r.poolsByName[c.Spec.Name]; o != nil && o != current {
+		return fmt.Errorf("two pools named %q", c.Spec.Name)
 	}
-	if used := r.poolsUsed() + 1; had == nil && used > PoolsMost {
-		return fmt.Errorf("%d pools, with those that still have calls, of %d", used, PoolsMost)
+	if count := r.poolCount() + 1; current == nil && count > MaxPools {
+		return fmt.Errorf("%d pools, including removed ones that still have calls, exceed the limit of %d", count, MaxPools)
 	}
-	g, err := r.regionOf(c.Spec, had)
+	zv, err := r.zoneViewFor(c.Spec, current)
 	if err != nil {
 		return err
 	}
-	if had != nil {
-		f.deal = r.respecify(had, *c.Spec) || f.deal
-		if r.divide(had, g) {
-			r.recount()
+	if current != nil {
+		job.reassign = r.updateSpec(current, *c.Spec) || job.reassign
+		if r.setZoneView(current, zv) {
+			r.fillZoneTallies()
 		}
 		return nil
 	}
-	if other := r.asked[c.ID]; other != nil {
-		r.dismiss(f, other)
+	if other := r.poolsByID[c.ID]; other != nil {
+		r.scheduleRemoval(job, other)
 	}
 	p := r.addPool(*c.Spec)
 	p.id = c.ID
-	r.divide(p, g)
-	r.asked[c.ID], f.adjust.bind[c.ID], f.deal = p, p, true
+	r.setZoneView(p, zv)
+	r.poolsByID[c.ID], job.adjustment.pools[c.ID], job.reassign = p, p, true
 	return nil
 }
 
-// dismiss has a pool go once the routes lead past it. Its name is free at once.
-func (r *Reducer) dismiss(f *feed, p *pool) {
-	f.adjust.gone = append(f.adjust.gone, p)
-	delete(r.byName, p.Name)
+// scheduleRemoval retires a pool once no route leads to it. Its name can be reused at once.
+func (r *Reducer) scheduleRemoval(job *fleetJob, p *pool) {
+	job.adjustment.removed = append(job.adjustment.removed, p)
+	delete(r.poolsByName, p.Name)
 }
 
-// bringAbout puts an adjustment in force whose app nodes have been dealt.
-func (r *Reducer) bringAbout(a *adjustment) {
-	for id, p := range a.bind {
-		at, found := r.targetAt(id)
+// commitAdjustment puts an adjustment in force after its app nodes have been assigned.
+func (r *Reducer) commitAdjustment(adj *adjustment) {
+	for id, p := range adj.pools {
+		at, found := r.findRouted(id)
 		switch {
 		case p == nil && found:
-			r.targets = slices.Delete(r.targets, at, at+1)
+			r.routedPools = slices.Delete(r.routedPools, at, at+1)
 		case p != nil && found:
-			r.targets[at] = p
+			r.routedPools[at] = p
 		case p != nil:
-			r.targets = slices.Insert(r.targets, at, p)
+			r.routedPools = slices.Insert(r.routedPools, at, p)
 		}
 	}
-	if a.route != nil {
-		r.route = a.route
+	if adj.route != nil {
+		r.route = adj.route
 	}
-	for _, p := range a.gone {
+	for _, p := range adj.removed {
 		r.retire(p)
 	}
-	r.chooseAsker()
-	for _, done := range a.done {
+	r.chooseDiscoveryPool()
+	for _, done := range adj.onDone {
 		r.emit(Tell{done})
 	}
-	if slices.ContainsFunc(a.gone, func(p *pool) bool { return p.held > 0 }) {
-		r.dealAgain()
+	if slices.ContainsFunc(adj.removed, func(p *pool) bool { return p.matchedServers > 0 }) {
+		r.enqueueReassign()
 	}
 }
 
-// dealAgain has the servers looked at for the pools that they belong to, once for all who ask before that has begun.
-func (r *Reducer) dealAgain() {
-	if n := len(r.feeds); n > 1 && r.feeds[n-1].deal {
+// enqueueReassign schedules a scan that assigns the servers to pools again. Requests made before the scan starts share
+// it.
+func (r *Reducer) enqueueReassign() {
+	if n := len(r.jobs); n > 1 && r.jobs[n-1].reassign {
 		return
 	}
-	r.feeds = append(r.feeds, &feed{deal: true})
+	r.jobs = append(r.jobs, &fleetJob{reassign: true})
 }
 
-// overtake drops what is under way of adjustments: a whole layout says more.
-func (r *Reducer) overtake() {
-	for _, f := range r.feeds {
-		if f.adjust == nil {
+// dropAdjustments discards adjustments that are not in force yet, because a complete layout supersedes them. Their
+// callbacks are called.
+func (r *Reducer) dropAdjustments() {
+	for _, job := range r.jobs {
+		if job.adjustment == nil {
 			continue
 		}
-		for _, done := range f.adjust.done {
+		for _, done := range job.adjustment.onDone {
 			r.emit(Tell{done})
 		}
-		f.adjust = nil
+		job.adjustment = nil
 	}
 }
--- a/internal/reducer/adjust_test.go
+++ b/internal/reducer/adjust_test.go
@@ -18,14 +18,14 @@
 )
 
 // adjust hands pools over, and has those who wait hear of it.
-func (w *world) adjust(e Adjusted) {
-	w.do(e)
-	w.hear()
+func (h *harness) adjust(e Adjusted) {
+	h.do(e)
+	h.runCallbacks()
 }
 
 // hear calls back those who wait for something that has happened.
-func (w *world) hear() {
-	for _, e := range w.took {
+func (h *harness) runCallbacks() {
+	for _, e := range h.effects {
 		if tell, ok := e.(Tell); ok {
 			tell.Do()
 		}
@@ -33,14 +33,14 @@
 }
 
 // slice has one more slice worked through, if any is left.
-func (w *world) slice() bool {
-	i := slices.IndexFunc(w.timers, func(d due) bool { _, ok := d.ev.(more); return ok })
+func (h *harness) runNextSlice() bool {
+	i := slices.IndexFunc(h.timers, func(d scheduledEvent) bool { _, ok := d.event.(nextSlice); return ok })
 	if i < 0 {
 		return false
 	}
-	w.timers = slices.Delete(w.timers, i, i+1)
-	w.do(more{})
-	w.hear()
+	h.timers = slices.Delete(h.timers, i, i+1)
+	h.do(nextSlice{})
+	h.runCallbacks()
 	return true
 }
 
@@ -71,7 +71,7 @@
 	}
 	rapid.Check(t, func(t *rapid.T) {
 		start := Layout{Pools: []PoolSpec{{Name: "p0"}, {Name: "p1", Selector: inZone("a")}}}
-		w, views := yard(t, start)
+		h, views := newPoolHarness(t, start)
 		wanted := map[int]PoolSpec{0: start.Pools[0], 1: start.Pools[1]} // by ID
 		truth := map[string]brain.Member{}
 		force, heard, said := maps.Clone(wanted), 0, 0 // what was wanted when the last was told that it is in force
@@ -80,17 +80,17 @@
 			if heard != said || !maps.EqualFunc(force, wanted, func(a, b PoolSpec) bool { return a.Name == b.Name && a.Selector.Equal(b.Selector) }) {
 				t.Fatalf("%d of %d were told; in force are %v, want %v", heard, said, force, wanted)
 			}
-			if len(w.r.targets) != len(wanted) || len(w.r.byName) != len(wanted) || len(w.r.asked) != len(wanted) {
-				t.Fatalf("%d targets, %d names, %d IDs for %d pools", len(w.r.targets), len(w.r.byName), len(w.r.asked), len(wanted))
+			if len(h.r.routedPools) != len(wanted) || len(h.r.poolsByName) != len(wanted) || len(h.r.poolsByID) != len(wanted) {
+				t.Fatalf("%d targets, %d names, %d IDs for %d pools", len(h.r.routedPools), len(h.r.poolsByName), len(h.r.poolsByID), len(wanted))
 			}
 			for i, id := range slices.Sorted(maps.Keys(wanted)) {
-				spec, p := wanted[id], w.r.targets[i]
-				if p.id != id || p.Name != spec.Name || p != w.r.asked[id] || p != w.r.byName[spec.Name] || p.retired {
+				spec, p := wanted[id], h.r.routedPools[i]
+				if p.id != id || p.Name != spec.Name || p != h.r.poolsByID[id] || p != h.r.poolsByName[spec.Name] || p.retired {
 					t.Fatalf("pool %d is %q of ID %d, want %q of %d", i, p.Name, p.id, spec.Name, id)
 				}
 				want := map[string]brain.Member{}
 				for name, m := range truth {
-					if m.Bit = w.r.zoneBit(m.Zone); spec.Selector.Matches(&m) {
+					if m.Bit = h.r.zoneBit(m.Zone); spec.Selector.Matches(&m) {
 						want[name] = m
 					}
 				}
@@ -106,7 +106,7 @@
 					clear(truth)
 				}
 				rng := rand.New(rand.NewPCG(rapid.Uint64().Draw(t, "entries' seed"), 0))
-				const most = 2 * walkMost // so that a walk takes several slices
+				const most = 2 * maxServersPerEvent // so that a walk takes several slices
 				n := rapid.SampledFrom([]int{1, 3, 250, most}).Draw(t, "entries")
 				for k := range n {
 					i := k
@@ -120,8 +120,8 @@
 					}
 					l.Members, l.Addresses = append(l.Members, m), append(l.Addresses, fmt.Sprint("n", i, ":1"))
 				}
-				w.listed(l)
-				w.hear()
+				h.listed(l)
+				h.runCallbacks()
 			},
 			"adjust": func(t *rapid.T) {
 				var e Adjusted
@@ -154,21 +154,21 @@
 				now := maps.Clone(wanted)
 				said++
 				e.Done = func() { heard, force, leads = heard+1, now, to }
-				w.do(e)
+				h.do(e)
 				lines := 0
-				for _, f := range w.took {
+				for _, f := range h.effects {
 					if l, ok := f.(Log); ok && strings.HasPrefix(l.Text, "pools: ") {
 						lines++
 					}
 				}
 				if lines != refused {
-					t.Fatalf("%d refusals were named, want %d: %+v", lines, refused, w.took)
+					t.Fatalf("%d refusals were named, want %d: %+v", lines, refused, h.effects)
 				}
-				w.hear()
+				h.runCallbacks()
 			},
 			"call": func(t *rapid.T) {
-				id := w.call(0, 600*ms)
-				c := w.r.calls[id]
+				id := h.arrive(0, 600*ms)
+				c := h.r.calls[id]
 				if c == nil {
 					return
 				}
@@ -176,55 +176,55 @@
 				if !ok {
 					want = force[slices.Min(slices.Collect(maps.Keys(force)))]
 				}
-				if len(w.r.feeds) == 0 && c.pool.Name != want.Name {
+				if len(h.r.jobs) == 0 && c.pool.Name != want.Name {
 					t.Fatalf("a call goes to %s, want %s", c.pool.Name, want.Name)
 				}
-				w.staysInPool(id)
+				h.staysInPool(id)
 			},
-			"end":   func(*rapid.T) { w.serveAll() },
-			"slice": func(t *rapid.T) { w.slice() },
+			"end":   func(*rapid.T) { h.serveAll() },
+			"slice": func(t *rapid.T) { h.runNextSlice() },
 			"settle": func(t *rapid.T) {
-				for w.slice() {
+				for h.runNextSlice() {
 				}
 				check(t)
 			},
-			"": func(t *rapid.T) { w.sums(t) },
+			"": func(t *rapid.T) { h.checkPoolCounts(t) },
 		})
-		for w.slice() {
+		for h.runNextSlice() {
 		}
-		w.pass(2 * time.Second)
+		h.advance(2 * time.Second)
 		check(t)
-		if w.r.poolsUsed() != len(wanted) { // no call is left
-			t.Fatalf("%d places for %d pools", w.r.poolsUsed(), len(wanted))
+		if h.r.poolCount() != len(wanted) { // no call is left
+			t.Fatalf("%d places for %d pools", h.r.poolCount(), len(wanted))
 		}
 	})
 }
 
 // sums holds what the pools count against the servers themselves.
-func (w *world) sums(t *rapid.T) {
-	ready, held := make([]int, len(w.r.pools)), make([]int, len(w.r.pools))
-	for _, s := range w.r.ordered {
-		for _, i := range s.takes {
+func (h *harness) checkPoolCounts(t *rapid.T) {
+	ready, held := make([]int, len(h.r.pools)), make([]int, len(h.r.pools))
+	for _, s := range h.r.serverList {
+		for _, i := range s.matchingPools {
 			held[i]++
 		}
-		for _, i := range s.pools {
+		for _, i := range s.usingPools {
 			if s.member.State == brain.Ready {
 				ready[i]++
 			}
 		}
 	}
-	for i, p := range w.r.pools {
+	for i, p := range h.r.pools {
 		switch {
 		case p == nil && held[i]+ready[i] > 0:
 			t.Fatalf("%d servers know the place %d, which is free", held[i], i)
-		case p != nil && (p.held != held[i] || p.ready != ready[i] || int(p.index) != i):
-			t.Fatalf("pool %s at %d counts %d, of them %d ready, and not %d and %d", p.Name, i, p.held, p.ready, held[i], ready[i])
+		case p != nil && (p.matchedServers != held[i] || p.readyMembers != ready[i] || int(p.index) != i):
+			t.Fatalf("pool %s at %d counts %d, of them %d ready, and not %d and %d", p.Name, i, p.matchedServers, p.readyMembers, held[i], ready[i])
 		}
 	}
 }
 
 // kindsOf is a whole list of n app nodes, of kinds k0, k1 and so on by turns.
-func kindsOf(n, kinds int) List {
+func listOfKinds(n, kinds int) List {
 	l := List{Complete: true, Revision: 1}
 	for i := range n {
 		l.Members = append(l.Members, brain.Member{Server: fmt.Sprint("s", i), Zone: "a", Kind: fmt.Sprint("k", i%kinds), Weight: 1})
@@ -238,63 +238,63 @@
 // A pool takes another's place with calls under way: until the new one has seen the list all go to the old one, which serves
 // what it has to the end. Its place goes to nobody before.
 func TestAPoolMakesRoomForAnother(t *testing.T) {
-	w, views := yard(t, Layout{Pools: []PoolSpec{{Name: "old", Selector: ofKind(0)}}, Route: func(*Call) int { return 0 }})
-	w.listed(kindsOf(5000, 2))
-	w.pass(ms)
-	first := w.call(0, 600*ms)
-	w.dialed(1, nil)
+	h, views := newPoolHarness(t, Layout{Pools: []PoolSpec{{Name: "old", Selector: ofKind(0)}}, Route: func(*Call) int { return 0 }})
+	h.listed(listOfKinds(5000, 2))
+	h.advance(ms)
+	first := h.arrive(0, 600*ms)
+	h.dialed(1, nil)
 	told, events := false, 0
-	w.adjust(Adjusted{Pools: []PoolChange{{ID: 9, Spec: &PoolSpec{Name: "new", Selector: ofKind(1)}}, {ID: 0}}, Route: func(*Call) int { return 9 },
+	h.adjust(Adjusted{Pools: []PoolChange{{ID: 9, Spec: &PoolSpec{Name: "new", Selector: ofKind(1)}}, {ID: 0}}, Route: func(*Call) int { return 9 },
 		Done: func() { told = true }})
 	for more := true; more; events++ {
-		id := w.call(0, 600*ms)
-		if c := w.r.calls[id]; c == nil || len(c.delegations) != 1 || (c.pool.Name == "new") != told {
-			t.Fatalf("event %d, told: %v: %+v", events, told, w.calls[id])
+		id := h.arrive(0, 600*ms)
+		if c := h.r.calls[id]; c == nil || len(c.attempts) != 1 || (c.pool.Name == "new") != told {
+			t.Fatalf("event %d, told: %v: %+v", events, told, h.calls[id])
 		}
-		for _, d := range w.in(dialing) {
-			w.dialed(d, nil)
+		for _, d := range h.inState(dialing) {
+			h.dialed(d, nil)
 		}
-		for _, b := range w.in(busy) {
-			if w.onto[b] != first {
-				w.exchanged(good(b))
+		for _, b := range h.inState(busy) {
+			if h.callOn[b] != first {
+				h.exchanged(goodAnswer(b))
 			}
 		}
-		more = w.slice()
+		more = h.runNextSlice()
 	}
 	if !told || events < 10 || len(views["new"].view) != 2500 || len(views["old"].view) != 0 {
 		t.Fatalf("told: %v, after %d events; %d and %d app nodes", told, events, len(views["new"].view), len(views["old"].view))
 	}
-	if w.r.pools[0] == nil || w.r.poolsUsed() != 2 {
+	if h.r.pools[0] == nil || h.r.poolCount() != 2 {
 		t.Error("the old pool has gone with a call under way")
 	}
-	w.adjust(Adjusted{Pools: []PoolChange{{ID: 0, Spec: &PoolSpec{Name: "old"}}}}) // another, at the same ID
-	w.pass(ms)
-	if names, _, _ := w.r.Pools(); !slices.Equal(names, []string{"old", "new"}) || w.r.targets[0] == w.r.pools[0] {
+	h.adjust(Adjusted{Pools: []PoolChange{{ID: 0, Spec: &PoolSpec{Name: "old"}}}}) // another, at the same ID
+	h.advance(ms)
+	if names, _, _ := h.r.Pools(); !slices.Equal(names, []string{"old", "new"}) || h.r.routedPools[0] == h.r.pools[0] {
 		t.Errorf("%v", names)
 	}
-	w.exchanged(good(1))
-	if c := w.calls[first]; c.reply.Kind != Served || w.r.pools[0] != nil {
-		t.Errorf("%+v, the old pool is %v", c, w.r.pools[0])
+	h.exchanged(goodAnswer(1))
+	if c := h.calls[first]; c.reply.Kind != Served || h.r.pools[0] != nil {
+		t.Errorf("%+v, the old pool is %v", c, h.r.pools[0])
 	}
 }
 
 // Where the pool goes whose node asks for the list, another's node does: a watch that breaks then is opened again.
 func TestAnotherPoolAsksForTheList(t *testing.T) {
-	w := newWorld(t, 8, "a:1")
-	w.pass(2 * time.Second)
+	h := newHarness(t, 8, "a:1")
+	h.advance(2 * time.Second)
 	for i, name := range []string{"b", "c"} { // twice, since the second takes the place of the first that asked
-		w.adjust(Adjusted{Pools: []PoolChange{{ID: i + 1, Spec: &PoolSpec{Name: name}}, {ID: i}}})
-		watch := w.r.watch
-		w.do(WatchEnded{watch, errDown})
-		w.pass(2 * time.Second)
-		if w.r.watch != watch+1 || !w.r.watching {
-			t.Fatalf("pool %s: watch %d after %d, open: %v", name, w.r.watch, watch, w.r.watching)
+		h.adjust(Adjusted{Pools: []PoolChange{{ID: i + 1, Spec: &PoolSpec{Name: name}}, {ID: i}}})
+		watch := h.r.watchID
+		h.do(WatchEnded{watch, errDown})
+		h.advance(2 * time.Second)
+		if h.r.watchID != watch+1 || !h.r.watchOpen {
+			t.Fatalf("pool %s: watch %d after %d, open: %v", name, h.r.watchID, watch, h.r.watchOpen)
 		}
 	}
-	w.do(WatchEnded{w.r.watch, errDown}) // it goes while it waits to ask
-	w.timers = slices.DeleteFunc(w.timers, func(d due) bool { e, ok := d.ev.(timer); return ok && e.pool == w.r.asker })
-	w.adjust(Adjusted{Pools: []PoolChange{{ID: 7, Spec: &PoolSpec{Name: "d"}}, {ID: 2}}})
-	if w.pass(2 * time.Second); !w.r.watching {
+	h.do(WatchEnded{h.r.watchID, errDown}) // it goes while it waits to ask
+	h.timers = slices.DeleteFunc(h.timers, func(d scheduledEvent) bool { e, ok := d.event.(deciderTimer); return ok && e.pool == h.r.discoveryPool })
+	h.adjust(Adjusted{Pools: []PoolChange{{ID: 7, Spec: &PoolSpec{Name: "d"}}, {ID: 2}}})
+	if h.advance(2 * time.Second); !h.r.watchOpen {
 		t.Error("nobody asks any more")
 	}
 }
@@ -308,7 +308,7 @@
 	}
 	told := map[string]int{}
 	r, err := NewPools(settings(), 100, l, func(name string) brain.Decider {
-		return ear{func(brain.Event) { told[name]++ }}
+		return eventFunc{func(brain.Event) { told[name]++ }}
 	})
 	if err != nil {
 		t.Fatal(err)
@@ -329,19 +329,19 @@
 			do(e)
 		}
 	}
-	do(Started{Known: kindsOf(5*n, n), Discovery: "d:1"})
+	do(Started{Known: listOfKinds(5*n, n), Discovery: "d:1"})
 	settle()
 	do(Reloaded{Discovery: "d:2"})
 	for what, c := range map[string]struct {
 		ev   Event
 		want map[string]int
 	}{
-		"a change": {Listed{r.watch, List{Revision: 2, Addresses: []string{"n7:1"}, Members: []brain.Member{{Server: "s7", Zone: "a", Kind: "k7", Weight: 2}}}},
+		"a change": {Listed{r.watchID, List{Revision: 2, Addresses: []string{"n7:1"}, Members: []brain.Member{{Server: "s7", Zone: "a", Kind: "k7", Weight: 2}}}},
 			map[string]int{"p0": 1, "p7": 1}},
-		"a move": {Listed{r.watch, List{Revision: 2, Addresses: []string{"n8:1"}, Members: []brain.Member{{Server: "s8", Zone: "a", Kind: "k9", Weight: 2}}}},
+		"a move": {Listed{r.watchID, List{Revision: 2, Addresses: []string{"n8:1"}, Members: []brain.Member{{Server: "s8", Zone: "a", Kind: "k9", Weight: 2}}}},
 			map[string]int{"p0": 1, "p8": 1, "p9": 1}},
-		"nothing new":     {Listed{r.watch, List{Revision: 2}}, map[string]int{"p0": 1}},
-		"a broken watch":  {WatchEnded{r.watch, errDown}, map[string]int{"p0": 1}},
+		"nothing new":     {Listed{r.watchID, List{Revision: 2}}, map[string]int{"p0": 1}},
+		"a broken watch":  {WatchEnded{r.watchID, errDown}, map[string]int{"p0": 1}},
 		"a pool's change": {Adjusted{Pools: []PoolChange{{ID: 3, Spec: &PoolSpec{Name: "p3", Selector: ofKind(1000)}}}}, map[string]int{"p3": 3}}, // in each slice of the walk that has some
 	} {
 		clear(told)
@@ -356,27 +356,27 @@
 // There may be PoolsMost pools, and not one more.
 func TestThousandsOfPools(t *testing.T) {
 	l := Layout{Route: func(c *Call) int { return c.Class }}
-	for i := range PoolsMost {
+	for i := range MaxPools {
 		l.Pools = append(l.Pools, PoolSpec{Name: fmt.Sprint("p", i), Selector: ofKind(i)})
 	}
-	w, views := yard(t, l)
-	w.listed(kindsOf(PoolsMost, PoolsMost))
-	w.pass(ms)
-	for _, i := range []int{0, 63, 64, 255, 256, PoolsMost - 1} {
+	h, views := newPoolHarness(t, l)
+	h.listed(listOfKinds(MaxPools, MaxPools))
+	h.advance(ms)
+	for _, i := range []int{0, 63, 64, 255, 256, MaxPools - 1} {
 		if v := views[fmt.Sprint("p", i)]; len(v.view) != 1 || cmp.Or(v.view[fmt.Sprint("s", i)].Server, "none") != fmt.Sprint("s", i) {
 			t.Errorf("pool %d sees %v", i, v.view)
 		}
 	}
 	told := 0
-	w.adjust(Adjusted{Pools: []PoolChange{{ID: PoolsMost, Spec: &PoolSpec{Name: "more"}}}, Done: func() { told++ }})
-	if !w.has(func(e Effect) bool { l, ok := e.(Log); return ok && strings.Contains(l.Text, "4097 pools") }) || told != 1 {
-		t.Errorf("one more: %+v", w.took)
+	h.adjust(Adjusted{Pools: []PoolChange{{ID: MaxPools, Spec: &PoolSpec{Name: "more"}}}, Done: func() { told++ }})
+	if !h.hasEffect(func(e Effect) bool { l, ok := e.(Log); return ok && strings.Contains(l.Text, "4097 pools") }) || told != 1 {
+		t.Errorf("one more: %+v", h.effects)
 	}
-	w.adjust(Adjusted{Pools: []PoolChange{{ID: 5}}})
-	w.pass(ms)
-	w.adjust(Adjusted{Pools: []PoolChange{{ID: PoolsMost, Spec: &PoolSpec{Name: "more", Selector: ofKind(5)}}}})
-	w.pass(ms)
-	if names, _, _ := w.r.Pools(); len(names) != PoolsMost || names[PoolsMost-1] != "more" || len(views["more"].view) != 1 {
+	h.adjust(Adjusted{Pools: []PoolChange{{ID: 5}}})
+	h.advance(ms)
+	h.adjust(Adjusted{Pools: []PoolChange{{ID: MaxPools, Spec: &PoolSpec{Name: "more", Selector: ofKind(5)}}}})
+	h.advance(ms)
+	if names, _, _ := h.r.Pools(); len(names) != MaxPools || names[MaxPools-1] != "more" || len(views["more"].view) != 1 {
 		t.Errorf("%d pools, the last is %s", len(names), names[len(names)-1])
 	}
 }
--- a/internal/reducer/calls.go
+++ b/internal/reducer/calls.go
@@ -8,28 +8,28 @@
 )
 
 func (r *Reducer) onArrived(in *Call) {
-	// The node knows calls by numbers of ours: a client that sends the same id again, as it may after a
-	// closed connection, must not meet what is left of the first.
-	c := &call{Call: in, deadline: in.Deadline - answerMargin, came: r.now, wait: in.Deadline - r.now, brainID: strconv.FormatUint(in.ID, 10)}
-	c.pool = r.poolOf(in)
-	c.pool.open++
-	r.places[c.Class].open++
+	// The decider knows calls by internal IDs: a client may send the same ID again after a closed connection, and that
+	// call must not be confused with what is left of the first.
+	c := &call{Call: in, deadline: in.Deadline - answerMargin, arrivedAt: r.now, timeout: in.Deadline - r.now, deciderID: strconv.FormatUint(in.ID, 10)}
+	c.pool = r.routeCall(in)
+	c.pool.openCalls++
+	r.classSlots[c.Class].openCalls++
 	r.counts.Taken++
-	r.calls[in.ID], r.byBrain[c.brainID] = c, c
-	if first := r.byClient[c.ClientID]; first != nil {
-		// Ids are fresh, so one of the two is a copy, and which of them is not told by the order in which we read
-		// two sockets. The app node tells: it cannot use the copy. Until then the later one waits, since two
-		// attempts with one id in two places, or a refusal of one that may have run, would be a duplicate.
+	r.calls[in.ID], r.callsByDeciderID[c.deciderID] = c, c
+	if first := r.callsByClientID[c.ClientID]; first != nil {
+		// Client IDs are unique, so one of the two calls is a copy. The order in which two sockets are read does not
+		// tell which one, but the app node does: it rejects the copy. Until then the later call waits. Two attempts with
+		// the same ID at two app nodes, or a refusal of a call that may have run, could lead to a duplicate execution.
 		c.waiting = true
-		first.behind = append(first.behind, c)
-	} else if r.wasUsed(c.ClientID) {
+		first.duplicates = append(first.duplicates, c)
+	} else if r.recentlyUsed(c.ClientID) {
 		r.answer(c, Reply{Kind: Conflict})
 		return
 	} else if c.deadline <= r.now {
-		r.answer(c, r.unserved(c))
+		r.answer(c, r.fallbackReply(c))
 		return
-	} else if most := r.cap(c.pool); most > 0 && c.pool.open > most {
-		r.answer(c, r.refusal())
+	} else if limit := r.maxOpen(c.pool); limit > 0 && c.pool.openCalls > limit {
+		r.answer(c, r.refusedReply())
 		return
 	}
 	r.armDeadline(c)
@@ -38,37 +38,37 @@
 	}
 }
 
-// over says that a call has its answer, or its client has left: nothing may be sent for it any more.
-func (c *call) over() bool { return c.done || c.flow != nil }
+// noMoreAttempts reports whether a call has its answer or its client has left, so that nothing may be sent for it.
+func (c *call) noMoreAttempts() bool { return c.done || c.committed != nil }
 
-// admit hands a call to the node.
+// admit passes a call to the decider.
 func (r *Reducer) admit(c *call) {
 	c.waiting = false
 	if c.ClientID != "" {
-		r.byClient[c.ClientID] = c
+		r.callsByClientID[c.ClientID] = c
 	}
-	first, later := r.boundOf(c)
-	r.tell(c.pool, &brain.Request{First: first, Later: later, ID: c.brainID, Class: c.Class, Tenant: c.Tenant, Quota: c.Quota, Retry: c.Retry, Key: c.Key,
+	first, later := r.zoneBounds(c)
+	r.notify(c.pool, &brain.Request{First: first, Later: later, ID: c.deciderID, Class: c.Class, Tenant: c.Tenant, Quota: c.Quota, Retry: c.Retry, Key: c.Key,
 		Work: c.Work, Deadline: c.deadline, Upload: c.OneShot})
 }
 
-// settle frees the client's id of a call that is over. Those that wait behind it are copies, unless it was the
-// copy itself: then the next takes its place.
-func (r *Reducer) settle(c *call) {
-	if r.byClient[c.ClientID] != c {
+// releaseClientID releases the client ID of a finished call. Calls that wait for it are copies and are answered with
+// Conflict, unless the finished call was itself rejected as the copy: then the next one takes its place.
+func (r *Reducer) releaseClientID(c *call) {
+	if r.callsByClientID[c.ClientID] != c {
 		return
 	}
-	delete(r.byClient, c.ClientID)
-	behind := c.behind
-	c.behind = nil
+	delete(r.callsByClientID, c.ClientID)
+	duplicates := c.duplicates
+	c.duplicates = nil
 	if !c.rejected {
-		r.remember(c.ClientID)
+		r.rememberClientID(c.ClientID)
 	}
-	for i, next := range behind {
+	for i, next := range duplicates {
 		switch {
 		case next.done:
 		case c.rejected:
-			next.behind = behind[i+1:]
+			next.duplicates = duplicates[i+1:]
 			r.admit(next)
 			return
 		default:
@@ -77,127 +77,127 @@
 	}
 }
 
-func (r *Reducer) remember(id string) {
-	if r.now-r.usedFrom >= idKept || len(r.used[0]) >= idsMost {
-		r.used[0], r.used[1], r.usedFrom = r.used[1], r.used[0], r.now
-		clear(r.used[0])
+func (r *Reducer) rememberClientID(id string) {
+	if r.now-r.recentClientIDsSince >= clientIDRetention || len(r.recentClientIDs[0]) >= maxClientIDs {
+		r.recentClientIDs[0], r.recentClientIDs[1], r.recentClientIDsSince = r.recentClientIDs[1], r.recentClientIDs[0], r.now
+		clear(r.recentClientIDs[0])
 	}
-	r.used[0][id] = struct{}{}
+	r.recentClientIDs[0][id] = struct{}{}
 }
 
-func (r *Reducer) wasUsed(id string) bool {
-	_, late := r.used[0][id]
-	_, early := r.used[1][id]
-	return late || early
+func (r *Reducer) recentlyUsed(id string) bool {
+	_, recent := r.recentClientIDs[0][id]
+	_, older := r.recentClientIDs[1][id]
+	return recent || older
 }
 
-// onClientGone: nothing is owed any more. What flows to the client is no business of the module's, so it ends here.
+// onClientGone handles a client that left. The decider has no further part in a flow, so the flow is ended here.
 func (r *Reducer) onClientGone(c *call) {
 	c.done = true
 	r.counts.Left++
-	r.tell(c.pool, &brain.ClientGone{ID: c.brainID})
-	if d := c.flow; d != nil && !d.over {
-		r.abandon(d)
-		r.end(d, brain.Cancelled, nil)
+	r.notify(c.pool, &brain.ClientGone{ID: c.deciderID})
+	if att := c.committed; att != nil && !att.ended {
+		r.abandon(att)
+		r.endAttempt(att, brain.Cancelled, nil)
 	}
-	r.settle(c)
-	r.forget(c)
+	r.releaseClientID(c)
+	r.removeIfDone(c)
 }
 
-// onDeadline ends what is out, as the node expects at the deadline, and answers even if the node does not. An answer that
-// flows is the client's since its first bytes, and goes on for as long as both sides do.
+// onDeadline ends the outstanding attempts, as the decider expects at the deadline, and answers the call even if the
+// decider does not. An answer that already flows continues for as long as the client and the app node keep it up.
 func (r *Reducer) onDeadline(id uint64) {
 	c := r.calls[id]
 	if c == nil {
 		return
 	}
-	if c.open || r.now < c.deadline {
-		return // the time of an upload does not run yet, or has begun anew
+	if c.uploading || r.now < c.deadline {
+		return // an upload's deadline does not run yet, or has been restarted
 	}
-	for _, d := range c.delegations {
-		if !d.over && d != c.flow {
-			r.abandon(d)
-			r.end(d, brain.TimedOut, nil)
+	for _, att := range c.attempts {
+		if !att.ended && att != c.committed {
+			r.abandon(att)
+			r.endAttempt(att, brain.TimedOut, nil)
 		}
 	}
-	if c.flow != nil && !c.done {
+	if c.committed != nil && !c.done {
 		return
 	}
-	if !c.done { // held by the node, or forgotten
-		r.answer(c, r.unserved(c))
-		r.tell(c.pool, &brain.ClientGone{ID: c.brainID})
+	if !c.done { // held by the decider, or lost by it
+		r.answer(c, r.fallbackReply(c))
+		r.notify(c.pool, &brain.ClientGone{ID: c.deciderID})
 	}
-	r.settle(c)
-	r.forget(c)
+	r.releaseClientID(c)
+	r.removeIfDone(c)
 }
 
-// onUploaded: the last byte of a body has come, and the time of its call counts from there.
+// onUploaded handles the last byte of a body: the call's time limit counts from there.
 func (r *Reducer) onUploaded(c *call, last time.Duration) {
-	if !c.open {
+	if !c.uploading {
 		return
 	}
-	for _, d := range c.delegations {
-		if !d.over {
-			d.sent = r.now
+	for _, att := range c.attempts {
+		if !att.ended {
+			att.startedAt = r.now
 		}
 	}
-	r.restart(c, max(last, c.came))
-	r.tell(c.pool, &brain.Uploaded{ID: c.brainID, Deadline: c.deadline})
+	r.restartDeadline(c, max(last, c.arrivedAt))
+	r.notify(c.pool, &brain.Uploaded{ID: c.deciderID, Deadline: c.deadline})
 }
 
-// restart has the time of an upload run from a moment on.
-func (r *Reducer) restart(c *call, from time.Duration) {
-	c.open, c.deadline = false, from+c.wait-answerMargin
+// restartDeadline counts the time limit of an upload from the given time on.
+func (r *Reducer) restartDeadline(c *call, start time.Duration) {
+	c.uploading, c.deadline = false, start+c.timeout-answerMargin
 	r.armDeadline(c)
 }
 
 func (r *Reducer) armDeadline(c *call) {
-	r.emit(Arm{max(0, c.deadline-r.now), deadline{c.ID}})
+	r.emit(Arm{max(0, c.deadline-r.now), callDeadline{c.ID}})
 }
 
-// answer gives the final answer; the first wins.
+// answer gives a call its final answer. Only the first takes effect.
 func (r *Reducer) answer(c *call, reply Reply) {
-	if c == nil || c.over() {
+	if c == nil || c.noMoreAttempts() {
 		return
 	}
 	c.done = true
-	r.counted(c, reply.Kind)
+	r.countEnd(c, reply.Kind)
 	r.emit(Answer{c.ID, reply})
-	r.settle(c)
-	r.forget(c)
+	r.releaseClientID(c)
+	r.removeIfDone(c)
 }
 
-func (r *Reducer) forget(c *call) {
-	if c.done && c.out == 0 && r.calls[c.ID] == c {
+func (r *Reducer) removeIfDone(c *call) {
+	if c.done && c.outstanding == 0 && r.calls[c.ID] == c {
 		delete(r.calls, c.ID)
-		delete(r.byBrain, c.brainID)
-		r.places[c.Class].open--
-		c.pool.open--
-		r.free(c.pool)
+		delete(r.callsByDeciderID, c.deciderID)
+		r.classSlots[c.Class].openCalls--
+		c.pool.openCalls--
+		r.freeIfUnused(c.pool)
 	}
 }
 
-// unserved is the answer where the node has none: a refusal as long as nothing was sent, since then trying
-// again is harmless whatever the class.
-func (r *Reducer) unserved(c *call) Reply {
+// fallbackReply is the answer if the decider gives none. It is a refusal as long as nothing was sent, because retrying
+// is then harmless whatever the class.
+func (r *Reducer) fallbackReply(c *call) Reply {
 	switch {
 	case c.waiting:
 		return Reply{Kind: Conflict}
-	case len(c.delegations) > 0:
+	case len(c.attempts) > 0:
 		return Reply{Kind: Failed}
 	}
-	return r.refusal()
+	return r.refusedReply()
 }
 
-// refusal is one of the reducer's own, with its advice.
-func (r *Reducer) refusal() Reply {
+// refusedReply is a refusal that the reducer decides on itself, with a retry hint if the settings allow one.
+func (r *Reducer) refusedReply() Reply {
 	if !r.cfg.RetryAfter {
 		return Reply{Kind: Refused}
 	}
 	return Reply{Kind: Refused, After: r.cfg.MaxRetryAfter / 2}
 }
 
-// repeatable says that a call may be tried again though it has run.
+// repeatable reports whether a call may be tried again even though it has run.
 func (r *Reducer) repeatable(c *call) bool {
 	class := &r.cfg.Classes[c.Class]
 	return class.Repeat == brain.Safe || class.Repeat == brain.Keyed && class.Scope == brain.ScopeAll
--- a/internal/reducer/connections.go
+++ b/internal/reducer/connections.go
@@ -8,113 +8,113 @@
 )
 
 func (r *Reducer) onDialed(e Dialed) {
-	k := r.conns[e.Conn]
-	if k == nil || k.state != dialing {
+	cn := r.conns[e.Conn]
+	if cn == nil || cn.state != dialing {
 		return
 	}
-	d := k.delg
-	if !k.doomed { // one that has moved was tried where it is no more
-		r.heardAt(k.srv, e.Err == nil)
+	att := cn.attempt
+	if !cn.closeWhenDone { // otherwise the dial went to an outdated address and says nothing about the app node
+		r.reportConnect(cn.srv, e.Err == nil)
 		if e.Err != nil {
-			k.srv.failed = r.now
+			cn.srv.lastFailure = r.now
 		}
 	}
 	switch {
 	case e.Err != nil:
-		r.close(k)
-		if d != nil {
-			d.conn = nil
-			r.end(d, brain.ConnectFailed, nil)
+		r.close(cn)
+		if att != nil {
+			att.conn = nil
+			r.endAttempt(att, brain.ConnectFailed, nil)
 		}
-	case k.doomed:
-		r.close(k)
-		if d != nil {
-			r.place(d) // at the new address
+	case cn.closeWhenDone:
+		r.close(cn)
+		if att != nil {
+			r.dispatch(att) // at the new address
 		}
-	case d != nil && !d.call.over() && !r.tooLate(d):
-		r.exchange(k, d)
-	case d != nil: // its time was over while the connection was made: that is kept, and nothing is sent
-		d.conn = nil
-		r.rest(k)
-		r.end(d, brain.NeverSent, nil)
+	case att != nil && !att.call.noMoreAttempts() && !r.tooLate(att):
+		r.exchange(cn, att)
+	case att != nil: // the call expired during the dial: the connection is kept, and nothing is sent
+		att.conn = nil
+		r.putIdle(cn)
+		r.endAttempt(att, brain.NeverSent, nil)
 	default:
-		r.rest(k)
+		r.putIdle(cn)
 	}
 }
 
-// rest puts a connection among the idle ones.
-func (r *Reducer) rest(k *conn) {
-	if k.doomed {
-		r.close(k)
+// putIdle adds a connection to the idle ones.
+func (r *Reducer) putIdle(cn *conn) {
+	if cn.closeWhenDone {
+		r.close(cn)
 		return
 	}
-	k.state, k.idleSince, k.delg = idle, r.now, nil
-	k.srv.idle = append(k.srv.idle, k)
-	if k.older = r.newest; k.older != nil {
-		k.older.newer = k
+	cn.state, cn.idleSince, cn.attempt = idle, r.now, nil
+	cn.srv.idle = append(cn.srv.idle, cn)
+	if cn.older = r.newestIdle; cn.older != nil {
+		cn.older.newer = cn
 	} else {
-		r.oldest = k
+		r.oldestIdle = cn
 	}
-	r.newest = k
+	r.newestIdle = cn
 	r.armSweep()
 }
 
-// wake takes a connection from among the idle ones.
-func (r *Reducer) wake(k *conn) {
-	if i := slices.Index(k.srv.idle, k); i >= 0 {
-		k.srv.idle = slices.Delete(k.srv.idle, i, i+1)
+// takeIdle removes a connection from the idle ones.
+func (r *Reducer) takeIdle(cn *conn) {
+	if i := slices.Index(cn.srv.idle, cn); i >= 0 {
+		cn.srv.idle = slices.Delete(cn.srv.idle, i, i+1)
 	}
-	if k.older != nil {
-		k.older.newer = k.newer
+	if cn.older != nil {
+		cn.older.newer = cn.newer
 	} else {
-		r.oldest = k.newer
+		r.oldestIdle = cn.newer
 	}
-	if k.newer != nil {
-		k.newer.older = k.older
+	if cn.newer != nil {
+		cn.newer.older = cn.older
 	} else {
-		r.newest = k.older
+		r.newestIdle = cn.older
 	}
-	k.older, k.newer = nil, nil
+	cn.older, cn.newer = nil, nil
 }
 
-// close is the one place where a connection is given back.
-func (r *Reducer) close(k *conn) {
-	if k.state == idle {
-		r.wake(k)
+// close is the only place where a connection is released.
+func (r *Reducer) close(cn *conn) {
+	if cn.state == idle {
+		r.takeIdle(cn)
 	}
-	k.state = closed
-	delete(r.conns, k.id)
-	delete(k.srv.conns, k.id)
-	r.emit(Close{k.id})
+	cn.state = closed
+	delete(r.conns, cn.id)
+	delete(cn.srv.conns, cn.id)
+	r.emit(Close{cn.id})
 }
 
-// closeOldest makes room under the descriptor budget.
-func (r *Reducer) closeOldest() bool {
-	if r.oldest == nil {
+// closeOldestIdle makes room in the connection budget. It reports whether there was an idle connection to close.
+func (r *Reducer) closeOldestIdle() bool {
+	if r.oldestIdle == nil {
 		return false
 	}
-	r.close(r.oldest)
+	r.close(r.oldestIdle)
 	return true
 }
 
-// idleFor is how long an idle connection is worth keeping.
-func (r *Reducer) idleFor() time.Duration {
+// idleLimit is how long an idle connection is kept and used.
+func (r *Reducer) idleLimit() time.Duration {
 	return r.cfg.IdleClose - min(idleMargin, r.cfg.IdleClose/4)
 }
 
 func (r *Reducer) armSweep() {
-	if !r.sweeping {
-		r.sweeping = true
-		r.emit(Arm{min(sweepEvery, r.idleFor()), sweep{}})
+	if !r.idleSweepArmed {
+		r.idleSweepArmed = true
+		r.emit(Arm{min(idleSweepInterval, r.idleLimit()), idleSweepTimer{}})
 	}
 }
 
 func (r *Reducer) onSweep() {
-	r.sweeping = false
-	for r.oldest != nil && r.now-r.oldest.idleSince >= r.idleFor() {
-		r.close(r.oldest)
+	r.idleSweepArmed = false
+	for r.oldestIdle != nil && r.now-r.oldestIdle.idleSince >= r.idleLimit() {
+		r.close(r.oldestIdle)
 	}
-	if r.oldest != nil {
+	if r.oldestIdle != nil {
 		r.armSweep()
 	}
 }
--- a/internal/reducer/delegations.go
+++ b/internal/reducer/delegations.go
@@ -8,271 +8,274 @@
 	"pewterrudder/brain"
 )
 
-func (r *Reducer) send(c *call, a *brain.Action) {
+func (r *Reducer) startAttempt(c *call, a *brain.Action) {
 	if c == nil {
 		return
 	}
-	d := &delegation{call: c, attempt: len(c.delegations), server: a.Server, srv: r.servers[a.Server], sent: r.now}
-	c.delegations = append(c.delegations, d)
-	c.out++
-	if c.over() || d.srv == nil || !slices.Contains(d.srv.pools, c.pool.index) || d.attempt >= r.cfg.MaxAttempts {
-		r.end(d, brain.NeverSent, nil)
+	att := &attempt{call: c, index: len(c.attempts), server: a.Server, srv: r.servers[a.Server], startedAt: r.now}
+	c.attempts = append(c.attempts, att)
+	c.outstanding++
+	if c.noMoreAttempts() || att.srv == nil || !slices.Contains(att.srv.usingPools, c.pool.index) || att.index >= r.cfg.MaxAttempts {
+		r.endAttempt(att, brain.NeverSent, nil)
 		return
 	}
-	if c.OneShot && slices.ContainsFunc(c.delegations, func(o *delegation) bool { return o.shot }) {
-		if c.out == 1 { // nothing else is out, and nothing else can be sent
-			r.answer(c, r.spent(c, Whole))
+	if c.OneShot && slices.ContainsFunc(c.attempts, func(other *attempt) bool { return other.bodyUsed }) {
+		if c.outstanding == 1 { // no other attempt is outstanding, and none can follow
+			r.answer(c, r.bodyUsedReply(c, Whole))
 		}
-		r.end(d, brain.NeverSent, nil)
+		r.endAttempt(att, brain.NeverSent, nil)
 		return
 	}
-	r.sentTo(d)
-	r.place(d)
+	r.recordZoneAttempt(att)
+	r.dispatch(att)
 }
 
-// place puts a delegation on the latest-used idle connection that has settled, else on the one that has rested for
-// the longest, else on a new one.
-func (r *Reducer) place(d *delegation) {
-	if d.call.over() || d.srv.gone || r.tooLate(d) { // over, or nobody there, while a connection was being made
-		r.end(d, brain.NeverSent, nil)
+// dispatch assigns an attempt to the most recently used idle connection that has been idle for reuseDelay, otherwise to
+// the longest idle one, otherwise to a new connection.
+func (r *Reducer) dispatch(att *attempt) {
+	if att.call.noMoreAttempts() || att.srv.removed || r.tooLate(att) { // the call ended or the app node was removed during a dial
+		r.endAttempt(att, brain.NeverSent, nil)
 		return
 	}
-	for len(d.srv.idle) > 0 {
-		at := len(d.srv.idle) - 1
-		for at > 0 && r.now-d.srv.idle[at].idleSince < settleFor {
+	for len(att.srv.idle) > 0 {
+		at := len(att.srv.idle) - 1
+		for at > 0 && r.now-att.srv.idle[at].idleSince < reuseDelay {
 			at--
 		}
-		k := d.srv.idle[at]
-		if r.now-k.idleSince >= r.idleFor() {
-			r.close(k)
+		cn := att.srv.idle[at]
+		if r.now-cn.idleSince >= r.idleLimit() {
+			r.close(cn)
 			continue
 		}
-		r.wake(k)
-		r.exchange(k, d)
+		r.takeIdle(cn)
+		r.exchange(cn, att)
 		return
 	}
-	if len(r.conns) >= r.budget && !r.closeOldest() {
-		if r.now >= r.sayFullAt { // not once a call
-			r.sayFullAt = r.now + time.Second
+	if len(r.conns) >= r.connBudget && !r.closeOldestIdle() {
+		if r.now >= r.nextBudgetLog { // at most once per second, not once per call
+			r.nextBudgetLog = r.now + time.Second
 			r.emit(Log{"delegation: every connection of the descriptor budget is in use"})
 		}
-		d.ours = true
-		r.end(d, brain.ConnectFailed, nil)
+		att.outOfDescriptors = true
+		r.endAttempt(att, brain.ConnectFailed, nil)
 		return
 	}
-	r.lastConn++
-	k := &conn{id: r.lastConn, srv: d.srv, state: dialing, delg: d}
-	d.conn = k
-	r.conns[k.id], d.srv.conns[k.id] = k, k
-	r.emit(Dial{k.id, d.srv.address, r.cfg.ConnectTimeout})
+	r.lastConnID++
+	cn := &conn{id: r.lastConnID, srv: att.srv, state: dialing, attempt: att}
+	att.conn = cn
+	r.conns[cn.id], att.srv.conns[cn.id] = cn, cn
+	r.emit(Dial{cn.id, att.srv.address, r.cfg.ConnectTimeout})
 }
 
-// tooLate: what the module has decided must not go out any more. The decision came in time, but a connection can take long to
-// make: a cut that is mended lets the handshake through at its next try. By then the time of the call may be over, though
-// that stands behind this event; its app node may be draining for longer than is allowed; or the app nodes may have forgotten
-// its key.
-func (r *Reducer) tooLate(d *delegation) bool {
-	if !d.call.open && r.now >= d.call.deadline || r.now > d.sent && r.draining(d.srv) { // what it decides now is its own
+// tooLate reports whether an attempt that the decider requested must no longer be sent. The decision was made in time,
+// but a dial can take long: when a network partition heals, the handshake succeeds at its next retransmission. By then
+// the call may have expired although its callDeadline event is still queued behind this one, the app node may have been
+// draining for longer than the grace period allows, or the app nodes may have forgotten the call's key.
+func (r *Reducer) tooLate(att *attempt) bool {
+	// A decision made in this very event already takes the drain into account.
+	if !att.call.uploading && r.now >= att.call.deadline || r.now > att.startedAt && r.drainedTooLong(att.srv) {
 		return true
 	}
-	k := &r.cfg.Classes[d.call.Class]
-	return k.Repeat == brain.Keyed && slices.ContainsFunc(d.call.delegations, func(o *delegation) bool {
-		return o != d && o.asked > 0 && r.now-o.asked > k.Window-keyMargin
+	class := &r.cfg.Classes[att.call.Class]
+	return class.Repeat == brain.Keyed && slices.ContainsFunc(att.call.attempts, func(other *attempt) bool {
+		return other != att && other.mayHaveRunSince > 0 && r.now-other.mayHaveRunSince > class.Window-keyWindowMargin
 	})
 }
 
-// draining says that an app node has not been in service for so long that nothing may be sent to it any more. Half of the
-// grace is left for what lies between: the word may have waited for us before we read it, and the call waits for its writer.
-func (r *Reducer) draining(s *server) bool {
-	return s.member.State != brain.Ready && r.now-s.leftAt >= r.cfg.Rules.DrainGrace/2
+// drainedTooLong reports whether an app node has been out of service for so long that nothing may be sent to it any
+// more. Half of the grace period is reserved for delays: the list may have waited before we read it, and the call waits
+// for its writer.
+func (r *Reducer) drainedTooLong(s *server) bool {
+	return s.member.State != brain.Ready && r.now-s.notReadySince >= r.cfg.Rules.DrainGrace/2
 }
 
-func (r *Reducer) exchange(k *conn, d *delegation) {
-	k.state, k.delg, d.conn, d.asked = busy, d, k, r.now
-	wait := d.call.deadline - r.now
-	if d.shot = d.call.OneShot; d.shot {
-		d.call.open, wait = true, d.call.wait // which the app node counts from the last byte, too
+func (r *Reducer) exchange(cn *conn, att *attempt) {
+	cn.state, cn.attempt, att.conn, att.mayHaveRunSince = busy, att, cn, r.now
+	timeLeft := att.call.deadline - r.now
+	if att.bodyUsed = att.call.OneShot; att.bodyUsed {
+		att.call.uploading, timeLeft = true, att.call.timeout // the app node, too, counts from the last byte
 	}
-	stall := r.stalls[d.call.Class].Wait()
-	flows := flowStalls * stall
-	if r.stallFixed == 0 {
-		flows = max(flows, flowStallLeast)
+	stall := r.stallEstimators[att.call.Class].Wait()
+	flowStall := flowStallFactor * stall
+	if r.fixedStall == 0 {
+		flowStall = max(flowStall, minFlowStall)
 	}
-	r.emit(Exchange{k.id, d.call.Call, wait, stall, flows})
+	r.emit(Exchange{cn.id, att.call.Call, timeLeft, stall, flowStall})
 }
 
-// spent is the answer to a call whose body is gone, so that nothing can be sent for it any more.
-func (r *Reducer) spent(c *call, w Written) Reply {
-	if w == Whole && !r.repeatable(c) {
+// bodyUsedReply is the answer to a call whose body has been consumed, so that no further attempt is possible.
+func (r *Reducer) bodyUsedReply(c *call, written WriteProgress) Reply {
+	if written == Whole && !r.repeatable(c) {
 		return Reply{Kind: Failed}
 	}
-	return r.refusal()
+	return r.refusedReply()
 }
 
-// abandon gives a delegation up: the app node sees its connection close. A dial goes on, for the pool.
-func (r *Reducer) abandon(d *delegation) {
-	if k := d.conn; k != nil {
-		if k.state == busy || k.state == flowing {
-			r.close(k)
+// abandon gives up an attempt: the app node sees its connection close. A dial continues, and its connection becomes
+// idle.
+func (r *Reducer) abandon(att *attempt) {
+	if cn := att.conn; cn != nil {
+		if cn.state == busy || cn.state == flowing {
+			r.close(cn)
 		}
-		k.delg, d.conn = nil, nil
+		cn.attempt, att.conn = nil, nil
 	}
 }
 
-// end tells the node of the one end of a delegation.
-func (r *Reducer) end(d *delegation, o brain.Outcome, report []float64) {
-	c := d.call
-	d.over = true
+// endAttempt records the end of an attempt and reports it to the decider. It is called exactly once per attempt.
+func (r *Reducer) endAttempt(att *attempt, o brain.Outcome, report []float64) {
+	c := att.call
+	att.ended = true
 	if o == brain.NeverSent || o == brain.ConnectFailed || o == brain.Shed { // it never ran
-		d.asked = 0
+		att.mayHaveRunSince = 0
 	}
-	c.out--
-	took := r.now - d.sent
-	if d.begun > 0 {
-		took = d.begun - d.sent
+	c.outstanding--
+	took := r.now - att.startedAt
+	if att.committedAt > 0 {
+		took = att.committedAt - att.startedAt
 	}
-	r.heardFrom(d, o, took, report)
-	r.tell(c.pool, &brain.AttemptEnded{ID: c.brainID, Attempt: d.attempt, Server: d.server, Outcome: o,
+	r.recordZoneOutcome(att, o, took, report)
+	r.notify(c.pool, &brain.AttemptEnded{ID: c.deciderID, Attempt: att.index, Server: att.server, Outcome: o,
 		Took: took, Final: c.done, Report: report})
-	r.forget(c)
+	r.removeIfDone(c)
 }
 
-// onFlowing commits a call to the one of its delegations that asks first. From here on the answer is the client's.
+// onFlowing commits a call to the first of its attempts that asks. From here on the answer belongs to the client.
 func (r *Reducer) onFlowing(e Flowing) {
-	k := r.conns[e.Conn]
-	if k == nil || k.state != busy {
+	cn := r.conns[e.Conn]
+	if cn == nil || cn.state != busy {
 		return
 	}
-	d := k.delg
-	c := d.call
-	if c.over() {
-		r.abandon(d)
-		r.end(d, brain.Cancelled, nil)
+	att := cn.attempt
+	c := att.call
+	if c.noMoreAttempts() {
+		r.abandon(att)
+		r.endAttempt(att, brain.Cancelled, nil)
 		return
 	}
 	kind := Served
 	if e.Result == Unusable {
 		kind, c.rejected = Rejected, true
 	}
-	k.state, c.flow, d.begun = flowing, d, r.now // it is counted by its end
+	cn.state, c.committed, att.committedAt = flowing, att, r.now // counted when the flow ends
 	r.emit(Answer{c.ID, Reply{Kind: kind, Message: e.Message}})
-	r.tell(c.pool, &brain.StreamBegun{ID: c.brainID, Attempt: d.attempt, Server: d.server, Took: r.now - d.sent})
+	r.notify(c.pool, &brain.StreamBegun{ID: c.deciderID, Attempt: att.index, Server: att.server, Took: r.now - att.startedAt})
 }
 
 func (r *Reducer) onExchanged(e Exchanged) {
-	k := r.conns[e.Conn]
-	if k == nil || k.state != busy && k.state != flowing {
+	cn := r.conns[e.Conn]
+	if cn == nil || cn.state != busy && cn.state != flowing {
 		return
 	}
-	d, flowed := k.delg, k.state == flowing
-	c := d.call
-	k.delg, d.conn = nil, nil
-	d.shot = d.shot && e.Spent
-	if c.open && !d.shot {
-		r.restart(c, c.came) // nothing of it has gone out
+	att, wasFlowing := cn.attempt, cn.state == flowing
+	c := att.call
+	cn.attempt, att.conn = nil, nil
+	att.bodyUsed = att.bodyUsed && e.Spent
+	if c.uploading && !att.bodyUsed {
+		r.restartDeadline(c, c.arrivedAt) // nothing of the body was sent
 	}
-	none := e.Result == Broke || e.Result == Stalled
-	if !none && e.Reuse && e.Written == Whole {
-		r.rest(k)
+	noAnswer := e.Result == Broke || e.Result == Stalled
+	if !noAnswer && e.Reuse && e.Written == Whole {
+		r.putIdle(cn)
 	} else {
-		r.close(k)
+		r.close(cn)
 	}
 	if e.Result == Good {
-		k.srv.answered = r.now
+		cn.srv.lastAnswer = r.now
 	} else if e.Result == Broke || e.Result == Stalled || e.Result == Errored {
-		k.srv.failed = r.now
+		cn.srv.lastFailure = r.now
 	}
 	if e.Result == Stalled {
-		r.stalls[c.Class].RanOut()
+		r.stallEstimators[c.Class].RanOut()
 	} else if e.Pause > 0 && e.Result != Broke {
-		r.stalls[c.Class].Whole(e.Pause)
+		r.stallEstimators[c.Class].Whole(e.Pause)
 	}
-	if flowed {
-		r.flowed(d, e)
+	if wasFlowing {
+		r.onFlowEnded(att, e)
 		return
 	}
-	if none && e.Written == Nothing {
-		// The app node closed an idle connection just before: no byte was sent, so this was no attempt.
-		r.place(d)
+	if noAnswer && e.Written == Nothing {
+		// The app node closed the idle connection just before. No byte was sent, so this does not count as an attempt.
+		r.dispatch(att)
 		return
 	}
-	if e.Result == Left && e.Written == Nothing { // it was seen when the call was to be written, before ClientGone came here
+	if e.Result == Left && e.Written == Nothing { // noticed just before the call was to be written, ahead of the ClientGone event
 		if !c.done {
 			r.onClientGone(c)
 		}
-		if !d.over {
-			r.end(d, brain.Cancelled, nil)
+		if !att.ended {
+			r.endAttempt(att, brain.Cancelled, nil)
 		}
 		return
 	}
-	if d.shot && e.Result != Good && e.Result != Unusable && e.Result != NoRoom {
-		w := e.Written
+	if att.bodyUsed && e.Result != Good && e.Result != Unusable && e.Result != NoRoom {
+		written := e.Written
 		if e.Result == Shed {
-			w = Nothing
+			written = Nothing
 		}
-		r.answer(c, r.spent(c, w))
+		r.answer(c, r.bodyUsedReply(c, written))
 	}
 	switch {
-	case none && e.Written == Partly:
-		r.end(d, brain.ConnectFailed, nil)
-	case none:
-		r.end(d, brain.Dropped, nil)
+	case noAnswer && e.Written == Partly:
+		r.endAttempt(att, brain.ConnectFailed, nil)
+	case noAnswer:
+		r.endAttempt(att, brain.Dropped, nil)
 	case e.Result == Good:
 		r.answer(c, Reply{Kind: Served, Message: e.Message})
-		r.end(d, brain.OK, e.Report)
+		r.endAttempt(att, brain.OK, e.Report)
 	case e.Result == Shed:
-		r.end(d, brain.Shed, e.Report)
-	case e.Result == Unusable: // nothing that speaks for or against the app node
+		r.endAttempt(att, brain.Shed, e.Report)
+	case e.Result == Unusable: // says nothing about the health of the app node
 		c.rejected = true
 		r.answer(c, Reply{Kind: Rejected, Message: e.Message})
-		r.end(d, brain.Cancelled, e.Report)
-	case e.Result == NoRoom: // ours is the fault, and another app node's answer would find no more room
+		r.endAttempt(att, brain.Cancelled, e.Report)
+	case e.Result == NoRoom: // the lack of memory is ours, and another app node's answer would not fit either
 		if r.repeatable(c) {
-			r.answer(c, r.refusal())
+			r.answer(c, r.refusedReply())
 		} else {
 			r.answer(c, Reply{Kind: Failed})
 		}
-		r.end(d, brain.Cancelled, e.Report)
-	case e.Result == Left: // the client did not send its whole body
-		r.end(d, brain.Cancelled, nil)
+		r.endAttempt(att, brain.Cancelled, e.Report)
+	case e.Result == Left: // the client did not send its complete body
+		r.endAttempt(att, brain.Cancelled, nil)
 	default:
-		r.end(d, brain.AppError, e.Report)
+		r.endAttempt(att, brain.AppError, e.Report)
 	}
 }
 
-// flowed is the end of an answer that belonged to the client. Whether the client took it whole or saw it break off, the
-// call is over. The time that the module hears of is the one up to the commit: from there on the client sets the pace.
-func (r *Reducer) flowed(d *delegation, e Exchanged) {
-	c := d.call
+// onFlowEnded handles the end of a committed answer. The call is finished whether the client received all of it or saw
+// it break off. The duration reported to the decider ends at the commit, because from there on the client sets the pace.
+func (r *Reducer) onFlowEnded(att *attempt, e Exchanged) {
+	c := att.call
 	c.done = true
 	switch {
 	case e.Result == Left:
 		r.counts.Left++
-		r.end(d, brain.Cancelled, e.Report)
+		r.endAttempt(att, brain.Cancelled, e.Report)
 	case c.rejected:
-		r.counted(c, Rejected)
-		r.end(d, brain.Cancelled, e.Report)
+		r.countEnd(c, Rejected)
+		r.endAttempt(att, brain.Cancelled, e.Report)
 	case e.Result == Good:
-		r.counted(c, Served)
-		r.end(d, brain.OK, e.Report)
+		r.countEnd(c, Served)
+		r.endAttempt(att, brain.OK, e.Report)
 	default:
-		r.counted(c, Failed)
-		r.sayBroken(d, e)
-		r.end(d, brain.Dropped, nil)
+		r.countEnd(c, Failed)
+		r.logBrokenAnswer(att, e)
+		r.endAttempt(att, brain.Dropped, nil)
 	}
-	r.settle(c)
-	r.forget(c)
+	r.releaseClientID(c)
+	r.removeIfDone(c)
 }
 
-// sayBroken tells the operator of answers that broke off, once a second at the most.
-func (r *Reducer) sayBroken(d *delegation, e Exchanged) {
-	if r.broken++; r.now < r.sayBrokenAt {
+// logBrokenAnswer logs answers that broke off midway, at most once per brokenLogInterval.
+func (r *Reducer) logBrokenAnswer(att *attempt, e Exchanged) {
+	if r.brokenAnswers++; r.now < r.nextBrokenLog {
 		return
 	}
-	why := "it stopped"
+	reason := "ended early"
 	if e.Err != nil {
-		why = e.Err.Error()
+		reason = e.Err.Error()
 	}
-	r.emit(Log{"flow: " + strconv.Itoa(r.broken) + " answers broke off in their middle, the last from " + d.server + ": " + why})
-	r.broken, r.sayBrokenAt = 0, r.now+sayBrokenEvery
+	r.emit(Log{"flow: " + strconv.Itoa(r.brokenAnswers) + " answers broke off in their middle, the last from " + att.server + ": " + reason})
+	r.brokenAnswers, r.nextBrokenLog = 0, r.now+brokenLogInterval
 }
--- a/internal/reducer/figures.go
+++ b/internal/reducer/figures.go
@@ -2,56 +2,56 @@
 
 import "time"
 
-// figuresEvery is how old published figures get: they may be half a second old.
-const figuresEvery = 150 * time.Millisecond
+// publishInterval is how often figures are published. They may be up to half a second old when read.
+const publishInterval = 150 * time.Millisecond
 
-// Figures are what is told of a balancer at a moment. The counts run from the start of the process; taken calls are those
-// served, refused, failed and active, and those whose client left.
+// Figures is a snapshot of a balancer's statistics. The counts run from the start of the process; the calls taken are
+// those served, refused, failed and active, and those whose client left.
 type Figures struct {
 	OK, Shed, Errors  map[string]uint64 // by class
-	Active            int               // calls taken and not ended
-	Listed            int               // app nodes
-	Avoided           int               // of these, those that get no calls now
-	Applied, Rejected uint64            // configurations read again
-	Fleet             *Fleet            // nil: nobody is heard
+	Active            int               // calls taken and not finished
+	Listed            int               // app nodes on the list
+	Avoided           int               // listed app nodes that currently get no calls
+	Applied, Rejected uint64            // configuration reloads
+	Fleet             *Fleet            // nil: this balancer hears of no others
 }
 
-// Fleet is what is believed of the other balancers.
+// Fleet is what this balancer knows of the other balancers.
 type Fleet struct {
-	Live     int    `json:"live"`     // others
-	Crowd    int    `json:"crowd"`    // that share an app node, as decisions have it
-	Believed bool   `json:"believed"` // the view is behind that number, and not the settings
-	Agree    int    `json:"agree"`    // of those that live, whose list has as many app nodes as ours
-	Dropped  uint64 `json:"dropped"`  // words that were not taken
-	Held     int    `json:"held"`     // app nodes of our subset, where there are subsets
-	Of       int    `json:"of"`       // among so many
+	Live     int    `json:"live"`     // others that are alive
+	Crowd    int    `json:"crowd"`    // balancers that share an app node, as the decider counts them
+	Believed bool   `json:"believed"` // Crowd comes from the view and not from the settings
+	Agree    int    `json:"agree"`    // live others whose list has as many app nodes as ours
+	Dropped  uint64 `json:"dropped"`  // messages that were not accepted
+	Held     int    `json:"held"`     // app nodes in our subset, with subsets
+	Of       int    `json:"of"`       // app nodes that the subset is chosen from
 }
 
-// Publish hands the figures to whoever tells them.
+// Publish hands out the figures for publication.
 type Publish struct{ Figures *Figures }
 
-type publish struct{}
+type publishTimer struct{}
 
-func (publish) event()  {}
-func (Publish) effect() {}
+func (publishTimer) event() {}
+func (Publish) effect()     {}
 
-// ended counts how calls of a class ended. It stays when the class is gone.
-type ended struct{ ok, shed, errors uint64 }
+// classCount counts how the calls of a class ended. It outlives the class.
+type classCount struct{ ok, shed, errors uint64 }
 
-// endedOf is the count of a class, by its name.
-func (r *Reducer) endedOf(class int) *ended {
+// classCountOf returns the count of a class, kept by class name.
+func (r *Reducer) classCountOf(class int) *classCount {
 	name := r.cfg.Classes[class].Name
-	t := r.tallies[name]
+	t := r.classCounts[name]
 	if t == nil {
-		t = new(ended)
-		r.tallies[name] = t
+		t = new(classCount)
+		r.classCounts[name] = t
 	}
 	return t
 }
 
-// counted enters the end of a call that its client has heard of.
-func (r *Reducer) counted(c *call, k Kind) {
-	t := r.endedOf(c.Class)
+// countEnd counts a call whose client received the answer.
+func (r *Reducer) countEnd(c *call, k ReplyKind) {
+	t := r.classCountOf(c.Class)
 	switch k {
 	case Served:
 		r.counts.Served++
@@ -65,41 +65,41 @@
 	}
 }
 
-// Open calls are the rest: taken is the sum of all.
+// active returns the number of open calls: those taken that have not ended in any way.
 func (c *Counts) active() int { return int(c.Taken - c.Served - c.Refused - c.Failed - c.Left) }
 
 func (r *Reducer) onPublish() {
 	r.countAvoided()
 	f := &Figures{OK: map[string]uint64{}, Shed: map[string]uint64{}, Errors: map[string]uint64{}, Active: r.counts.active(),
-		Listed: len(r.ordered), Avoided: r.avoided, Applied: r.applied, Rejected: r.rejected}
-	for name, t := range r.tallies {
+		Listed: len(r.serverList), Avoided: r.avoidedServers, Applied: r.reloadsApplied, Rejected: r.reloadsRejected}
+	for name, t := range r.classCounts {
 		f.OK[name], f.Shed[name], f.Errors[name] = t.ok, t.shed, t.errors
 	}
 	f.Fleet = r.fleetFigures()
 	r.emit(Publish{f})
-	r.emit(Arm{figuresEvery, publish{}})
+	r.emit(Arm{publishInterval, publishTimer{}})
 }
 
-// countAvoided looks at so many servers as an event may, and at the others the next times.
+// countAvoided checks up to maxServersPerEvent app nodes; later calls check the rest.
 func (r *Reducer) countAvoided() {
-	if r.avoidAt >= len(r.ordered) {
-		r.avoidAt, r.avoiding = 0, 0
+	if r.avoidedScanPos >= len(r.serverList) {
+		r.avoidedScanPos, r.avoidedSoFar = 0, 0
 	}
-	for n := walkMost; n > 0 && r.avoidAt < len(r.ordered); n-- {
-		if r.avoids(r.ordered[r.avoidAt]) {
-			r.avoiding++
+	for n := maxServersPerEvent; n > 0 && r.avoidedScanPos < len(r.serverList); n-- {
+		if r.avoidedByAllPools(r.serverList[r.avoidedScanPos]) {
+			r.avoidedSoFar++
 		}
-		r.avoidAt++
+		r.avoidedScanPos++
 	}
-	if r.avoidAt >= len(r.ordered) {
-		r.avoided = r.avoiding
+	if r.avoidedScanPos >= len(r.serverList) {
+		r.avoidedServers = r.avoidedSoFar
 	}
 }
 
-// avoids says that no pool of a server sends it anything now: that is the view of their nodes.
-func (r *Reducer) avoids(s *server) bool {
-	for _, i := range s.pools {
-		if d, ok := r.pools[i].node.(interface{ Avoids(string) bool }); !ok || !d.Avoids(s.id) {
+// avoidedByAllPools reports whether every pool of a server currently avoids it, according to the pools' deciders.
+func (r *Reducer) avoidedByAllPools(s *server) bool {
+	for _, i := range s.usingPools {
+		if d, ok := r.pools[i].decider.(interface{ Avoids(string) bool }); !ok || !d.Avoids(s.id) {
 			return false
 		}
 	}
--- a/internal/reducer/members.go
+++ b/internal/reducer/members.go
@@ -7,49 +7,51 @@
 	"pewterrudder/brain"
 )
 
-// Which pools an app node belongs to, as sets of the pools' places, in rising order. They are found by what the pools ask for,
-// so that the work grows with the pools that an entry is of, and not with those that there are.
+// Pool membership of app nodes, as ascending sets of pool indexes. The sets are found through an index of the pools'
+// selectors, so that the work grows with the number of pools that match an app node and not with all pools.
 
-// changesKept bounds the room for changes that a pool keeps between two lists: with thousands of pools, a megabyte or so.
-const changesKept = 4
+// maxKeptChanges bounds the capacity of pendingChanges that a pool keeps between two lists: about a megabyte with
+// thousands of pools.
+const maxKeptChanges = 4
 
-// belongs gives the pools that ask for a server as it counts now, and those of them that use it, whose subsets know of it then.
-// The sets are good until the next call.
-func (r *Reducer) belongs(s *server) (takes, uses []uint16) {
-	takes = r.found[0][:0]
+// matchPools returns the pools whose selectors match a server, and those among them that use it. It also updates the
+// subsets of these pools. The results are valid until the next call.
+func (r *Reducer) matchPools(s *server) (matching, using []uint16) {
+	matching = r.matchBuffers[0][:0]
 	if s.member.State != brain.Gone {
-		takes = r.selectors.Of(&s.member, takes)
+		matching = r.selectors.Of(&s.member, matching)
 	}
-	r.found[0] = takes
+	r.matchBuffers[0] = matching
 	if r.subsetSize == 0 {
-		return takes, takes
+		return matching, matching
 	}
-	both(s.takes, takes, func(i uint16, _, is bool) { r.enter(r.pools[i], &s.member, is) })
-	uses = r.found[1][:0]
-	for _, i := range takes {
-		if p := r.pools[i]; p.share == nil || p.share.Holds(s.id) {
-			uses = append(uses, i)
+	forEachInEither(s.matchingPools, matching, func(i uint16, _, belongs bool) { r.updateSubset(r.pools[i], &s.member, belongs) })
+	using = r.matchBuffers[1][:0]
+	for _, i := range matching {
+		if p := r.pools[i]; p.subset == nil || p.subset.Holds(s.id) {
+			using = append(using, i)
 		}
 	}
-	r.found[1] = uses
-	return takes, uses
+	r.matchBuffers[1] = using
+	return matching, using
 }
 
-// kept makes a set stay. Neighbours on a list are mostly of the same pools, and share one.
-func (r *Reducer) kept(had, set []uint16) []uint16 {
+// internIndexSet returns a lasting copy of set, or previous if the two are equal. Neighbouring entries of a list mostly
+// belong to the same pools and share one copy.
+func (r *Reducer) internIndexSet(previous, set []uint16) []uint16 {
 	switch {
 	case len(set) == 0:
 		return nil
-	case slices.Equal(had, set):
-		return had
-	case !slices.Equal(r.latest, set):
-		r.latest = slices.Clone(set)
+	case slices.Equal(previous, set):
+		return previous
+	case !slices.Equal(r.lastIndexSet, set):
+		r.lastIndexSet = slices.Clone(set)
 	}
-	return r.latest
+	return r.lastIndexSet
 }
 
-// both goes through two sets, and says of each place which of them has it.
-func both(a, b []uint16, do func(i uint16, inA, inB bool)) {
+// forEachInEither calls do for each index in two ascending sets and says which of them contain it.
+func forEachInEither(a, b []uint16, do func(i uint16, inA, inB bool)) {
 	for len(a) > 0 || len(b) > 0 {
 		switch {
 		case len(b) == 0 || len(a) > 0 && a[0] < b[0]:
@@ -65,40 +67,42 @@
 	}
 }
 
-// tellChanged hands the pools their changes, in the order of their places, and an empty one to a pool that is to hear in any case.
-func (r *Reducer) tellChanged(always *pool, kind brain.UpdateKind) {
-	if always != nil && len(always.changes) == 0 {
-		r.changed = append(r.changed, always)
+// notifyChangedPools sends the pools their pending changes, in the order of their indexes. The pool always, if not nil,
+// is notified even if it has no changes.
+func (r *Reducer) notifyChangedPools(always *pool, kind brain.UpdateKind) {
+	if always != nil && len(always.pendingChanges) == 0 {
+		r.changedPools = append(r.changedPools, always)
 	}
-	for _, p := range byPlace(r.changed) {
-		changes := p.changes
-		p.changes = nil
-		r.tell(p, &brain.FleetUpdate{Kind: kind, Members: changes})
-		if cap(changes) <= changesKept {
-			p.changes = changes[:0]
+	for _, p := range sortByIndex(r.changedPools) {
+		changes := p.pendingChanges
+		p.pendingChanges = nil
+		r.notify(p, &brain.FleetUpdate{Kind: kind, Members: changes})
+		if cap(changes) <= maxKeptChanges {
+			p.pendingChanges = changes[:0]
 		}
 	}
-	clear(r.changed)
-	r.changed = r.changed[:0]
+	clear(r.changedPools)
+	r.changedPools = r.changedPools[:0]
 }
 
-// tellRegions has the regions hear of what they have, where the list that has ended has changed it, and one in any case.
-func (r *Reducer) tellRegions(always *pool) {
-	if always != nil && always.region != nil && !always.untold {
-		r.untold = append(r.untold, always)
+// updateStaleZones updates the zones of the pools that the finished list has changed, and those of the pool always, if
+// not nil.
+func (r *Reducer) updateStaleZones(always *pool) {
+	if always != nil && always.zoneView != nil && !always.zonesStale {
+		r.staleZonePools = append(r.staleZonePools, always)
 	}
-	for _, p := range byPlace(r.untold) {
-		if p.untold = false; p.region != nil {
-			for zone := range p.region.tallies {
-				r.tellZone(p.region, zone)
+	for _, p := range sortByIndex(r.staleZonePools) {
+		if p.zonesStale = false; p.zoneView != nil {
+			for zone := range p.zoneView.tallies {
+				r.updateZone(p.zoneView, zone)
 			}
 		}
 	}
-	clear(r.untold)
-	r.untold = r.untold[:0]
+	clear(r.staleZonePools)
+	r.staleZonePools = r.staleZonePools[:0]
 }
 
-func byPlace(some []*pool) []*pool {
+func sortByIndex(some []*pool) []*pool {
 	slices.SortFunc(some, func(a, b *pool) int { return cmp.Compare(a.index, b.index) })
 	return some
 }
--- a/internal/reducer/operator.go
+++ b/internal/reducer/operator.go
@@ -8,38 +8,38 @@
 	"pewterrudder/internal/control"
 )
 
-// wish is what operators want of an app node, whatever the list says of it: it holds also for one that the list has not
-// named yet, or names again.
-type wish struct {
+// nodeOverride is what operators have set for an app node. It takes precedence over the list, and also applies to an app
+// node that is not listed yet or is listed again.
+type nodeOverride struct {
 	drained bool
-	weight  float64 // 0: the list's
+	weight  float64 // 0: as listed
 }
 
-// lookMost bounds the app nodes that one look tells, so that it stays under a millisecond.
-const lookMost = 500
+// maxViewNodes bounds the app nodes in one View, so that building it takes less than a millisecond.
+const maxViewNodes = 500
 
-// View is what is seen of a balancer at a moment.
+// View is a snapshot of a balancer's state.
 type View struct {
 	Pools []PoolView
-	Nodes []NodeView // by id, from where the look began, lookMost at the most
+	Nodes []NodeView // by ID, from Look.From on, at most maxViewNodes
 	Total int        // app nodes listed
-	Calls int        // open
-	Conns int        // to app nodes
+	Calls int        // open calls
+	Conns int        // connections to app nodes
 	Counts
 }
 
-// Counts of calls since the start. Those open are the rest: taken is the sum of all.
+// Counts are the numbers of calls since the start, in total and by result. The difference is the number of open calls.
 type Counts struct{ Taken, Served, Refused, Failed, Left uint64 }
 
-// PoolView is a pool.
+// PoolView is the state of a pool.
 type PoolView struct {
 	Name    string
-	Members int // that are ready
-	Open    int // calls
-	Cap     int // 0: none
+	Members int // ready app nodes
+	Open    int // open calls
+	Cap     int // maximum of open calls; 0: none
 }
 
-// NodeView is an app node: as the list has it, as operators want it, and as it counts.
+// NodeView is the state of an app node: as listed (Told), as set by operators, and as in force (Counts).
 type NodeView struct {
 	ID, Address, Zone, Kind string
 	Pools                   []string
@@ -50,95 +50,97 @@
 	Warmth                  float64
 	Out, Idle               int // connections
 	LastAnswer, LastFailure time.Duration
-	Sight                   brain.ServerSight // the module's, of the first of its pools
+	Sight                   brain.ServerSight // the state in the decider of the first of its pools that knows it
 }
 
-// effective is how an app node counts: what the list says, and on top of it what operators want.
-func (r *Reducer) effective(told brain.Member) brain.Member {
-	w, ok := r.wishes[told.Server]
+// applyOverride returns a listed member with the operator overrides applied.
+func (r *Reducer) applyOverride(listed brain.Member) brain.Member {
+	w, ok := r.nodeOverrides[listed.Server]
 	if !ok {
-		return told
+		return listed
 	}
-	if w.drained && told.State == brain.Ready {
-		told.State = brain.Draining
+	if w.drained && listed.State == brain.Ready {
+		listed.State = brain.Draining
 	}
 	if w.weight > 0 {
-		told.Weight = w.weight
+		listed.Weight = w.weight
 	}
-	return told
+	return listed
 }
 
-// onOperator puts what operators want in force, in this very event.
+// onOperator puts changed overrides and caps in force, all within this event.
 func (r *Reducer) onOperator(changes []control.Change) {
 	for _, c := range changes {
 		switch {
 		case c.Node != "":
-			r.wishes[c.Node] = wish{c.Drained, c.Weight}
+			r.nodeOverrides[c.Node] = nodeOverride{c.Drained, c.Weight}
 			if !c.Drained && c.Weight == 0 {
-				delete(r.wishes, c.Node)
+				delete(r.nodeOverrides, c.Node)
 			}
 			if s := r.servers[c.Node]; s != nil {
-				r.recountAs(s)
+				r.refreshMember(s)
 			}
 		case c.Pool != "":
-			r.caps[c.Pool] = c.Cap
+			r.poolCaps[c.Pool] = c.Cap
 			if c.Cap == 0 {
-				delete(r.caps, c.Pool)
+				delete(r.poolCaps, c.Pool)
 			}
 		}
 	}
-	r.tellChanged(nil, brain.UpdateChanges)
+	r.notifyChangedPools(nil, brain.UpdateChanges)
 }
 
-// recountAs enters an app node as it counts now.
-func (r *Reducer) recountAs(s *server) {
+// refreshMember applies the current override to an app node and notifies its pools of a change.
+func (r *Reducer) refreshMember(s *server) {
 	was := s.member
-	s.member = r.effective(s.told)
+	s.member = r.applyOverride(s.listed)
 	if was != s.member {
-		r.note(s, was)
+		r.updatePools(s, was)
 	}
 }
 
-// cap is how many calls a pool may have open: what operators want goes before the settings. 0: as many as come.
-func (r *Reducer) cap(p *pool) int {
-	if n, ok := r.caps[p.Name]; ok {
+// maxOpen returns how many calls a pool may have open; 0: unlimited. A cap set by operators takes precedence over the
+// settings.
+func (r *Reducer) maxOpen(p *pool) int {
+	if n, ok := r.poolCaps[p.Name]; ok {
 		return n
 	}
 	return p.MaxOpen
 }
 
-// look tells what is seen, app nodes from an id on.
-func (r *Reducer) look(from string) View {
-	v := View{Total: len(r.ordered), Calls: len(r.calls), Conns: len(r.conns), Counts: r.counts}
-	for _, p := range r.targets {
-		v.Pools = append(v.Pools, PoolView{Name: p.Name, Members: p.ready, Open: p.open, Cap: r.cap(p)})
+// buildView returns a View with the app nodes whose IDs sort after from.
+func (r *Reducer) buildView(from string) View {
+	v := View{Total: len(r.serverList), Calls: len(r.calls), Conns: len(r.conns), Counts: r.counts}
+	for _, p := range r.routedPools {
+		v.Pools = append(v.Pools, PoolView{Name: p.Name, Members: p.readyMembers, Open: p.openCalls, Cap: r.maxOpen(p)})
 	}
-	// Sorting all of a large fleet would hold up calls; a box's is small, and of a larger one the first by place are told.
-	some := r.ordered
-	if len(some) > 4*lookMost {
-		some = some[:4*lookMost]
+	// Sorting a large fleet would delay calls, so only the first app nodes of serverList are considered. A
+	// single-machine installation has fewer.
+	candidates := r.serverList
+	if len(candidates) > 4*maxViewNodes {
+		candidates = candidates[:4*maxViewNodes]
 	}
-	ids := make([]string, 0, len(some))
-	for _, s := range some {
+	ids := make([]string, 0, len(candidates))
+	for _, s := range candidates {
 		if s.id > from {
 			ids = append(ids, s.id)
 		}
 	}
 	slices.Sort(ids)
-	for _, id := range ids[:min(len(ids), lookMost)] {
+	for _, id := range ids[:min(len(ids), maxViewNodes)] {
 		v.Nodes = append(v.Nodes, r.nodeView(r.servers[id]))
 	}
 	return v
 }
 
 func (r *Reducer) nodeView(s *server) NodeView {
-	n := NodeView{ID: s.id, Address: s.address, Zone: s.member.Zone, Kind: s.member.Kind, Told: s.told.State, Counts: s.member.State,
-		Drained: r.wishes[s.id].drained, Weight: s.member.Weight, Started: s.member.Started, Warmth: r.warmth(s.member.Started),
-		Out: len(s.conns) - len(s.idle), Idle: len(s.idle), LastAnswer: s.answered, LastFailure: s.failed}
-	for _, i := range s.pools {
+	n := NodeView{ID: s.id, Address: s.address, Zone: s.member.Zone, Kind: s.member.Kind, Told: s.listed.State, Counts: s.member.State,
+		Drained: r.nodeOverrides[s.id].drained, Weight: s.member.Weight, Started: s.member.Started, Warmth: r.warmth(s.member.Started),
+		Out: len(s.conns) - len(s.idle), Idle: len(s.idle), LastAnswer: s.lastAnswer, LastFailure: s.lastFailure}
+	for _, i := range s.usingPools {
 		p := r.pools[i]
 		n.Pools = append(n.Pools, p.Name)
-		if d, ok := p.node.(interface {
+		if d, ok := p.decider.(interface {
 			Sight(string) brain.ServerSight
 		}); ok && !n.Sight.Known {
 			n.Sight = d.Sight(s.id)
--- a/internal/reducer/words_test.go
+++ b/internal/reducer/peers_test.go
@@ -11,9 +11,9 @@
 )
 
 // crowded is a module that remembers by how many balancers it was last told to divide.
-type crowded struct{ nodes *int }
+type nodesDecider struct{ nodes *int }
 
-func (c crowded) Handle(_ time.Duration, ev brain.Event, actions []brain.Action) []brain.Action {
+func (c nodesDecider) Handle(_ time.Duration, ev brain.Event, actions []brain.Action) []brain.Action {
 	if e, ok := ev.(*brain.Retuned); ok {
 		*c.nodes = e.Settings.Nodes
 	}
@@ -26,7 +26,7 @@
 	cfg := settings()
 	cfg.Nodes = 20
 	told := 0
-	r, err := NewPools(cfg, 8, onePool(), func(string) brain.Decider { return crowded{&told} })
+	r, err := NewPools(cfg, 8, defaultLayout(), func(string) brain.Decider { return nodesDecider{&told} })
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -47,7 +47,7 @@
 	for n := range 9 {
 		l := view.Life{ID: fmt.Sprint(n), Name: fmt.Sprint("b", n), Address: fmt.Sprint("at ", n)}
 		do(Word{Event: view.Event{Kind: view.Joined, Life: l}})
-		do(Word{Event: view.Event{Kind: view.Told, Fact: view.Fact{Owner: l.ID, Kind: KindList, Revision: 1, Value: json.RawMessage(fmt.Sprint(n % 2))}}})
+		do(Word{Event: view.Event{Kind: view.Told, Fact: view.Fact{Owner: l.ID, Kind: ListSizeFact, Revision: 1, Value: json.RawMessage(fmt.Sprint(n % 2))}}})
 	}
 	pass := func(d time.Duration) {
 		for until := now + d; now < until; {
--- a/internal/reducer/pools.go
+++ b/internal/reducer/pools.go
@@ -12,237 +12,240 @@
 	"pewterrudder/internal/zones"
 )
 
-// PoolsMost is how many pools there may be, with those that still have calls or app nodes: some times what one site is
-// planned to have, and each has a place, by which app nodes know it, of 16 bits.
-const PoolsMost = 4096
+// MaxPools is the maximum number of pools, including retired ones that still have calls or app nodes: several times what
+// one site is planned to have. App nodes refer to pools by 16-bit indexes.
+const MaxPools = 4096
 
-// Layout is how the fleet is divided, and which calls go where. What it holds is asked from the goroutine that drives the
-// reducer alone, and must give the same answer to the same question.
+// Layout divides the app nodes into pools and routes calls to them. Its functions are called only from the goroutine
+// that drives the reducer and must be deterministic.
 type Layout struct {
 	Pools []PoolSpec
-	// Route names the pool of a call by its ID, which is its place in Pools until Adjusted says more. nil: the first.
+	// Route returns the ID of a call's pool, which is its index in Pools until an Adjusted event changes that. nil: the
+	// first pool.
 	Route func(*Call) int
 }
 
-// PoolSpec is one pool as it is wanted.
+// PoolSpec is the specification of a pool.
 type PoolSpec struct {
 	Name     string
-	Selector selector.Selector // which app nodes belong to it
-	MaxOpen  int               // calls open at once, before further ones are refused; 0: as many as come
-	Zones    *zones.Settings   // nil: a zone is as good as another, but for the module's prices
+	Selector selector.Selector // the app nodes that belong to the pool
+	MaxOpen  int               // open calls, beyond which further ones are refused; 0: unlimited
+	Zones    *zones.Settings   // nil: zones are treated alike, except for the decider's prices
 }
 
-// onePool is the layout of an installation that names none.
-func onePool() Layout { return Layout{Pools: []PoolSpec{{Name: "all"}}} }
+// defaultLayout is the layout of an installation without configured pools.
+func defaultLayout() Layout { return Layout{Pools: []PoolSpec{{Name: "all"}}} }
 
-// pool is a group of app nodes with a decider of its own.
+// pool is a group of app nodes with its own decider.
 type pool struct {
 	PoolSpec
-	id      int // by which the routes know it
-	index   uint16
-	node    brain.Decider
-	region  *region        // nil: without zones
-	share   *share         // nil: all members are used
-	open    int            // calls
-	ready   int            // members
-	held    int            // app nodes that know it by its place
-	retired bool           // by a layout without it: no call comes any more
-	untold  bool           // its region has not heard of all that the list under way brought
-	changes []brain.Member // to tell, of the slice under way
+	id             int // its ID in the routes
+	index          uint16
+	decider        brain.Decider
+	zoneView       *zoneView      // nil: without zones
+	subset         *poolSubset    // nil: all members are used
+	openCalls      int            // including calls that wait or have attempts outstanding
+	readyMembers   int            // members in state Ready
+	matchedServers int            // app nodes that refer to it by index
+	retired        bool           // no new calls are routed to it
+	zonesStale     bool           // zoneView lacks changes of the current list
+	pendingChanges []brain.Member // to be sent to the decider after the current slice
 }
 
-// Lay puts a layout in force: at the start, or with calls under way. A pool keeps its decider, and all that it has
-// learned, as long as its name stays. A call stays in the pool that it came to, whatever the routes say later.
-func (r *Reducer) lay(l Layout) error {
+// applyLayout puts a layout in force, at the start or while calls are open. A pool keeps its decider with everything
+// learned as long as its name stays. A call stays in the pool that it was first routed to.
+func (r *Reducer) applyLayout(l Layout) error {
 	if len(l.Pools) == 0 {
-		return errors.New("a layout needs a pool")
+		return errors.New("a layout needs at least one pool")
 	}
 	wanted := map[string]bool{}
-	used := r.poolsUsed()
+	count := r.poolCount()
 	for _, spec := range l.Pools {
 		switch {
 		case wanted[spec.Name]:
-			return fmt.Errorf("two pools of the name %q", spec.Name)
-		case r.byName[spec.Name] == nil:
-			used++
+			return fmt.Errorf("two pools named %q", spec.Name)
+		case r.poolsByName[spec.Name] == nil:
+			count++
 		}
 		wanted[spec.Name] = true
 	}
-	regions := make([]*region, len(l.Pools))
+	zoneViews := make([]*zoneView, len(l.Pools))
 	for i := range l.Pools {
 		var err error
-		if regions[i], err = r.regionOf(&l.Pools[i], r.byName[l.Pools[i].Name]); err != nil {
+		if zoneViews[i], err = r.zoneViewFor(&l.Pools[i], r.poolsByName[l.Pools[i].Name]); err != nil {
 			return err
 		}
 	}
-	if used > PoolsMost {
-		return fmt.Errorf("%d pools, with those that still have calls, of %d", used, PoolsMost)
+	if count > MaxPools {
+		return fmt.Errorf("%d pools, including removed ones that still have calls, exceed the limit of %d", count, MaxPools)
 	}
-	r.overtake()
-	next, anew := make([]*pool, len(l.Pools)), false
+	r.dropAdjustments()
+	routed, needsCount := make([]*pool, len(l.Pools)), false
 	for i, spec := range l.Pools {
-		p := r.byName[spec.Name]
+		p := r.poolsByName[spec.Name]
 		if p == nil {
 			p = r.addPool(spec)
 		}
-		r.respecify(p, spec)
-		p.id, next[i] = i, p
-		anew = r.divide(p, regions[i]) || anew
+		r.updateSpec(p, spec)
+		p.id, routed[i] = i, p
+		needsCount = r.setZoneView(p, zoneViews[i]) || needsCount
 	}
-	if anew {
-		r.recount()
+	if needsCount {
+		r.fillZoneTallies()
 	}
-	r.route, r.targets = l.Route, next
-	r.asked = map[int]*pool{}
-	for _, p := range next {
-		r.asked[p.id] = p
+	r.route, r.routedPools = l.Route, routed
+	r.poolsByID = map[int]*pool{}
+	for _, p := range routed {
+		r.poolsByID[p.id] = p
 	}
 	for _, p := range r.pools {
-		if p != nil && !p.retired && r.asked[p.id] != p {
+		if p != nil && !p.retired && r.poolsByID[p.id] != p {
 			r.retire(p)
 		}
 	}
-	r.chooseAsker()
+	r.chooseDiscoveryPool()
 	return nil
 }
 
-func (r *Reducer) poolsUsed() (n int) { return len(r.pools) - len(r.freed) }
+func (r *Reducer) poolCount() (n int) { return len(r.pools) - len(r.freeIndexes) }
 
-// regionOf is what a pool of a specification has in its zones: what it had, with all that it has learned, where they are the
-// same.
-func (r *Reducer) regionOf(spec *PoolSpec, had *pool) (*region, error) {
+// zoneViewFor returns the zone view of a pool with the given specification: the existing one, with everything learned,
+// if the zone settings are the same.
+func (r *Reducer) zoneViewFor(spec *PoolSpec, current *pool) (*zoneView, error) {
 	if spec.Zones == nil {
 		return nil, nil
 	}
 	if r.subsetSize > 0 {
-		return nil, fmt.Errorf("pool %q: zones with bounds do not go together with subsets", spec.Name)
+		return nil, fmt.Errorf("pool %q: zone bounds cannot be combined with subsets", spec.Name)
 	}
 	for at, zone := range spec.Zones.Zones {
 		if r.zoneBit(zone) != 1<<at {
-			return nil, fmt.Errorf("pool %q: the zones differ from those of the start", spec.Name)
+			return nil, fmt.Errorf("pool %q: the zones differ from those configured at startup", spec.Name)
 		}
 	}
-	if had != nil && had.Zones != nil && reflect.DeepEqual(had.Zones, spec.Zones) {
-		return had.region, nil
+	if current != nil && current.Zones != nil && reflect.DeepEqual(current.Zones, spec.Zones) {
+		return current.zoneView, nil
 	}
-	g, err := newRegion(*spec.Zones)
+	zv, err := newZoneView(*spec.Zones)
 	if err != nil {
 		return nil, fmt.Errorf("pool %q: %w", spec.Name, err)
 	}
-	return g, nil
+	return zv, nil
 }
 
 func (r *Reducer) addPool(spec PoolSpec) *pool {
-	p := &pool{PoolSpec: spec, node: r.decide(spec.Name)}
-	p.share = r.newShare(p)
-	if n := len(r.freed); n > 0 {
-		p.index = r.freed[n-1]
-		r.freed = r.freed[:n-1]
+	p := &pool{PoolSpec: spec, decider: r.newDecider(spec.Name)}
+	p.subset = r.newPoolSubset(p)
+	if n := len(r.freeIndexes); n > 0 {
+		p.index = r.freeIndexes[n-1]
+		r.freeIndexes = r.freeIndexes[:n-1]
 	} else {
 		p.index = uint16(len(r.pools))
 		r.pools = append(r.pools, nil)
 	}
-	r.pools[p.index], r.byName[p.Name] = p, p
+	r.pools[p.index], r.poolsByName[p.Name] = p, p
 	r.selectors.Put(p.index, spec.Selector)
-	if r.retuned {
+	if r.settingsChanged {
 		r.retunePool(p)
 	}
 	return p
 }
 
-// respecify gives a pool another specification, of the same name. It says whether other app nodes may belong to it now.
-func (r *Reducer) respecify(p *pool, spec PoolSpec) (moved bool) {
-	if moved = !p.Selector.Equal(spec.Selector); moved {
+// updateSpec gives a pool another specification of the same name. It reports whether other app nodes may belong to the
+// pool now.
+func (r *Reducer) updateSpec(p *pool, spec PoolSpec) (selectorChanged bool) {
+	if selectorChanged = !p.Selector.Equal(spec.Selector); selectorChanged {
 		r.selectors.Put(p.index, spec.Selector)
 	}
 	p.PoolSpec = spec
-	return moved
+	return selectorChanged
 }
 
-// divide gives a pool its region. It says whether that has to be filled with the members that the pool has.
-func (r *Reducer) divide(p *pool, g *region) (anew bool) {
-	if p.region == g {
+// setZoneView gives a pool its zone view. It reports whether the view has to be filled with the pool's members.
+func (r *Reducer) setZoneView(p *pool, zv *zoneView) (needsCount bool) {
+	if p.zoneView == zv {
 		return false
 	}
-	if p.region = g; g == nil {
+	if p.zoneView = zv; zv == nil {
 		return false
 	}
-	r.zoned, g.counted = true, p.held == 0 // then each member is counted as it comes
-	return !g.counted
+	r.hasZones, zv.counted = true, p.matchedServers == 0 // without members there is nothing to fill in: each is counted when it is added
+	return !zv.counted
 }
 
-// recount fills the tallies of regions that are new to pools with members.
-func (r *Reducer) recount() {
-	for _, s := range r.ordered {
-		for _, i := range s.pools {
-			if g := r.pools[i].region; g != nil && !g.counted {
-				r.count(g, s, &s.member, 1)
+// fillZoneTallies counts the existing members into new zone views.
+func (r *Reducer) fillZoneTallies() {
+	for _, s := range r.serverList {
+		for _, i := range s.usingPools {
+			if zv := r.pools[i].zoneView; zv != nil && !zv.counted {
+				r.countMember(zv, s, &s.member, 1)
 			}
 		}
 	}
 	for _, p := range r.pools {
-		if p != nil && p.region != nil {
-			p.region.counted = true
+		if p != nil && p.zoneView != nil {
+			p.zoneView.counted = true
 		}
 	}
 }
 
-// retire has no call come to a pool any more. It goes once it has none, and no app node knows it.
+// retire stops routing calls to a pool. The pool is freed once it has neither calls nor app nodes.
 func (r *Reducer) retire(p *pool) {
 	p.retired = true
 	r.selectors.Delete(p.index)
-	if r.byName[p.Name] == p {
-		delete(r.byName, p.Name)
+	if r.poolsByName[p.Name] == p {
+		delete(r.poolsByName, p.Name)
 	}
-	r.free(p)
+	r.freeIfUnused(p)
 }
 
-// free gives the place of a pool back that is wholly gone.
-func (r *Reducer) free(p *pool) {
-	if p.retired && p.open == 0 && p.held == 0 && r.pools[p.index] == p {
+// freeIfUnused releases the index of a retired pool that has neither calls nor app nodes.
+func (r *Reducer) freeIfUnused(p *pool) {
+	if p.retired && p.openCalls == 0 && p.matchedServers == 0 && r.pools[p.index] == p {
 		r.pools[p.index] = nil
-		r.freed = append(r.freed, p.index)
+		r.freeIndexes = append(r.freeIndexes, p.index)
 	}
 }
 
-// chooseAsker has one pool's node ask for the list, which is the same for all: the first, until it goes.
-func (r *Reducer) chooseAsker() {
-	if r.asker != nil && !r.asker.retired {
+// chooseDiscoveryPool selects the pool whose decider asks for the list, which is the same for all pools: the first one,
+// until it is retired.
+func (r *Reducer) chooseDiscoveryPool() {
+	if r.discoveryPool != nil && !r.discoveryPool.retired {
 		return
 	}
-	first := r.asker == nil
-	if r.asker = r.targets[0]; first || !r.cfg.AskDiscovery {
+	first := r.discoveryPool == nil
+	if r.discoveryPool = r.routedPools[0]; first || !r.cfg.AskDiscovery {
 		return
 	}
-	r.retunePool(r.asker)
-	if !r.watching { // the one that went may have been about to ask
-		r.tell(r.asker, &brain.FleetUpdate{Kind: brain.UpdateAskFailed})
+	r.retunePool(r.discoveryPool)
+	if !r.watchOpen { // the retired pool may have been about to ask
+		r.notify(r.discoveryPool, &brain.FleetUpdate{Kind: brain.UpdateAskFailed})
 	}
 }
 
-// targetAt is where a pool of an ID stands among the targets, or would.
-func (r *Reducer) targetAt(id int) (at int, found bool) {
-	if id >= 0 && id < len(r.targets) && r.targets[id].id == id {
-		return id, true // none has gone yet
+// findRouted returns the position of the pool with the given ID in routedPools, or where it would be inserted.
+func (r *Reducer) findRouted(id int) (at int, found bool) {
+	if id >= 0 && id < len(r.routedPools) && r.routedPools[id].id == id {
+		return id, true // true for every pool as long as none has been removed
 	}
-	return slices.BinarySearchFunc(r.targets, id, func(p *pool, id int) int { return cmp.Compare(p.id, id) })
+	return slices.BinarySearchFunc(r.routedPools, id, func(p *pool, id int) int { return cmp.Compare(p.id, id) })
 }
 
-// poolOf asks the routes, once for each call.
-func (r *Reducer) poolOf(c *Call) *pool {
+// routeCall returns the pool of a new call. It asks the route once per call.
+func (r *Reducer) routeCall(c *Call) *pool {
 	if r.route == nil {
-		return r.targets[0]
+		return r.routedPools[0]
 	}
-	if at, ok := r.targetAt(r.route(c)); ok {
-		return r.targets[at]
+	if at, ok := r.findRouted(r.route(c)); ok {
+		return r.routedPools[at]
 	}
-	return r.targets[0]
+	return r.routedPools[0]
 }
 
-// Pools names the pools in force with their app nodes that are ready and their open calls, for whoever watches.
-func (r *Reducer) Pools() (names []string, members, open []int) {
-	for _, p := range r.targets {
-		names, members, open = append(names, p.Name), append(members, p.ready), append(open, p.open)
+// Pools returns the names of the pools in force with their ready members and open calls.
+func (r *Reducer) Pools() (names []string, members, openCalls []int) {
+	for _, p := range r.routedPools {
+		names, members, openCalls = append(names, p.Name), append(members, p.readyMembers), append(openCalls, p.openCalls)
 	}
-	return names, members, open
+	return names, members, openCalls
 }
--- a/internal/reducer/pools_test.go
+++ b/internal/reducer/pools_test.go
@@ -17,18 +17,18 @@
 )
 
 // viewer is a decider that sends each call to a server of its own view, and keeps that view as the updates tell it.
-type viewer struct {
-	t     interface{ Fatalf(string, ...any) }
-	view  map[string]brain.Member
-	names []string // as they came, some of them gone
-	most  int      // entries in one update
-	sends map[string]string
+type viewDecider struct {
+	t             interface{ Fatalf(string, ...any) }
+	view          map[string]brain.Member
+	order         []string // as they came, some of them gone
+	largestUpdate int      // entries in one update
+	sends         map[string]string
 }
 
-func (v *viewer) Handle(_ time.Duration, ev brain.Event, acts []brain.Action) []brain.Action {
+func (v *viewDecider) Handle(_ time.Duration, ev brain.Event, acts []brain.Action) []brain.Action {
 	switch e := ev.(type) {
 	case *brain.FleetUpdate:
-		v.most = max(v.most, len(e.Members))
+		v.largestUpdate = max(v.largestUpdate, len(e.Members))
 		if e.Kind == brain.UpdateFull || e.Kind == brain.UpdateRestored && len(v.view) > 0 {
 			v.t.Fatalf("an update of kind %d, which says that those it does not name are gone", e.Kind)
 		}
@@ -41,21 +41,21 @@
 				continue
 			}
 			if _, ok := v.view[m.Server]; !ok {
-				v.names = append(v.names, m.Server)
+				v.order = append(v.order, m.Server)
 			}
 			v.view[m.Server] = m
 		}
 	case *brain.Request:
-		for len(v.names) > 0 {
-			if _, ok := v.view[v.names[len(v.names)-1]]; ok {
+		for len(v.order) > 0 {
+			if _, ok := v.view[v.order[len(v.order)-1]]; ok {
 				break
 			}
-			v.names = v.names[:len(v.names)-1]
+			v.order = v.order[:len(v.order)-1]
 		}
-		if len(v.names) == 0 {
+		if len(v.order) == 0 {
 			return append(acts, brain.Action{Kind: brain.Refuse, ID: e.ID})
 		}
-		v.sends[e.ID] = v.names[len(v.names)-1]
+		v.sends[e.ID] = v.order[len(v.order)-1]
 		return append(acts, brain.Action{Kind: brain.Send, ID: e.ID, Server: v.sends[e.ID]})
 	case *brain.AttemptEnded:
 		if !e.Final {
@@ -66,48 +66,48 @@
 }
 
 // yard is a world with pools whose deciders are viewers.
-func yard(t interface {
+func newPoolHarness(t interface {
 	Fatalf(string, ...any)
 	Helper()
-}, l Layout) (*world, map[string]*viewer) {
-	w := &world{t: t, now: time.Hour, cfg: settings(), heedless: true}
-	w.start(100)
-	views := map[string]*viewer{}
-	r, err := NewPools(w.cfg, 100, l, func(pool string) brain.Decider {
-		views[pool] = &viewer{t: t, view: map[string]brain.Member{}, sends: map[string]string{}}
+}, l Layout) (*harness, map[string]*viewDecider) {
+	h := &harness{t: t, now: time.Hour, cfg: settings(), sendsToDraining: true}
+	h.start(100)
+	views := map[string]*viewDecider{}
+	r, err := NewPools(h.cfg, 100, l, func(pool string) brain.Decider {
+		views[pool] = &viewDecider{t: t, view: map[string]brain.Member{}, sends: map[string]string{}}
 		return views[pool]
 	})
 	if err != nil {
 		t.Fatalf("%v", err)
 	}
-	w.r = r
-	w.do(Started{Discovery: "d:1"})
-	w.do(Reloaded{Discovery: "d:2"}) // opens a watch
-	return w, views
+	h.r = r
+	h.do(Started{Discovery: "d:1"})
+	h.do(Reloaded{Discovery: "d:2"}) // opens a watch
+	return h, views
 }
 
 func inZone(zone string) selector.Selector { return selector.Selector{Zones: []string{zone}} }
 
 // serveAll has all that is out answered.
-func (w *world) serveAll() {
-	for _, d := range w.in(dialing) {
-		w.dialed(d, nil)
+func (h *harness) serveAll() {
+	for _, d := range h.inState(dialing) {
+		h.dialed(d, nil)
 	}
-	for _, b := range w.in(busy) {
-		w.exchanged(good(b))
+	for _, b := range h.inState(busy) {
+		h.exchanged(goodAnswer(b))
 	}
 }
 
 // staysInPool: a call that has gone out once went to a member of its pool.
-func (w *world) staysInPool(call uint64) {
-	w.t.Helper()
-	if c := w.r.calls[call]; c != nil && len(c.delegations) == 1 && c.delegations[0].srv != nil && !slices.Contains(c.delegations[0].srv.pools, c.pool.index) {
-		w.t.Fatalf("a call of pool %s went to %s", c.pool.Name, c.delegations[0].server)
+func (h *harness) staysInPool(call uint64) {
+	h.t.Helper()
+	if c := h.r.calls[call]; c != nil && len(c.attempts) == 1 && c.attempts[0].srv != nil && !slices.Contains(c.attempts[0].srv.usingPools, c.pool.index) {
+		h.t.Fatalf("a call of pool %s went to %s", c.pool.Name, c.attempts[0].server)
 	}
 }
 
 // settle lets all that is due now happen.
-func (w *world) settle() { w.pass(0) }
+func (h *harness) settle() { h.advance(0) }
 
 // Whatever lists come, whole or in part, large or small, one before the other has been worked through, and however the
 // pools are dealt meanwhile: in the end each pool sees just those app nodes that it should, as a plain map says, no
@@ -127,7 +127,7 @@
 			layouts[i].Route = func(c *Call) int { return int(c.ID) % 2 }
 		}
 		in := layouts[0]
-		w, views := yard(t, in)
+		h, views := newPoolHarness(t, in)
 		truth, wishes := map[string]brain.Member{}, map[string]control.Change{}
 		t.Repeat(map[string]func(*rapid.T){
 			"list": func(t *rapid.T) {
@@ -145,31 +145,31 @@
 					}
 					l.Members, l.Addresses = append(l.Members, m), append(l.Addresses, fmt.Sprint("n", i, ":1"))
 				}
-				w.listed(l)
+				h.listed(l)
 			},
 			"deal": func(t *rapid.T) {
 				in = rapid.SampledFrom(layouts).Draw(t, "layout")
-				w.do(Reloaded{Discovery: "d:2", Layout: &in})
+				h.do(Reloaded{Discovery: "d:2", Layout: &in})
 			},
 			"operator": func(t *rapid.T) {
 				c := control.Change{Node: fmt.Sprint("s", rapid.IntRange(0, 400).Draw(t, "server")), Drained: rapid.Bool().Draw(t, "drained"),
 					Weight: rapid.SampledFrom([]float64{0, 0, 0.5}).Draw(t, "weight")}
 				wishes[c.Node] = c
-				w.do(Operator{Changes: []control.Change{c}})
+				h.do(Operator{Changes: []control.Change{c}})
 			},
 			"call": func(t *rapid.T) {
-				id := w.call(0, 600*ms)
-				w.staysInPool(id)
+				id := h.arrive(0, 600*ms)
+				h.staysInPool(id)
 			},
-			"end":    func(*rapid.T) { w.serveAll() },
-			"settle": func(t *rapid.T) { w.settle() },
-			"time":   func(t *rapid.T) { w.pass(time.Second) },
+			"end":    func(*rapid.T) { h.serveAll() },
+			"settle": func(t *rapid.T) { h.settle() },
+			"time":   func(t *rapid.T) { h.advance(time.Second) },
 		})
-		w.pass(2 * time.Second)
+		h.advance(2 * time.Second)
 		for _, p := range in.Pools {
 			want := map[string]brain.Member{}
 			for name, m := range truth {
-				m.Bit = w.r.zoneBit(m.Zone)
+				m.Bit = h.r.zoneBit(m.Zone)
 				if c := wishes[name]; c.Drained && m.State == brain.Ready {
 					m.State = brain.Draining
 				}
@@ -185,19 +185,19 @@
 			}
 		}
 		for name, v := range views {
-			if v.most > walkMost {
-				t.Errorf("pool %s was told of %d at once", name, v.most)
+			if v.largestUpdate > maxServersPerEvent {
+				t.Errorf("pool %s was told of %d at once", name, v.largestUpdate)
 			}
 		}
-		if live := len(in.Pools); len(w.r.feeds) != 0 || len(slices.DeleteFunc(slices.Clone(w.r.pools), func(p *pool) bool { return p == nil })) != live {
-			t.Errorf("%d feeds left, %d pools for %d wanted", len(w.r.feeds), len(w.r.pools), live)
+		if live := len(in.Pools); len(h.r.jobs) != 0 || len(slices.DeleteFunc(slices.Clone(h.r.pools), func(p *pool) bool { return p == nil })) != live {
+			t.Errorf("%d feeds left, %d pools for %d wanted", len(h.r.jobs), len(h.r.pools), live)
 		}
-		if len(w.r.servers) != len(truth) || len(w.r.ordered) != len(truth) {
-			t.Errorf("%d and %d servers, not %d", len(w.r.servers), len(w.r.ordered), len(truth))
+		if len(h.r.servers) != len(truth) || len(h.r.serverList) != len(truth) {
+			t.Errorf("%d and %d servers, not %d", len(h.r.servers), len(h.r.serverList), len(truth))
 		}
-		for i, s := range w.r.ordered {
-			if s.at != i {
-				t.Fatalf("%s stands at %d, not %d", s.id, i, s.at)
+		for i, s := range h.r.serverList {
+			if s.position != i {
+				t.Fatalf("%s stands at %d, not %d", s.id, i, s.position)
 			}
 		}
 	})
@@ -207,78 +207,78 @@
 // goes with its last call.
 func TestARouteMovesWithCallsInFlight(t *testing.T) {
 	two := Layout{Pools: []PoolSpec{{Name: "old", Selector: inZone("a")}, {Name: "new", Selector: inZone("b")}}}
-	w, views := yard(t, two)
-	w.listed(List{Complete: true, Revision: 1, Addresses: []string{"a:1", "b:1"},
+	h, views := newPoolHarness(t, two)
+	h.listed(List{Complete: true, Revision: 1, Addresses: []string{"a:1", "b:1"},
 		Members: []brain.Member{{Server: "sa", Zone: "a", Weight: 1}, {Server: "sb", Zone: "b", Weight: 1}}})
-	first := w.call(0, 600*ms)
-	w.dialed(1, nil)
+	first := h.arrive(0, 600*ms)
+	h.dialed(1, nil)
 	one := Layout{Pools: two.Pools[1:]}
-	w.do(Reloaded{Discovery: "d:2", Layout: &one})
-	second := w.call(0, 600*ms)
-	w.dialed(2, nil)
+	h.do(Reloaded{Discovery: "d:2", Layout: &one})
+	second := h.arrive(0, 600*ms)
+	h.dialed(2, nil)
 	if views["old"].sends["1"] != "sa" || views["new"].sends["2"] != "sb" || len(views["old"].view) != 0 {
 		t.Fatalf("%+v %+v, the old pool sees %v", views["old"].sends, views["new"].sends, views["old"].view)
 	}
-	if names, _, open := w.r.Pools(); !slices.Equal(names, []string{"new"}) || open[0] != 1 || len(w.r.pools) != 2 || w.r.pools[0] == nil {
-		t.Errorf("%v %v %v", names, open, w.r.pools)
+	if names, _, open := h.r.Pools(); !slices.Equal(names, []string{"new"}) || open[0] != 1 || len(h.r.pools) != 2 || h.r.pools[0] == nil {
+		t.Errorf("%v %v %v", names, open, h.r.pools)
 	}
-	w.exchanged(good(1))
-	w.exchanged(good(2))
-	if a, b := w.calls[first].reply.Kind, w.calls[second].reply.Kind; a != Served || b != Served || w.r.pools[0] != nil || w.r.Open() != 0 {
-		t.Errorf("%v, %v, the old pool is %v", a, b, w.r.pools[0])
+	h.exchanged(goodAnswer(1))
+	h.exchanged(goodAnswer(2))
+	if a, b := h.calls[first].reply.Kind, h.calls[second].reply.Kind; a != Served || b != Served || h.r.pools[0] != nil || h.r.Open() != 0 {
+		t.Errorf("%v, %v, the old pool is %v", a, b, h.r.pools[0])
 	}
-	w.do(Reloaded{Discovery: "d:2", Layout: &Layout{Pools: []PoolSpec{{Name: "x"}, {Name: "x"}}}})
-	if !w.has(func(e Effect) bool { l, ok := e.(Log); return ok && strings.Contains(l.Text, `"x"`) }) || len(w.r.targets) != 1 {
-		t.Errorf("a bad layout: %+v", w.took)
+	h.do(Reloaded{Discovery: "d:2", Layout: &Layout{Pools: []PoolSpec{{Name: "x"}, {Name: "x"}}}})
+	if !h.hasEffect(func(e Effect) bool { l, ok := e.(Log); return ok && strings.Contains(l.Text, `"x"`) }) || len(h.r.routedPools) != 1 {
+		t.Errorf("a bad layout: %+v", h.effects)
 	}
 }
 
 // A pool that loses its last member refuses its own calls and takes nothing from the other, until one comes back.
 func TestAPoolLosesItsLastMember(t *testing.T) {
-	w, _ := yard(t, Layout{Pools: []PoolSpec{{Name: "a", Selector: inZone("a")}, {Name: "b", Selector: inZone("b")}},
+	h, _ := newPoolHarness(t, Layout{Pools: []PoolSpec{{Name: "a", Selector: inZone("a")}, {Name: "b", Selector: inZone("b")}},
 		Route: func(c *Call) int { return c.Class }})
 	member := func(state brain.Readiness) List {
 		return List{Revision: 2, Addresses: []string{"a:1"}, Members: []brain.Member{{Server: "sa", Zone: "a", Weight: 1, State: state}}}
 	}
-	w.listed(member(brain.Ready))
-	w.listed(List{Revision: 2, Addresses: []string{"b:1"}, Members: []brain.Member{{Server: "sb", Zone: "b", Weight: 1}}})
-	w.listed(member(brain.Gone))
-	for class, want := range []Kind{Refused, Served} {
-		id := w.call(class, 600*ms)
-		for _, d := range w.in(dialing) {
-			w.dialed(d, nil)
-			w.exchanged(good(d))
+	h.listed(member(brain.Ready))
+	h.listed(List{Revision: 2, Addresses: []string{"b:1"}, Members: []brain.Member{{Server: "sb", Zone: "b", Weight: 1}}})
+	h.listed(member(brain.Gone))
+	for class, want := range []ReplyKind{Refused, Served} {
+		id := h.arrive(class, 600*ms)
+		for _, d := range h.inState(dialing) {
+			h.dialed(d, nil)
+			h.exchanged(goodAnswer(d))
 		}
-		if got := w.calls[id].reply.Kind; got != want || w.calls[id].answers != 1 {
+		if got := h.calls[id].reply.Kind; got != want || h.calls[id].answers != 1 {
 			t.Errorf("class %d: %v, want %v", class, got, want)
 		}
 	}
-	w.listed(member(brain.Ready))
-	if id := w.call(0, 600*ms); w.calls[id].answers != 0 || len(w.in(dialing)) != 1 {
+	h.listed(member(brain.Ready))
+	if id := h.arrive(0, 600*ms); h.calls[id].answers != 0 || len(h.inState(dialing)) != 1 {
 		t.Error("the member that came back gets no work")
 	}
 }
 
 // Past its cap a pool refuses at once, and says when to come back; what ends makes room.
 func TestAPoolThatIsFullRefuses(t *testing.T) {
-	w, _ := yard(t, Layout{Pools: []PoolSpec{{Name: "small", MaxOpen: 2}, {Name: "other"}}, Route: func(c *Call) int { return c.Class }})
-	w.listed(list(true, brain.Ready, "a:1"))
-	first := w.call(0, 600*ms)
-	w.call(0, 600*ms)
-	third, other := w.call(0, 600*ms), w.call(1, 600*ms)
-	if c := w.calls[third]; c.reply.Kind != Refused || c.answers != 1 || c.reply.After == 0 || w.calls[other].answers != 0 {
-		t.Errorf("%+v, the other pool's %+v", c, w.calls[other])
+	h, _ := newPoolHarness(t, Layout{Pools: []PoolSpec{{Name: "small", MaxOpen: 2}, {Name: "other"}}, Route: func(c *Call) int { return c.Class }})
+	h.listed(list(true, brain.Ready, "a:1"))
+	first := h.arrive(0, 600*ms)
+	h.arrive(0, 600*ms)
+	third, other := h.arrive(0, 600*ms), h.arrive(1, 600*ms)
+	if c := h.calls[third]; c.reply.Kind != Refused || c.answers != 1 || c.reply.After == 0 || h.calls[other].answers != 0 {
+		t.Errorf("%+v, the other pool's %+v", c, h.calls[other])
 	}
-	w.gone(first)
-	w.dialed(1, nil)
-	if id := w.call(0, 600*ms); w.calls[id].answers != 0 {
+	h.clientGone(first)
+	h.dialed(1, nil)
+	if id := h.arrive(0, 600*ms); h.calls[id].answers != 0 {
 		t.Error("no room after one has gone")
 	}
 }
 
 // A list of ten thousand shrinks to three and grows again, while calls go on between the slices.
 func TestALargeListComesInSlices(t *testing.T) {
-	w, views := yard(t, onePool())
+	h, views := newPoolHarness(t, defaultLayout())
 	all := List{Complete: true, Revision: 1}
 	for i := range 10_000 {
 		all.Members = append(all.Members, brain.Member{Server: fmt.Sprint("s", i), Zone: "a", Weight: 1})
@@ -286,25 +286,25 @@
 	}
 	for _, n := range []int{10_000, 3, 10_000} {
 		l := List{Complete: true, Revision: 1, Members: slices.Clone(all.Members[:n]), Addresses: all.Addresses[:n]}
-		w.listed(l)
+		h.listed(l)
 		events := 0
-		for len(w.r.feeds) > 0 {
+		for len(h.r.jobs) > 0 {
 			events++
-			w.timers = slices.DeleteFunc(w.timers, func(d due) bool { _, ok := d.ev.(more); return ok })
-			w.do(more{})
-			id := w.call(0, 600*ms) // its turn comes between
-			for _, d := range w.in(dialing) {
-				w.dialed(d, nil)
+			h.timers = slices.DeleteFunc(h.timers, func(d scheduledEvent) bool { _, ok := d.event.(nextSlice); return ok })
+			h.do(nextSlice{})
+			id := h.arrive(0, 600*ms) // its turn comes between
+			for _, d := range h.inState(dialing) {
+				h.dialed(d, nil)
 			}
-			for _, b := range w.in(busy) {
-				w.exchanged(good(b))
+			for _, b := range h.inState(busy) {
+				h.exchanged(goodAnswer(b))
 			}
-			if c := w.calls[id]; c.reply.Kind != Served || c.answers != 1 {
+			if c := h.calls[id]; c.reply.Kind != Served || c.answers != 1 {
 				t.Fatalf("while the list is entered: %+v", c)
 			}
 		}
-		if v := views["all"]; len(v.view) != n || events < 4 || v.most > walkMost {
-			t.Errorf("%d of %d seen after %d events, %d at once", len(v.view), n, events, v.most)
+		if v := views["all"]; len(v.view) != n || events < 4 || v.largestUpdate > maxServersPerEvent {
+			t.Errorf("%d of %d seen after %d events, %d at once", len(v.view), n, events, v.largestUpdate)
 		}
 	}
 }
@@ -312,48 +312,48 @@
 // A server that another has displaced is told of as gone with all that is known of it: where it stood says where what was
 // out there may be repeated. Without its cell a keyed call was once repeated in the first cell that came.
 func TestWhatIsGoneKeepsItsPlace(t *testing.T) {
-	w, _ := yard(t, onePool())
+	h, _ := newPoolHarness(t, defaultLayout())
 	told := map[string]brain.Member{}
-	w.r.pools[0].node = ear{func(ev brain.Event) {
+	h.r.pools[0].decider = eventFunc{func(ev brain.Event) {
 		if u, ok := ev.(*brain.FleetUpdate); ok {
 			for _, m := range u.Members {
 				told[m.Server] = m
 			}
 		}
 	}}
-	w.listed(List{Revision: 1, Addresses: []string{"a:1"}, Members: []brain.Member{{Server: "old", Zone: "a", Cell: 7, Weight: 2, Started: 5}}})
-	w.listed(List{Revision: 2, Addresses: []string{"a:1"}, Members: []brain.Member{{Server: "new", Zone: "a", Cell: 8, Weight: 2, Started: 9}}})
+	h.listed(List{Revision: 1, Addresses: []string{"a:1"}, Members: []brain.Member{{Server: "old", Zone: "a", Cell: 7, Weight: 2, Started: 5}}})
+	h.listed(List{Revision: 2, Addresses: []string{"a:1"}, Members: []brain.Member{{Server: "new", Zone: "a", Cell: 8, Weight: 2, Started: 9}}})
 	if m := told["old"]; m.State != brain.Gone || m.Zone != "a" || m.Cell != 7 {
 		t.Errorf("%+v", m)
 	}
-	w.listed(List{Revision: 3, Addresses: []string{""}, Members: []brain.Member{{Server: "new", State: brain.Gone}}})
+	h.listed(List{Revision: 3, Addresses: []string{""}, Members: []brain.Member{{Server: "new", State: brain.Gone}}})
 	if m := told["new"]; m.State != brain.Gone || m.Zone != "a" || m.Cell != 8 {
 		t.Errorf("%+v", m)
 	}
 }
 
-type ear struct{ hear func(brain.Event) }
+type eventFunc struct{ handle func(brain.Event) }
 
-func (e ear) Handle(_ time.Duration, ev brain.Event, acts []brain.Action) []brain.Action {
-	e.hear(ev)
+func (e eventFunc) Handle(_ time.Duration, ev brain.Event, acts []brain.Action) []brain.Action {
+	e.handle(ev)
 	return acts
 }
 
 // A whole list that changes nothing, as a discovery that has started again writes it, must leave the module its servers.
 func TestAWholeListThatChangesNothing(t *testing.T) {
-	w := newWorld(t, 8, "a:1", "b:1")
+	h := newHarness(t, 8, "a:1", "b:1")
 	for range 3 {
-		w.listed(list(true, brain.Ready, "a:1", "b:1"))
-		id := w.call(0, 600*ms)
-		for _, d := range w.in(dialing) {
-			w.dialed(d, nil)
+		h.listed(list(true, brain.Ready, "a:1", "b:1"))
+		id := h.arrive(0, 600*ms)
+		for _, d := range h.inState(dialing) {
+			h.dialed(d, nil)
 		}
-		for _, b := range w.in(busy) {
-			w.exchanged(good(b))
+		for _, b := range h.inState(busy) {
+			h.exchanged(goodAnswer(b))
 		}
-		if c := w.calls[id]; c.answers != 1 || c.reply.Kind != Served {
+		if c := h.calls[id]; c.answers != 1 || c.reply.Kind != Served {
 			t.Fatalf("%+v", c)
 		}
-		w.pass(10 * ms)
+		h.advance(10 * ms)
 	}
 }
--- a/internal/reducer/reducer.go
+++ b/internal/reducer/reducer.go
@@ -1,19 +1,21 @@
-// Package reducer owns every state of a balancer: the node that decides, each call with its delegations, and
-// each connection to an app node. All changes go through Handle, which takes one event and names the effects
-// that follow; one goroutine drives it. It must never touch a socket, a clock or a lock, and never block.
+// Package reducer holds the complete state of a balancer: the deciders that choose app nodes, the calls with their
+// attempts, and the connections to app nodes. All changes go through Handle, which takes one event and returns the
+// effects to carry out. A single goroutine drives it. The package must not use sockets, clocks or locks, and must never
+// block.
 //
-// A connection is dialing, busy, flowing, idle or closed. It is opened by a Dial effect and given back by a Close
-// effect and nowhere else: once Close is asked for, its id means nothing any more and late events about it
-// are passed over. A call gets one Answer effect, the first; ids of calls are never used twice.
+// A connection is dialing, busy, flowing, idle or closed. It is opened only by a Dial effect and released only by a
+// Close effect; after Close its ID is invalid and late events for it are ignored. A call gets exactly one Answer effect,
+// the first. Call IDs are never reused.
 //
-// A delegation whose answer is larger than what is held asks to be committed (Flowing). The first to ask gets the
-// call: its answer begins to flow to the client, other copies are called off, and nothing is sent for that call any
-// more. Until the flow has ended the call is open and the app node counts as busy with it.
+// An attempt whose answer is larger than the buffer asks to be committed (Flowing). The first attempt to ask is
+// committed: its answer is streamed to the client, the other attempts are cancelled, and no further attempt is made for
+// that call. Until the flow ends the call stays open and counts as in flight at its app node.
 //
-// What calls and answers look like on a wire is not known here: they pass as Message, which is never looked at.
-// calls.go, delegations.go, connections.go, servers.go, pools.go and words.go hold one kind of state each. The work for an event does
-// not grow with the fleet, nor with the pools or the calls that are open: a list is worked through in slices, an event for each, and
-// tells the pools that it touches.
+// The package does not know the wire format: calls and answers pass through as opaque Message values.
+//
+// Each of calls.go, delegations.go (attempts), connections.go, servers.go, pools.go and peers.go holds one kind of
+// state. The work per event does not grow with the number of app nodes, pools or open calls: a list is processed in
+// slices, one event per slice, and notifies only the pools that it affects.
 package reducer
 
 import (
@@ -29,135 +31,137 @@
 	"pewterrudder/internal/selector"
 )
 
-// Tunables.
 const (
-	// answerMargin is how long before the client's deadline a call is answered at the latest: the client
-	// counted from its sending, which is earlier than our reading, and the answer has to travel back.
+	// answerMargin is how long before the client's deadline a call is answered at the latest. The client's clock started
+	// when it sent the call, before we read it, and the answer still has to travel back.
 	answerMargin = 12 * time.Millisecond
-	// idleMargin is how long before the app node's idle limit a connection is no longer used: the app node
-	// counts from the moment it wrote, and a request under way when it closes would end as a reset.
+	// idleMargin is how long before the app node's idle timeout we stop using a connection. The app node counts from its
+	// last write, and a request in transit when it closes would end in a reset.
 	idleMargin = 500 * time.Millisecond
-	// settleFor is how long a connection rests after an answer while another will do: an app node may close it
-	// right behind the answer, and a call written before that is noticed ends as a reset, which may have run.
-	settleFor = 10 * time.Millisecond
-	// sweepEvery is how often idle connections are looked through for old ones.
-	sweepEvery = time.Second
-	// watchAgain is the longest pause before a broken watch is opened again where the node does not ask by itself. What its
-	// agent has counts as told all the while, so the pause is a part of the grace for drains, and not under watchLeast.
-	watchAgain, watchPart, watchLeast = time.Second, 8, 20 * time.Millisecond
-	// idKept is how long the client's id of a call that is over is remembered at the least, and idsMost bounds
-	// how many are: an id that comes back within that time is a copy.
-	idKept  = 3 * time.Second
-	idsMost = 20000
-	// An answer that stops in its middle is first waited for half the class's aim, later for what has been learned: at
-	// least a tenth of the aim, so that a moment's pause of a machine is forgiven, at most half the deadline. Once it
-	// flows, no other app node can be asked any more: the wait is four times as long, and some seconds at the least, since
-	// what an app node still gives must not be cut off.
-	stallFirst, stallLeast, stallMost = 0.5, 0.1, 0.5
-	flowStalls                        = 4
-	flowStallLeast                    = 10 * time.Second
-	// keyMargin is how long before a key is forgotten its call goes out for the last time: the app node counts from when
-	// the first attempt came. The module decides with more to spare, so this binds only where a connection was long in the making.
-	keyMargin = 20 * time.Millisecond
-	// sayBrokenEvery bounds the lines on answers that broke off in their middle.
-	sayBrokenEvery = time.Second
+	// reuseDelay is how long a connection is left unused after an answer if another one is available. An app node may
+	// close the connection right after the answer; a call written before the close is noticed ends in a reset and may
+	// have run.
+	reuseDelay = 10 * time.Millisecond
+	// idleSweepInterval is how often expired idle connections are closed.
+	idleSweepInterval = time.Second
+	// maxWatchPause is the longest delay before a broken watch is reopened where the decider does not ask for the list
+	// itself. Everything the discovery agent knows counts as announced meanwhile, so the delay uses up part of the grace
+	// period for drains: it is 1/watchPauseDivisor of it, but at least minWatchPause.
+	maxWatchPause, watchPauseDivisor, minWatchPause = time.Second, 8, 20 * time.Millisecond
+	// clientIDRetention is the minimum time that the client ID of a finished call is remembered, and maxClientIDs bounds
+	// the number of remembered IDs per generation. An ID seen again within that time is a duplicate.
+	clientIDRetention = 3 * time.Second
+	maxClientIDs      = 20000
+	// An answer that stalls in the middle is first given half of the class's latency target (Aim), later a learned time:
+	// at least a tenth of the target, to tolerate a brief pause of the machine, and at most half of the deadline. A flow
+	// can no longer be retried on another app node, so its timeout is 4 times as long and at least minFlowStall, so as
+	// not to cut off an answer that is still arriving.
+	initialStallShare, minStallShare, maxStallShare = 0.5, 0.1, 0.5
+	flowStallFactor                                 = 4
+	minFlowStall                                    = 10 * time.Second
+	// keyWindowMargin is how long before the end of a key's window the last attempt may be sent: the app node counts
+	// from the arrival of the first attempt. The decider keeps a larger margin, so this applies only where dialing took
+	// long.
+	keyWindowMargin = 20 * time.Millisecond
+	// brokenLogInterval is the minimum time between log lines about answers that broke off midway.
+	brokenLogInterval = time.Second
 )
 
-// Call is a client's request as the acceptor read it.
+// Call is a client's request as read by the acceptor.
 type Call struct {
 	ID       uint64
-	ClientID string // as the client wrote it; another client may have copied it
+	ClientID string // as sent by the client; another client may have copied it
 	Class    int
-	Tenant   int     // a number that stays with whoever asks, or -1
-	Quota    float64 // of that tenant, in requests per second over all balancers; 0: without bound
+	Tenant   int     // stable number of the tenant, or -1
+	Quota    float64 // the tenant's limit in requests per second over all balancers; 0: unlimited
 	Retry    bool
 	Key      string
 	Work     float64
-	Deadline time.Duration // when the client leaves, on the node's clock
-	OneShot  bool          // its body is read off the client's connection as it is sent: once; its time counts from Uploaded
-	Message  any           // for the delegation
+	Deadline time.Duration // when the client gives up, on the reducer's clock
+	OneShot  bool          // the body is read from the client's connection while it is sent, so it can be sent only once; the deadline counts from Uploaded
+	Message  any           // opaque; for the code that writes the call
 }
 
-// Kind says what a final answer is.
-type Kind uint8
+// ReplyKind is the kind of a final answer.
+type ReplyKind uint8
 
 const (
-	Served   Kind = iota // Message is an app node's answer
-	Rejected             // Message is an app node's answer, which says that the call is at fault
-	Refused              // trying again is harmless, best after After
-	Failed               // it may have run
-	Conflict             // the client's id is in use; it is no refusal, since the call of that id may have run
+	Served   ReplyKind = iota // Message is an app node's answer
+	Rejected                  // Message is an app node's answer that blames the call
+	Refused                   // retrying is harmless, preferably after After
+	Failed                    // the call may have run
+	Conflict                  // the client ID is in use; not a refusal, since the call with that ID may have run
 )
 
 // Reply is the final answer of a call.
 type Reply struct {
-	Kind    Kind
-	After   time.Duration // 0: no advice
+	Kind    ReplyKind
+	After   time.Duration // 0: no hint
 	Message any
 }
 
-// Event is one of the structs below.
+// Event is implemented by the event structs below.
 type Event interface{ event() }
 
 type (
-	// Started opens the day with the list as it was last held and the address of discovery.
+	// Started is the first event, with the list as last saved and the address of discovery.
 	Started struct {
 		Known     List
 		Discovery string
-		Figures   bool // they are to be published
+		Figures   bool // publish figures regularly
 	}
-	// Reloaded: a new configuration is in force. Without a layout or settings those there are stay.
+	// Reloaded reports that a new configuration is in force. A nil Layout or Settings keeps the current one.
 	Reloaded struct {
 		Discovery string
 		Layout    *Layout
 		Settings  *brain.Settings
-		Tag       any // comes back with Retuned
+		Tag       any // returned in Retuned
 	}
-	// TurnedDown: a new configuration was not taken.
+	// TurnedDown reports that a new configuration was rejected.
 	TurnedDown struct{}
-	// Arrived: a call was read whole.
+	// Arrived reports a call that has been read completely.
 	Arrived struct{ Call *Call }
-	// Uploaded: the last byte of a OneShot body has been read off the client's connection. It came at Last or later: what
-	// waits in a socket may have done so for a while.
+	// Uploaded reports that the last byte of a OneShot body was read from the client's connection. The byte arrived at
+	// Last or later: data may have waited in the socket.
 	Uploaded struct {
 		Call uint64
 		Last time.Duration
 	}
-	// ClientGone: the client's connection ended before the answer.
+	// ClientGone reports that the client's connection ended before the answer.
 	ClientGone struct{ Call uint64 }
-	// Dialed: a connection was made, or not.
+	// Dialed is the result of a Dial.
 	Dialed struct {
 		Conn uint64
 		Err  error
 	}
-	// Flowing: the answer is larger than what is held. The delegation reads no further until the call is answered with
-	// Message, or the connection is closed; Exchanged is its end.
+	// Flowing reports an answer larger than the buffer. The attempt reads no further until the call is answered with
+	// Message or the connection is closed. Exchanged follows at the end.
 	Flowing struct {
 		Conn    uint64
 		Result  Result // Good or Unusable
 		Message any
 	}
-	// Exchanged: the one end of an Exchange.
+	// Exchanged is the single result of an Exchange.
 	Exchanged struct {
 		Conn    uint64
-		Written Written
+		Written WriteProgress
 		Result  Result
-		Message any           // the answer, whole; none after Flowing
+		Message any           // the complete answer; nil after Flowing
 		Report  []float64     // the load report, if any
 		Reuse   bool          // the connection can carry another call
-		Pause   time.Duration // the longest inside the answer; 0: it came in one piece
-		Spent   bool          // a part of a OneShot body has been taken from the client
+		Pause   time.Duration // the longest pause within the answer; 0: it came in one piece
+		Spent   bool          // a part of a OneShot body has been read from the client
 		Err     error
 	}
-	// Lost: an idle connection was closed by the app node.
+	// Lost reports that the app node closed an idle connection.
 	Lost struct{ Conn uint64 }
-	// Listed: discovery wrote a list or changes to it.
+	// Listed carries a list, or changes to it, from discovery.
 	Listed struct {
 		Watch uint64
 		List  List
 	}
-	// Said, Heard and SourceBroke come from registries other than the platform's discovery: a list or changes of it, a sign of
-	// life, and that one cannot be heard. They need a roster.
+	// Said, Heard and SourceBroke come from registries other than the platform's discovery: a list or changes to it, a
+	// sign of life, and a failure to reach the registry. They need a roster.
 	Said struct {
 		Source   int
 		Whole    bool
@@ -169,71 +173,71 @@
 		Source int
 		Err    error
 	}
-	// Operator: what operators want has changed. It is in force once Handle returns, which Done is told.
+	// Operator carries changed operator overrides. They are in force when Handle returns; Done is then called.
 	Operator struct {
 		Changes []control.Change
 		Done    func()
 	}
-	// Look asks for what is seen, app nodes from an id on.
+	// Look asks for a View, with the app nodes whose IDs sort after From.
 	Look struct {
 		From string
 		To   func(View)
 	}
-	// WatchEnded: the watch broke or could not be opened.
+	// WatchEnded reports that the watch broke or could not be opened.
 	WatchEnded struct {
 		Watch uint64
 		Err   error
 	}
 
-	timer struct {
+	deciderTimer struct {
 		pool   *pool
 		cookie uint64
 	}
-	deadline struct{ call uint64 }
-	sweep    struct{}
-	rewatch  struct{}
-	more     struct{}
+	callDeadline     struct{ call uint64 }
+	idleSweepTimer   struct{}
+	reopenWatchTimer struct{}
+	nextSlice        struct{}
 
-	zoneClock  struct{}
-	rosterTick struct{}
+	zoneTimer   struct{}
+	rosterTimer struct{}
 )
 
-// Written says how far a request came.
-type Written uint8
+// WriteProgress says how much of a request was written.
+type WriteProgress uint8
 
 const (
-	Nothing Written = iota // the connection had ended before
-	Partly                 // it broke before the last byte: the request cannot run
-	Whole                  // it may have run
+	Nothing WriteProgress = iota // the connection had ended before
+	Partly                       // it broke before the last byte: the request cannot run
+	Whole                        // it may have run
 )
 
-// Result is what came back.
+// Result is the outcome of an Exchange.
 type Result uint8
 
 const (
-	Broke    Result = iota // no answer, or one that broke off or makes no sense
-	Stalled                // it stopped in its middle for longer than is waited
+	Broke    Result = iota // no answer, or an incomplete or invalid one
+	Stalled                // it stalled for longer than the stall timeout
 	Good                   // an answer for the client
-	Errored                // the app node says that it failed
-	Shed                   // the app node says that it never ran
-	Unusable               // the app node says that the call is at fault
-	NoRoom                 // it is larger than what is held, and there was no memory for it to flow
-	Left                   // the client's side gave it up, while the answer flowed, the body was still to come or nothing was written yet
+	Errored                // the app node reports that it failed
+	Shed                   // the app node reports that it did not run the call
+	Unusable               // the app node reports that the call is invalid
+	NoRoom                 // the answer is larger than the buffer, and there was no memory to stream it
+	Left                   // the client left while the answer flowed, while its body was still arriving, or before anything was written
 )
 
-// List is discovery's word in the node's terms.
+// List is a list of app nodes from discovery, in the decider's terms.
 type List struct {
 	Revision  int64
 	Complete  bool
 	Members   []brain.Member
-	Addresses []string // by member
+	Addresses []string // by index in Members
 }
 
-// Effect is one of the structs below, to be carried out in order.
+// Effect is implemented by the effect structs below, which are to be carried out in order.
 type Effect interface{ effect() }
 
 type (
-	// Answer is the final answer of a call.
+	// Answer gives a call its final answer.
 	Answer struct {
 		Call  uint64
 		Reply Reply
@@ -244,35 +248,34 @@
 		Address string
 		Timeout time.Duration
 	}
-	// Exchange writes a call on an idle connection and reads the answer; Exchanged follows, unless Close
-	// comes first.
+	// Exchange writes a call on an idle connection and reads the answer; Exchanged follows, unless Close comes first.
 	Exchange struct {
 		Conn      uint64
 		Call      *Call
 		Wait      time.Duration // until the call's deadline
-		Stall     time.Duration // for the next bytes, inside an answer
-		FlowStall time.Duration // the same once it flows
+		Stall     time.Duration // the longest pause within an answer before it counts as stalled
+		FlowStall time.Duration // the same once the answer flows
 	}
-	// Close gives a connection back.
+	// Close closes and releases a connection.
 	Close struct{ Conn uint64 }
-	// Watch opens a watch on the list from a version on, in place of any earlier one.
+	// Watch opens a watch on the list from a revision on and replaces any earlier watch.
 	Watch struct {
 		ID        uint64
 		Discovery string
 		Since     int64
 	}
-	// Refetch: a registry's changes do not follow on what was held of it, so that its whole list is needed.
+	// Refetch asks a source for its complete list, because its changes do not follow on the revision held.
 	Refetch struct{ Source int }
-	// Tell has somebody who waits for it hear something, outside this goroutine's state.
+	// Tell calls a callback outside the reducer's state.
 	Tell struct{ Do func() }
-	// Arm returns the event after a while.
+	// Arm delivers Event after a delay.
 	Arm struct {
 		After time.Duration
 		Event Event
 	}
-	// Ready: the balancer can serve.
+	// Ready reports that the balancer can serve.
 	Ready struct{}
-	// Log is a line for the operator.
+	// Log is a log line for the operator.
 	Log struct{ Text string }
 )
 
@@ -287,231 +290,232 @@
 )
 
 type conn struct {
-	id        uint64
-	srv       *server
-	state     connState
-	doomed    bool // the app node has moved: close at the end of the dial or call
-	delg      *delegation
-	idleSince time.Duration
-
-	older, newer *conn // among the idle ones of all servers
+	id            uint64
+	srv           *server
+	state         connState
+	closeWhenDone bool // the app node has moved: close at the end of the dial or call
+	attempt       *attempt
+	idleSince     time.Duration
+
+	older, newer *conn // neighbours in the list of the idle connections of all servers
 }
 
 type server struct {
-	id, address string
-	told        brain.Member // by the list
-	member      brain.Member // as it counts
-	answered    time.Duration
-	failed      time.Duration
-	leftAt      time.Duration // when it was last heard to be in service no more
-	takes       []uint16      // the pools that ask for it, by their places, in rising order; many servers may share these
-	pools       []uint16      // those of them that use it
-	seen        uint64        // the latest list that named it
-	at          int           // in Reducer.ordered
-	gone        bool          // off the list and out of the state: only what is still out refers to it
-	idle        []*conn       // latest used last
-	conns       map[uint64]*conn
+	id, address   string
+	listed        brain.Member // as listed by discovery
+	member        brain.Member // with operator overrides applied
+	lastAnswer    time.Duration
+	lastFailure   time.Duration
+	notReadySince time.Duration // when it last stopped being ready
+	matchingPools []uint16      // indexes of the pools whose selectors match, ascending; servers may share the slice
+	usingPools    []uint16      // those of matchingPools whose subset contains it
+	listEpoch     uint64        // epoch of the latest list that named it
+	position      int           // index in Reducer.serverList
+	removed       bool          // off the list and out of the state; only running attempts and open connections still refer to it
+	idle          []*conn       // most recently used last
+	conns         map[uint64]*conn
 }
 
-type delegation struct {
-	call    *call
-	attempt int
-	server  string  // as the node named it
-	srv     *server // nil: there is none of that name
-	conn    *conn
-	sent    time.Duration
-	asked   time.Duration // when it was handed to a connection; 0: it was not, or never ran
-	begun   time.Duration // when its answer was committed
-	shot    bool          // it may have taken a part of a OneShot body
-	ours    bool          // it failed for want of our own descriptors
-	over    bool
+type attempt struct {
+	call             *call
+	index            int
+	server           string  // as named by the decider
+	srv              *server // nil: there is no server of that name
+	conn             *conn
+	startedAt        time.Duration
+	mayHaveRunSince  time.Duration // when it was handed to a connection; 0: it never was, or never ran
+	committedAt      time.Duration // when its answer began to flow to the client
+	bodyUsed         bool          // it may have consumed part of a OneShot body
+	outOfDescriptors bool          // it failed because the connection budget was used up
+	ended            bool
 }
 
 type call struct {
 	*Call
 	pool        *pool
-	deadline    time.Duration // of ours
-	came        time.Duration
-	wait        time.Duration // of the client's, from the last byte of its body
-	open        bool          // its body is on its way to an app node: no time runs
-	brainID     string
-	delegations []*delegation
-	out         int
-	done        bool        // nothing is owed any more
-	flow        *delegation // the one whose answer flows to the client
-	waiting     bool        // behind an open call with the same client's id
-	rejected    bool        // the app node could not use it, so it is no proof of what the id stands for
-	behind      []*call     // those that wait for this one
+	deadline    time.Duration // answerMargin before the client's
+	arrivedAt   time.Duration
+	timeout     time.Duration // the client's time limit, which for an upload counts from the last byte
+	uploading   bool          // its body is being sent to an app node: the deadline does not run
+	deciderID   string
+	attempts    []*attempt
+	outstanding int
+	done        bool     // nothing is owed any more: the answer was given, and its flow has ended, or the client left
+	committed   *attempt // the attempt whose answer flows to the client
+	waiting     bool     // queued behind an open call with the same client ID
+	rejected    bool     // the app node rejected it, so it does not prove that the client ID is taken
+	duplicates  []*call  // later calls with the same client ID, which wait for this one
 }
 
-// Reducer is the whole state. Make it with New.
+// Reducer is the complete state of a balancer. Create it with New.
 type Reducer struct {
-	cfg     brain.Settings
-	decide  func(pool string) brain.Decider // makes the node of a new pool
-	now     time.Duration
-	out     []Effect
-	acts    []brain.Action
-	pending []word // for the nodes, from the actions just carried out
-
-	pools     []*pool // by their places; nil: free
-	freed     []uint16
-	selectors selector.Index
-	byName    map[string]*pool // those that are wanted
-	asked     map[int]*pool    // the same by ID, once all that is under way is in force
-	targets   []*pool          // of the routes, by rising IDs
-	route     func(*Call) int
-	asker     *pool       // whose node asks for the list
-	changed   []*pool     // that have changes to be told
-	untold    []*pool     // whose regions have not heard of all
-	turned    []*share    // subsets that may have moved
-	found     [2][]uint16 // scratch of belongs
-	latest    []uint16    // the set of places that was made last
-
-	view       *view.View // of the other balancers; nil: the settings tell their number
-	listSaid   int        // the size of our list as the others were told it
-	listSaidAt time.Duration
-
-	subsetSize int             // app nodes that a pool uses, on average; 0: all
-	sharing    map[string]bool // the other balancers that the subsets know of
-	moves      []string        // those who are to enter or leave
-	moving     bool            // an event for the next is under way
-
-	calls    map[uint64]*call
-	byBrain  map[string]*call
-	byClient map[string]*call       // the open calls, by the client's id
-	used     [2]map[string]struct{} // ids of calls that are over: of late, and before that
-	usedFrom time.Duration
-	servers  map[string]*server
-	ordered  []*server // the same, so that effects do not follow a map's order
-	conns    map[uint64]*conn
-	lastConn uint64
-	budget   int // connections to app nodes, all told
-	whole    int // the same where no other process shares it
-
-	byAddress map[string][]*server
-	zoneBits  map[string]uint64
-	ready     int // servers
-	zoned     bool
-
-	roster          *roster.Roster // nil: discovery's word is the list
+	cfg           brain.Settings
+	newDecider    func(pool string) brain.Decider // creates the decider of a new pool
+	now           time.Duration
+	effects       []Effect
+	actions       []brain.Action
+	deciderEvents []deciderEvent // queue of events for the deciders
+
+	pools          []*pool // by index; nil: free
+	freeIndexes    []uint16
+	selectors      selector.Index
+	poolsByName    map[string]*pool // the wanted pools
+	poolsByID      map[int]*pool    // the wanted pools by ID, including those of adjustments that are not in force yet
+	routedPools    []*pool          // the pools in force, by ascending ID
+	route          func(*Call) int
+	discoveryPool  *pool         // the pool whose decider asks discovery for the list
+	changedPools   []*pool       // pools with changes to send to their deciders
+	staleZonePools []*pool       // pools whose zoneView lacks changes of the current list
+	changedSubsets []*poolSubset // subsets that may have changed
+	matchBuffers   [2][]uint16   // scratch space of matchPools
+	lastIndexSet   []uint16      // the index set created last, for sharing
+
+	peerView          *view.View // of the other balancers; nil: the settings give their number
+	announcedListSize int        // our list's size as last announced to the others
+	announcedAt       time.Duration
+
+	subsetSize      int             // average number of app nodes per pool; 0: all
+	subsetPeers     map[string]bool // addresses of the other balancers that the subsets take into account
+	pendingPeers    []string        // addresses still to be added to or removed from subsetPeers
+	peerChangeArmed bool            // a nextPeerChange event is scheduled
+
+	calls                map[uint64]*call
+	callsByDeciderID     map[string]*call
+	callsByClientID      map[string]*call       // open calls by client ID
+	recentClientIDs      [2]map[string]struct{} // client IDs of finished calls: the recent generation and the one before
+	recentClientIDsSince time.Duration
+	servers              map[string]*server
+	serverList           []*server // the values of servers, in an order that makes the effects deterministic
+	conns                map[uint64]*conn
+	lastConnID           uint64
+	connBudget           int // maximum number of connections to app nodes
+	fullConnBudget       int // connBudget while no other process shares the machine
+
+	serversByAddress map[string][]*server
+	zoneBits         map[string]uint64
+	readyServers     int // app nodes in state Ready
+	hasZones         bool
+
+	roster          *roster.Roster // nil: the list comes from discovery alone
 	discoverySource int
-	wants           []bool        // by source: it has been asked for its whole list
-	rosterAt        time.Duration // when the roster's next moment is armed for; 0: none is
-
-	counts  Counts
-	tallies map[string]*ended // by the names of classes
-
-	avoided, avoiding, avoidAt int // servers: by the last walk; by the one under way, and where it is
-	applied, rejected          uint64
-
-	places  []place // of classes
-	retuned bool    // the settings are no more those of the start
-
-	retuning   bool   // pools are being told of settings
-	retuneAt   int    // the place of the next
-	retuneThen Effect // what follows
-
-	away     bool // clients are sent away
-	awayFrom time.Duration
-	turn     uint64          // how often that has changed
-	wishes   map[string]wish // by app node
-	caps     map[string]int  // by pool
-	epoch    uint64
-	feeds    []*feed // the first is being worked through
-	touched  []*server
-	oldest   *conn // of the idle ones, which lead on to newer
-	newest   *conn
-
-	discovery         string
-	revision          int64
-	watch             uint64 // the latest; what is heard of an earlier one is passed over
-	watching          bool
-	sweeping, readied bool
-	sayFullAt         time.Duration
-	stalls            []*patience.Estimator // by class
-	stallFixed        time.Duration         // 0: they learn
-	broken            int                   // answers that broke off in their middle, not yet said
-	sayBrokenAt       time.Duration
+	refetching      []bool        // by source: its complete list has been requested
+	rosterTimerAt   time.Duration // when the next rosterTimer fires; 0: not armed
+
+	counts      Counts
+	classCounts map[string]*classCount // by class name
+
+	avoidedServers, avoidedSoFar, avoidedScanPos int // app nodes: in the last complete scan; in the current scan; its position in serverList
+	reloadsApplied, reloadsRejected              uint64
+
+	classSlots      []classSlot // by class index
+	settingsChanged bool        // the settings differ from those of the start
+
+	retuning    bool   // a nextRetuneSlice event is scheduled
+	nextRetuned int    // index of the next pool to notify
+	afterRetune Effect // emitted after the last pool
+
+	clientsDraining      bool // clients are being sent away
+	clientsDrainingSince time.Duration
+	drainEpoch           uint64                  // incremented each time clientsDraining changes
+	nodeOverrides        map[string]nodeOverride // by app node
+	poolCaps             map[string]int          // by pool name
+	lastListEpoch        uint64
+	jobs                 []*fleetJob // the first is being processed
+	movedServers         []*server
+	oldestIdle           *conn // the least recently used idle connection; conn.newer leads on
+	newestIdle           *conn
+
+	discoveryAddress          string
+	listRevision              int64
+	watchID                   uint64 // the latest watch; events of earlier ones are ignored
+	watchOpen                 bool
+	idleSweepArmed, readySent bool
+	nextBudgetLog             time.Duration
+	stallEstimators           []*patience.Estimator // by class index
+	fixedStall                time.Duration         // 0: learned per class
+	brokenAnswers             int                   // answers that broke off midway, not logged yet
+	nextBrokenLog             time.Duration
 }
 
-// New makes the state of a balancer that may hold budget connections to app nodes.
+// New creates the state of a balancer with one pool and at most budget connections to app nodes.
 func New(cfg brain.Settings, seed uint64, budget int) (*Reducer, error) {
-	return NewLaid(cfg, seed, budget, onePool())
+	return NewLaid(cfg, seed, budget, defaultLayout())
 }
 
-// NewLaid makes the state of a balancer with pools. Each has a node of its own, with the same settings and a seed that
-// follows from its name; only the first asks for the list, which is the same for all.
+// NewLaid creates the state of a balancer with the pools of a layout. Each pool has its own decider with the same
+// settings and a seed derived from the pool's name. Only the first asks for the list, which is the same for all.
 func NewLaid(cfg brain.Settings, seed uint64, budget int, l Layout) (*Reducer, error) {
 	if _, err := brain.New(cfg, seed); err != nil {
 		return nil, err
 	}
 	first := true
 	return NewPools(cfg, budget, l, func(pool string) brain.Decider {
-		own, s := cfg, seed
+		poolCfg, s := cfg, seed
 		if !first {
-			own.AskDiscovery = false
+			poolCfg.AskDiscovery = false
 			s ^= xxhash.Sum64String(pool)
 		}
 		first = false
-		node, err := brain.New(own, s)
+		decider, err := brain.New(poolCfg, s)
 		if err != nil {
-			panic(err) // the same settings were good a moment ago
+			panic(err) // brain.New accepted the same settings above
 		}
-		return node
+		return decider
 	})
 }
 
-// NewWith makes the state around a decider that is not the module.
-func NewWith(cfg brain.Settings, node brain.Decider, budget int) *Reducer {
-	r, err := NewPools(cfg, budget, onePool(), func(string) brain.Decider { return node })
+// NewWith creates the state of a balancer with one pool and the given decider.
+func NewWith(cfg brain.Settings, decider brain.Decider, budget int) *Reducer {
+	r, err := NewPools(cfg, budget, defaultLayout(), func(string) brain.Decider { return decider })
 	if err != nil {
-		panic(err) // one pool is a layout
+		panic(err) // a layout with one pool is always valid
 	}
 	return r
 }
 
-// NewPools makes the state of pools around deciders that decide makes, one for each pool.
-func NewPools(cfg brain.Settings, budget int, l Layout, decide func(string) brain.Decider) (*Reducer, error) {
-	r := &Reducer{cfg: cfg, decide: decide, budget: budget, whole: budget, calls: map[uint64]*call{}, byBrain: map[string]*call{},
-		byClient: map[string]*call{}, used: [2]map[string]struct{}{{}, {}},
-		servers: map[string]*server{}, conns: map[uint64]*conn{}, byAddress: map[string][]*server{}, zoneBits: map[string]uint64{},
-		byName: map[string]*pool{}, asked: map[int]*pool{}, wishes: map[string]wish{}, caps: map[string]int{}, tallies: map[string]*ended{}}
-	if err := r.lay(l); err != nil {
+// NewPools creates the state of a balancer with the pools of a layout. newDecider creates the decider of each pool.
+func NewPools(cfg brain.Settings, budget int, l Layout, newDecider func(string) brain.Decider) (*Reducer, error) {
+	r := &Reducer{cfg: cfg, newDecider: newDecider, connBudget: budget, fullConnBudget: budget,
+		calls: map[uint64]*call{}, callsByDeciderID: map[string]*call{}, callsByClientID: map[string]*call{}, recentClientIDs: [2]map[string]struct{}{{}, {}},
+		servers: map[string]*server{}, conns: map[uint64]*conn{}, serversByAddress: map[string][]*server{}, zoneBits: map[string]uint64{},
+		poolsByName: map[string]*pool{}, poolsByID: map[int]*pool{}, nodeOverrides: map[string]nodeOverride{},
+		poolCaps: map[string]int{}, classCounts: map[string]*classCount{}}
+	if err := r.applyLayout(l); err != nil {
 		return nil, err
 	}
 	for i := range cfg.Classes {
-		r.stalls = append(r.stalls, r.stallOf(&cfg.Classes[i]))
+		r.stallEstimators = append(r.stallEstimators, r.newStallEstimator(&cfg.Classes[i]))
 	}
-	r.places = make([]place, len(cfg.Classes))
+	r.classSlots = make([]classSlot, len(cfg.Classes))
 	return r, nil
 }
 
-// FixStall sets how long an answer that stops in its middle is waited for, in place of what would be learned. It
-// belongs before the first event.
+// FixStall sets a fixed stall timeout for answers in place of the learned ones. It must be called before the first
+// event.
 func (r *Reducer) FixStall(wait time.Duration) {
-	r.stallFixed = wait
-	for i := range r.stalls {
-		r.stalls[i] = r.stallOf(&r.cfg.Classes[i])
+	r.fixedStall = wait
+	for i := range r.stallEstimators {
+		r.stallEstimators[i] = r.newStallEstimator(&r.cfg.Classes[i])
 	}
 }
 
-// Open is the number of calls that are owed an answer or have a delegation out.
+// Open returns the number of calls that still wait for an answer or have attempts that have not ended.
 func (r *Reducer) Open() int { return len(r.calls) }
 
-// Handle takes one event at a moment of the node's clock and appends the effects.
+// Handle processes one event at time now on the reducer's clock and appends the effects to carry out.
 func (r *Reducer) Handle(now time.Duration, ev Event, effects []Effect) []Effect {
-	r.now, r.out = now, effects
-	r.awake()
+	r.now, r.effects = now, effects
+	r.detectPause()
 	switch e := ev.(type) {
 	case Word:
-		r.onWord(&e)
+		r.onPeerEvent(&e)
 	case Started:
-		r.discovery = e.Discovery
-		if r.zoned {
-			r.emit(Arm{zoneTick, zoneClock{}})
+		r.discoveryAddress = e.Discovery
+		if r.hasZones {
+			r.emit(Arm{zoneTickInterval, zoneTimer{}})
 		}
-		if r.roster != nil && len(e.Known.Members) > 0 { // the word of discovery, or of the source that is trusted most
-			r.said(max(0, r.discoverySource), true, e.Known.Revision, entries(&e.Known), brain.UpdateRestored)
+		if r.roster != nil && len(e.Known.Members) > 0 { // counts as the list of discovery or, without discovery, of the first source
+			r.enqueueSourceList(max(0, r.discoverySource), true, e.Known.Revision, rosterEntries(&e.Known), brain.UpdateRestored)
 		} else {
 			r.onList(e.Known, brain.UpdateRestored)
 		}
@@ -522,24 +526,24 @@
 			r.onPublish()
 		}
 	case TurnedDown:
-		r.rejected++
+		r.reloadsRejected++
 	case Reloaded:
-		r.applied++
+		r.reloadsApplied++
 		if e.Settings != nil {
 			r.onRetuned(*e.Settings, e.Tag)
 		}
-		// Discovery has moved: the new one is asked at once, without the node's pause, since what it has to
-		// tell counts as told soon. The list in hand stays until the new one has spoken. Versions are each
-		// discovery's own, so the whole list is asked for.
-		if e.Discovery != r.discovery {
-			r.discovery, r.revision = e.Discovery, 0
+		// A changed discovery address is watched at once, without the decider's usual delay, because what the new
+		// discovery knows soon counts as announced. The current list is kept until the new one has arrived. Revisions
+		// are specific to each discovery, so the complete list is requested.
+		if e.Discovery != r.discoveryAddress {
+			r.discoveryAddress, r.listRevision = e.Discovery, 0
 			r.openWatch()
 		}
 		if e.Layout != nil {
-			if err := r.lay(*e.Layout); err != nil {
-				r.emit(Log{"pools: " + err.Error() + "; the old ones stay"})
+			if err := r.applyLayout(*e.Layout); err != nil {
+				r.emit(Log{"pools: " + err.Error() + "; keeping the current pools"})
 			} else {
-				r.enqueue(&feed{deal: true})
+				r.enqueue(&fleetJob{reassign: true})
 			}
 		}
 	case Adjusted:
@@ -561,18 +565,18 @@
 	case Exchanged:
 		r.onExchanged(e)
 	case Lost:
-		if c := r.conns[e.Conn]; c != nil && c.state == idle {
-			r.close(c) // a busy one ends with its Exchanged
+		if cn := r.conns[e.Conn]; cn != nil && cn.state == idle {
+			r.close(cn) // a busy connection ends with its Exchanged event
 		}
 	case Listed:
-		if e.Watch == r.watch {
+		if e.Watch == r.watchID {
 			switch {
 			case r.roster != nil && r.discoverySource >= 0:
-				r.revision = max(r.revision, e.List.Revision)
+				r.listRevision = max(r.listRevision, e.List.Revision)
 				if e.List.Complete {
-					r.revision = e.List.Revision
+					r.listRevision = e.List.Revision
 				}
-				r.said(r.discoverySource, e.List.Complete, e.List.Revision, entries(&e.List), brain.UpdateChanges)
+				r.enqueueSourceList(r.discoverySource, e.List.Complete, e.List.Revision, rosterEntries(&e.List), brain.UpdateChanges)
 			case r.roster != nil:
 			case e.List.Complete:
 				r.onList(e.List, brain.UpdateFull)
@@ -581,36 +585,36 @@
 			}
 		}
 	case WatchEnded:
-		if e.Watch != r.watch {
+		if e.Watch != r.watchID {
 			break
 		}
-		r.watching = false
+		r.watchOpen = false
 		r.emit(Log{"registry: watch ended: " + e.Err.Error()})
 		r.onSourceBroke(r.discoverySource, e.Err)
 		if r.cfg.AskDiscovery {
-			r.tell(r.asker, &brain.FleetUpdate{Kind: brain.UpdateAskFailed})
+			r.notify(r.discoveryPool, &brain.FleetUpdate{Kind: brain.UpdateAskFailed})
 		} else {
-			r.emit(Arm{r.watchPause(), rewatch{}})
+			r.emit(Arm{r.watchPause(), reopenWatchTimer{}})
 		}
-	case timer:
-		r.tell(e.pool, &brain.TimerFired{Cookie: e.cookie})
-	case deadline:
+	case deciderTimer:
+		r.notify(e.pool, &brain.TimerFired{Cookie: e.cookie})
+	case callDeadline:
 		r.onDeadline(e.call)
-	case sweep:
+	case idleSweepTimer:
 		r.onSweep()
-	case rewatch:
-		if !r.watching {
+	case reopenWatchTimer:
+		if !r.watchOpen {
 			r.openWatch()
 		}
-	case regroup:
-		r.onRegroup()
-	case more:
-		if len(r.feeds) > 0 {
-			r.feedOn()
+	case nextPeerChange:
+		r.onNextPeerChange()
+	case nextSlice:
+		if len(r.jobs) > 0 {
+			r.runJobSlice()
 		}
-	case retuneRest:
-		r.onRetuneRest()
-	case zoneClock:
+	case nextRetuneSlice:
+		r.retuneNextSlice()
+	case zoneTimer:
 		r.onZoneTick()
 	case Operator:
 		r.onOperator(e.Changes)
@@ -618,79 +622,80 @@
 			r.emit(Tell{e.Done})
 		}
 	case Look:
-		v := r.look(e.From)
+		v := r.buildView(e.From)
 		r.emit(Tell{func() { e.To(v) }})
 	case Said:
 		if r.roster != nil {
-			r.said(e.Source, e.Whole, e.Revision, e.Entries, brain.UpdateChanges)
+			r.enqueueSourceList(e.Source, e.Whole, e.Revision, e.Entries, brain.UpdateChanges)
 		}
 	case Heard:
 		if r.roster != nil {
 			r.roster.Heard(r.now, e.Source)
-			r.rosterNext()
+			r.pollRoster()
 		}
 	case SourceBroke:
 		r.onSourceBroke(e.Source, e.Err)
-	case rosterTick:
+	case rosterTimer:
 		r.onRosterTick()
 	case Drain:
-		r.onTurn(true, e.Done)
+		r.setDraining(true, e.Done)
 	case Activate:
-		r.onTurn(false, e.Done)
+		r.setDraining(false, e.Done)
 	case Beside:
-		r.onBeside(e.Others)
-	case part:
-		r.onPart(e.turn)
-	case publish:
+		r.onProcessesChanged(e.Others)
+	case closeClientsTimer:
+		r.onCloseClients(e.epoch)
+	case publishTimer:
 		r.onPublish()
 	}
-	effects, r.out = r.out, nil
+	effects, r.effects = r.effects, nil
 	return effects
 }
 
-func (r *Reducer) emit(e Effect) { r.out = append(r.out, e) }
+func (r *Reducer) emit(e Effect) { r.effects = append(r.effects, e) }
 
-// word is an event for the node of a pool.
-type word struct {
+// deciderEvent is an event for the decider of a pool.
+type deciderEvent struct {
 	pool *pool
 	ev   brain.Event
 }
 
-// tell hands the node of a pool an event, carries out what it asks for, and goes on with what that brings about.
-func (r *Reducer) tell(p *pool, ev brain.Event) {
-	r.pending = append(r.pending, word{p, ev})
-	if len(r.pending) > 1 {
-		return // the loop below, further up the stack, takes it in turn
+// notify sends an event to the decider of a pool and executes the resulting actions, including those of events that
+// these actions trigger in turn.
+func (r *Reducer) notify(p *pool, ev brain.Event) {
+	r.deciderEvents = append(r.deciderEvents, deciderEvent{p, ev})
+	if len(r.deciderEvents) > 1 {
+		return // the loop of the outer call of notify handles it
 	}
-	for i := 0; i < len(r.pending); i++ {
-		w := r.pending[i]
-		acts := w.pool.node.Handle(r.now, w.ev, r.acts[:0])
-		r.acts = acts
-		for j := range acts {
-			r.act(w.pool, &acts[j])
+	for i := 0; i < len(r.deciderEvents); i++ {
+		next := r.deciderEvents[i]
+		actions := next.pool.decider.Handle(r.now, next.ev, r.actions[:0])
+		r.actions = actions
+		for j := range actions {
+			r.execute(next.pool, &actions[j])
 		}
 	}
-	clear(r.pending)
-	r.pending = r.pending[:0]
+	clear(r.deciderEvents)
+	r.deciderEvents = r.deciderEvents[:0]
 }
 
-func (r *Reducer) act(p *pool, a *brain.Action) {
+func (r *Reducer) execute(p *pool, a *brain.Action) {
 	switch a.Kind {
 	case brain.Send:
-		r.send(r.byBrain[a.ID], a)
+		r.startAttempt(r.callsByDeciderID[a.ID], a)
 	case brain.Cancel:
-		if c := r.byBrain[a.ID]; c != nil && a.Attempt < len(c.delegations) {
-			if d := c.delegations[a.Attempt]; !d.over && d != c.flow {
-				r.abandon(d)
-				r.end(d, brain.Cancelled, nil)
+		if c := r.callsByDeciderID[a.ID]; c != nil && a.Attempt < len(c.attempts) {
+			if att := c.attempts[a.Attempt]; !att.ended && att != c.committed {
+				r.abandon(att)
+				r.endAttempt(att, brain.Cancelled, nil)
 			}
 		}
 	case brain.Refuse:
-		r.answer(r.byBrain[a.ID], Reply{Kind: Refused, After: a.After})
+		r.answer(r.callsByDeciderID[a.ID], Reply{Kind: Refused, After: a.After})
 	case brain.Fail:
-		r.answer(r.byBrain[a.ID], Reply{Kind: Failed})
+		r.answer(r.callsByDeciderID[a.ID], Reply{Kind: Failed})
 	case brain.SetTimer:
-		r.emit(Arm{a.After, timer{p, a.Cookie}})
+		r.emit(Arm{a.After, deciderTimer{p, a.Cookie}})
 	case brain.CloseIdle:
 		if s := r.servers[a.Server]; s != nil {
 			for len(s.idle) > 0 {
@@ -698,40 +703,40 @@
 			}
 		}
 	case brain.Subscribe:
-		if !r.watching { // a reload may have come first
+		if !r.watchOpen { // a Reloaded event may have opened it already
 			r.openWatch()
 		}
 	case brain.Note:
 		r.emit(Log{"node: " + a.Text})
-	case brain.Probe: // no platform of ours permits it; the settings keep the node from asking
-		r.tell(p, &brain.ProbeEnded{Server: a.Server, Outcome: brain.NeverSent})
+	case brain.Probe: // never allowed by our platforms; the settings keep the decider from probing
+		r.notify(p, &brain.ProbeEnded{Server: a.Server, Outcome: brain.NeverSent})
 	}
 }
 
-func (Started) event()     {}
-func (Reloaded) event()    {}
-func (TurnedDown) event()  {}
-func (Arrived) event()     {}
-func (Uploaded) event()    {}
-func (ClientGone) event()  {}
-func (Dialed) event()      {}
-func (Flowing) event()     {}
-func (Exchanged) event()   {}
-func (Lost) event()        {}
-func (Listed) event()      {}
-func (WatchEnded) event()  {}
-func (timer) event()       {}
-func (deadline) event()    {}
-func (sweep) event()       {}
-func (rewatch) event()     {}
-func (more) event()        {}
-func (zoneClock) event()   {}
-func (Operator) event()    {}
-func (Look) event()        {}
-func (Said) event()        {}
-func (Heard) event()       {}
-func (SourceBroke) event() {}
-func (rosterTick) event()  {}
+func (Started) event()          {}
+func (Reloaded) event()         {}
+func (TurnedDown) event()       {}
+func (Arrived) event()          {}
+func (Uploaded) event()         {}
+func (ClientGone) event()       {}
+func (Dialed) event()           {}
+func (Flowing) event()          {}
+func (Exchanged) event()        {}
+func (Lost) event()             {}
+func (Listed) event()           {}
+func (WatchEnded) event()       {}
+func (deciderTimer) event()     {}
+func (callDeadline) event()     {}
+func (idleSweepTimer) event()   {}
+func (reopenWatchTimer) event() {}
+func (nextSlice) event()        {}
+func (zoneTimer) event()        {}
+func (Operator) event()         {}
+func (Look) event()             {}
+func (Said) event()             {}
+func (Heard) event()            {}
+func (SourceBroke) event()      {}
+func (rosterTimer) event()      {}
 
 func (Answer) effect()   {}
 func (Dial) effect()     {}
