--- a/internal/reducer/reducer_test.go
+++ b/internal/reducer/reducer_test.go
@@ -43,279 +43,279 @@
 
 // world drives a reducer by hand. It keeps the model: the states of each connection as the effects imply them,
 // and what each call is owed. Every effect is checked against it.
-type world struct {
+type harness struct {
 	t interface {
 		Fatalf(string, ...any)
 		Helper()
 	}
-	cfg      brain.Settings
-	r        *Reducer
-	now      time.Duration
-	conns    map[uint64]connState
-	idleAt   map[uint64]time.Duration
-	calls    map[uint64]*owed
-	last     uint64
-	timers   []due
-	owner    map[string]due           // by client's id: the call last delegated under it, and when
-	took     []Effect                 // of the last event
-	parts    []Part                   // asked for so far
-	heedless bool                     // its deciders send to app nodes that drain
-	left     map[string]time.Duration // app nodes that are not in service, by the list, since when
+	cfg             brain.Settings
+	r               *Reducer
+	now             time.Duration
+	conns           map[uint64]connState
+	idleAt          map[uint64]time.Duration
+	calls           map[uint64]*callModel
+	last            uint64
+	timers          []scheduledEvent
+	lastByClientID  map[string]scheduledEvent // by client's id: the call last delegated under it, and when
+	effects         []Effect                  // of the last event
+	closes          []Part                    // asked for so far
+	sendsToDraining bool                      // its deciders send to app nodes that drain
+	notReadySince   map[string]time.Duration  // app nodes that are not in service, by the list, since when
 
-	figures *Figures          // as last published
-	onto    map[uint64]uint64 // the call that a connection carries
-	met     map[string]int    // transitions of connections and calls, kept from run to run
+	figures     *Figures          // as last published
+	callOn      map[uint64]uint64 // the call that a connection carries
+	transitions map[string]int    // transitions of connections and calls, kept from run to run
 }
 
-var names = map[connState]string{dialing: "dialing", busy: "busy", flowing: "flowing", idle: "idle", closed: "closed"}
+var stateNames = map[connState]string{dialing: "dialing", busy: "busy", flowing: "flowing", idle: "idle", closed: "closed"}
 
 // turn puts a connection in a state.
-func (w *world) turn(conn uint64, to connState) {
+func (h *harness) setState(conn uint64, to connState) {
 	from := "nothing"
-	if s, ok := w.conns[conn]; ok {
-		from = names[s]
+	if s, ok := h.conns[conn]; ok {
+		from = stateNames[s]
 	}
-	w.conns[conn] = to
-	w.met["connection: "+from+" to "+names[to]]++
+	h.conns[conn] = to
+	h.transitions["connection: "+from+" to "+stateNames[to]]++
 }
 
 // becomes notes what became of a call.
-func (w *world) becomes(what string) { w.met["call: "+what]++ }
+func (h *harness) record(what string) { h.transitions["call: "+what]++ }
 
-type owed struct {
-	deadline time.Duration
-	wait     time.Duration // of an upload, from its last byte
-	late     bool          // it flows past that
-	answers  int
-	gone     bool
-	spent    bool   // its body is gone
-	flow     uint64 // the connection that its answer flows on; 0: none, or no more
-	reply    Reply
+type callModel struct {
+	deadline     time.Duration
+	timeout      time.Duration // of an upload, from its last byte
+	pastDeadline bool          // it flows past that
+	answers      int
+	clientGone   bool
+	bodyUsed     bool   // its body is gone
+	flow         uint64 // the connection that its answer flows on; 0: none, or no more
+	reply        Reply
 }
 
-type due struct {
-	at time.Duration
-	ev Event
+type scheduledEvent struct {
+	at    time.Duration
+	event Event
 }
 
-func newWorld(t *testing.T, budget int, addresses ...string) *world {
-	return (&world{t: t, now: time.Hour, cfg: settings()}).start(budget, addresses...)
+func newHarness(t *testing.T, budget int, addresses ...string) *harness {
+	return (&harness{t: t, now: time.Hour, cfg: settings()}).start(budget, addresses...)
 }
 
-func (w *world) start(budget int, addresses ...string) *world {
-	r, err := New(w.cfg, 7, budget)
+func (h *harness) start(budget int, addresses ...string) *harness {
+	r, err := New(h.cfg, 7, budget)
 	if err != nil {
-		w.t.Fatalf("%v", err)
+		h.t.Fatalf("%v", err)
 	}
-	w.owner, w.onto, w.left = map[string]due{}, map[uint64]uint64{}, map[string]time.Duration{}
-	if w.met == nil {
-		w.met = map[string]int{}
+	h.lastByClientID, h.callOn, h.notReadySince = map[string]scheduledEvent{}, map[uint64]uint64{}, map[string]time.Duration{}
+	if h.transitions == nil {
+		h.transitions = map[string]int{}
 	}
-	w.r, w.conns, w.idleAt, w.calls = r, map[uint64]connState{}, map[uint64]time.Duration{}, map[uint64]*owed{}
-	w.do(Started{Known: list(true, brain.Ready, addresses...), Discovery: "d:1"})
-	return w
+	h.r, h.conns, h.idleAt, h.calls = r, map[uint64]connState{}, map[uint64]time.Duration{}, map[uint64]*callModel{}
+	h.do(Started{Known: list(true, brain.Ready, addresses...), Discovery: "d:1"})
+	return h
 }
 
-func (w *world) do(ev Event) []Effect {
-	w.t.Helper()
-	w.took = w.r.Handle(w.now, ev, nil)
-	for _, e := range w.took {
+func (h *harness) do(ev Event) []Effect {
+	h.t.Helper()
+	h.effects = h.r.Handle(h.now, ev, nil)
+	for _, e := range h.effects {
 		switch e := e.(type) {
 		case Dial:
-			if _, ok := w.conns[e.Conn]; ok {
-				w.t.Fatalf("connection %d dialed twice", e.Conn)
+			if _, ok := h.conns[e.Conn]; ok {
+				h.t.Fatalf("connection %d dialed twice", e.Conn)
 			}
-			w.turn(e.Conn, dialing)
+			h.setState(e.Conn, dialing)
 		case Exchange:
-			if s, ok := w.conns[e.Conn]; !ok || s != idle {
-				w.t.Fatalf("exchange on connection %d, which is %v", e.Conn, s)
+			if s, ok := h.conns[e.Conn]; !ok || s != idle {
+				h.t.Fatalf("exchange on connection %d, which is %v", e.Conn, s)
 			}
-			if at, ok := w.idleAt[e.Conn]; ok && w.now-at >= w.r.idleFor() {
-				w.t.Fatalf("connection %d used after %v idle", e.Conn, w.now-at)
+			if at, ok := h.idleAt[e.Conn]; ok && h.now-at >= h.r.idleLimit() {
+				h.t.Fatalf("connection %d used after %v idle", e.Conn, h.now-at)
 			}
-			if c := w.calls[e.Call.ID]; c.answers > 0 || c.gone || c.spent {
-				w.t.Fatalf("call %d goes out though nothing may: %+v", e.Call.ID, c)
+			if c := h.calls[e.Call.ID]; c.answers > 0 || c.clientGone || c.bodyUsed {
+				h.t.Fatalf("call %d goes out though nothing may: %+v", e.Call.ID, c)
 			}
-			k := w.r.conns[e.Conn]
-			if at, ok := w.left[k.srv.id]; ok && w.now-at >= w.cfg.Rules.DrainGrace && !(w.heedless && k.delg.sent >= at) {
-				w.t.Fatalf("call %d goes to an app node %v after it was told to drain", e.Call.ID, w.now-at)
+			cn := h.r.conns[e.Conn]
+			if at, ok := h.notReadySince[cn.srv.id]; ok && h.now-at >= h.cfg.Rules.DrainGrace && !(h.sendsToDraining && cn.attempt.startedAt >= at) {
+				h.t.Fatalf("call %d goes to an app node %v after it was told to drain", e.Call.ID, h.now-at)
 			}
-			if c := w.calls[e.Call.ID]; w.now >= c.deadline-answerMargin {
-				w.t.Fatalf("call %d goes out %v before its time is over", e.Call.ID, c.deadline-w.now)
+			if c := h.calls[e.Call.ID]; h.now >= c.deadline-answerMargin {
+				h.t.Fatalf("call %d goes out %v before its time is over", e.Call.ID, c.deadline-h.now)
 			}
 			if e.Stall <= 0 || e.FlowStall <= e.Stall {
-				w.t.Fatalf("waits of %v and %v", e.Stall, e.FlowStall)
+				h.t.Fatalf("waits of %v and %v", e.Stall, e.FlowStall)
 			}
-			w.turn(e.Conn, busy)
-			w.onto[e.Conn] = e.Call.ID
+			h.setState(e.Conn, busy)
+			h.callOn[e.Conn] = e.Call.ID
 			if e.Call.OneShot {
-				w.calls[e.Call.ID].deadline = 1 << 62 // no time runs while its body is on its way
+				h.calls[e.Call.ID].deadline = 1 << 62 // no time runs while its body is on its way
 			}
 			if id := e.Call.ClientID; id != "" {
-				by, ok := w.owner[id].ev.(deadline)
-				if ok && by.call != e.Call.ID && w.calls[by.call].reply.Kind != Rejected && w.now-w.owner[id].at < idKept {
-					w.t.Fatalf("calls %d and %d were both delegated as %s", by.call, e.Call.ID, id)
+				by, ok := h.lastByClientID[id].event.(callDeadline)
+				if ok && by.call != e.Call.ID && h.calls[by.call].reply.Kind != Rejected && h.now-h.lastByClientID[id].at < clientIDRetention {
+					h.t.Fatalf("calls %d and %d were both delegated as %s", by.call, e.Call.ID, id)
 				}
-				w.owner[id] = due{w.now, deadline{e.Call.ID}}
+				h.lastByClientID[id] = scheduledEvent{h.now, callDeadline{e.Call.ID}}
 			}
 		case Close:
-			if s, ok := w.conns[e.Conn]; !ok || s == closed {
-				w.t.Fatalf("connection %d given back twice", e.Conn)
+			if s, ok := h.conns[e.Conn]; !ok || s == closed {
+				h.t.Fatalf("connection %d given back twice", e.Conn)
 			}
-			if c := w.calls[w.onto[e.Conn]]; w.conns[e.Conn] == flowing && c.flow == e.Conn {
+			if c := h.calls[h.callOn[e.Conn]]; h.conns[e.Conn] == flowing && c.flow == e.Conn {
 				c.flow = 0
-				if !c.gone {
-					w.t.Fatalf("call %d was cut while it flowed, by %T", w.onto[e.Conn], ev)
+				if !c.clientGone {
+					h.t.Fatalf("call %d was cut while it flowed, by %T", h.callOn[e.Conn], ev)
 				}
-				w.becomes("flowing, the client left")
+				h.record("flowing, the client left")
 			}
-			w.turn(e.Conn, closed)
+			h.setState(e.Conn, closed)
 		case Answer:
-			c := w.calls[e.Call]
-			if c.answers++; c.answers > 1 || c.gone {
-				w.t.Fatalf("call %d: answer %d, client gone: %v", e.Call, c.answers, c.gone)
+			c := h.calls[e.Call]
+			if c.answers++; c.answers > 1 || c.clientGone {
+				h.t.Fatalf("call %d: answer %d, client gone: %v", e.Call, c.answers, c.clientGone)
 			}
-			if w.now > c.deadline {
-				w.t.Fatalf("call %d answered %v late", e.Call, w.now-c.deadline)
+			if h.now > c.deadline {
+				h.t.Fatalf("call %d answered %v late", e.Call, h.now-c.deadline)
 			}
 			c.reply = e.Reply
 			if conn, ok := e.Reply.Message.(uint64); ok {
-				if w.conns[conn] != busy || w.onto[conn] != e.Call {
-					w.t.Fatalf("call %d is to flow on connection %d, which is %v and carries %d", e.Call, conn, w.conns[conn], w.onto[conn])
+				if h.conns[conn] != busy || h.callOn[conn] != e.Call {
+					h.t.Fatalf("call %d is to flow on connection %d, which is %v and carries %d", e.Call, conn, h.conns[conn], h.callOn[conn])
 				}
 				c.flow = conn
-				w.turn(conn, flowing)
+				h.setState(conn, flowing)
 			}
-			w.becomes(fmt.Sprintf("answered, kind %d, flowing %v", e.Reply.Kind, c.flow != 0))
+			h.record(fmt.Sprintf("answered, kind %d, flowing %v", e.Reply.Kind, c.flow != 0))
 		case Publish:
-			w.figures = e.Figures
+			h.figures = e.Figures
 		case Part:
-			w.parts = append(w.parts, e)
+			h.closes = append(h.closes, e)
 		case Arm:
-			w.timers = append(w.timers, due{w.now + e.After, e.Event})
+			h.timers = append(h.timers, scheduledEvent{h.now + e.After, e.Event})
 		}
 	}
-	for _, c := range w.calls {
-		if c.flow != 0 && w.now > c.deadline && !c.late {
-			c.late = true
-			w.becomes("flowing, past its deadline")
+	for _, c := range h.calls {
+		if c.flow != 0 && h.now > c.deadline && !c.pastDeadline {
+			c.pastDeadline = true
+			h.record("flowing, past its deadline")
 		}
 	}
-	if c := w.r.counts; c.active() < 0 || c.active() > w.r.Open() {
-		w.t.Fatalf("%d calls active of %d open: %+v", c.active(), w.r.Open(), c)
+	if c := h.r.counts; c.active() < 0 || c.active() > h.r.Open() {
+		h.t.Fatalf("%d calls active of %d open: %+v", c.active(), h.r.Open(), c)
 	}
 	byServer, seen := 0, map[*server]bool{}
-	for _, k := range w.r.conns {
-		if !seen[k.srv] {
-			byServer += len(k.srv.conns)
+	for _, cn := range h.r.conns {
+		if !seen[cn.srv] {
+			byServer += len(cn.srv.conns)
 		}
-		seen[k.srv] = true
+		seen[cn.srv] = true
 	}
-	if open := len(w.in(dialing)) + len(w.in(busy)) + len(w.in(flowing)) + len(w.in(idle)); open > w.r.budget ||
-		open != len(w.r.conns) || open != byServer {
-		w.t.Fatalf("%d connections open, the reducer holds %d, the budget is %d", open, len(w.r.conns), w.r.budget)
+	if open := len(h.inState(dialing)) + len(h.inState(busy)) + len(h.inState(flowing)) + len(h.inState(idle)); open > h.r.connBudget ||
+		open != len(h.r.conns) || open != byServer {
+		h.t.Fatalf("%d connections open, the reducer holds %d, the budget is %d", open, len(h.r.conns), h.r.connBudget)
 	}
-	return w.took
+	return h.effects
 }
 
 // in lists the connections in a state, lowest id first.
-func (w *world) in(s connState) (ids []uint64) {
-	for id := uint64(1); id <= w.r.lastConn; id++ {
-		if have, ok := w.conns[id]; ok && have == s {
+func (h *harness) inState(s connState) (ids []uint64) {
+	for id := uint64(1); id <= h.r.lastConnID; id++ {
+		if have, ok := h.conns[id]; ok && have == s {
 			ids = append(ids, id)
 		}
 	}
 	return ids
 }
 
-func (w *world) call(class int, wait time.Duration) uint64 { return w.callAs("", class, wait) }
+func (h *harness) arrive(class int, wait time.Duration) uint64 { return h.arriveAs("", class, wait) }
 
-func (w *world) callAs(id string, class int, wait time.Duration) uint64 {
-	w.last++
-	w.calls[w.last] = &owed{deadline: w.now + wait}
-	w.do(Arrived{&Call{ID: w.last, ClientID: id, Class: class, Tenant: -1, Deadline: w.now + wait}})
-	return w.last
+func (h *harness) arriveAs(id string, class int, wait time.Duration) uint64 {
+	h.last++
+	h.calls[h.last] = &callModel{deadline: h.now + wait}
+	h.do(Arrived{&Call{ID: h.last, ClientID: id, Class: class, Tenant: -1, Deadline: h.now + wait}})
+	return h.last
 }
 
 // gone has the client of a call leave.
-func (w *world) gone(id uint64) {
-	if c := w.calls[id]; c.answers == 0 || c.flow != 0 {
-		c.gone = true
+func (h *harness) clientGone(id uint64) {
+	if c := h.calls[id]; c.answers == 0 || c.flow != 0 {
+		c.clientGone = true
 	}
-	w.do(ClientGone{id})
+	h.do(ClientGone{id})
 }
 
 // flows has the answer on a connection ask to be committed, and says whether it was.
-func (w *world) flows(conn uint64, result Result) bool {
-	w.do(Flowing{Conn: conn, Result: result, Message: conn})
-	return w.conns[conn] == flowing
+func (h *harness) startFlow(conn uint64, result Result) bool {
+	h.do(Flowing{Conn: conn, Result: result, Message: conn})
+	return h.conns[conn] == flowing
 }
 
 // uploaded has the last byte of a body come, where it was on its way.
-func (w *world) uploaded(id uint64) {
-	if c := w.r.calls[id]; c != nil && c.open {
-		w.calls[id].deadline = w.now + w.calls[id].wait
+func (h *harness) uploaded(id uint64) {
+	if c := h.r.calls[id]; c != nil && c.uploading {
+		h.calls[id].deadline = h.now + h.calls[id].timeout
 	}
-	w.do(Uploaded{id, w.now})
+	h.do(Uploaded{id, h.now})
 }
 
-func (w *world) dialed(id uint64, err error) {
+func (h *harness) dialed(id uint64, err error) {
 	if err == nil {
-		w.turn(id, idle) // in the shell's eyes; used or not is the reducer's word
+		h.setState(id, idle) // in the shell's eyes; used or not is the reducer's word
 	}
-	w.do(Dialed{id, err})
+	h.do(Dialed{id, err})
 }
 
-func (w *world) listed(l List) []Effect {
+func (h *harness) listed(l List) []Effect {
 	for _, m := range l.Members {
-		if _, ok := w.left[m.Server]; m.State == brain.Ready {
-			delete(w.left, m.Server)
+		if _, ok := h.notReadySince[m.Server]; m.State == brain.Ready {
+			delete(h.notReadySince, m.Server)
 		} else if !ok {
-			w.left[m.Server] = w.now
+			h.notReadySince[m.Server] = h.now
 		}
 	}
-	return w.do(Listed{w.r.watch, l})
+	return h.do(Listed{h.r.watchID, l})
 }
 
-func (w *world) exchanged(e Exchanged) {
+func (h *harness) exchanged(e Exchanged) {
 	if e.Result != Broke && e.Result != Stalled && e.Reuse && e.Written == Whole {
-		w.turn(e.Conn, idle)
-		w.idleAt[e.Conn] = w.now
+		h.setState(e.Conn, idle)
+		h.idleAt[e.Conn] = h.now
 	}
-	c := w.calls[w.onto[e.Conn]]
+	c := h.calls[h.callOn[e.Conn]]
 	if e.Result == Left && e.Written == Nothing && c.answers == 0 {
-		c.gone = true
-		w.becomes("seen to have left at the last look")
+		c.clientGone = true
+		h.record("seen to have left at the last look")
 	}
-	if c.spent = c.spent || e.Spent; c.flow == e.Conn {
+	if c.bodyUsed = c.bodyUsed || e.Spent; c.flow == e.Conn {
 		c.flow = 0
-		w.becomes(fmt.Sprintf("flowing, ended with result %d", e.Result))
+		h.record(fmt.Sprintf("flowing, ended with result %d", e.Result))
 	}
-	w.do(e)
+	h.do(e)
 }
 
 // pass lets time go by, firing what is due in order.
-func (w *world) pass(d time.Duration) {
-	for end := w.now + d; ; {
+func (h *harness) advance(d time.Duration) {
+	for end := h.now + d; ; {
 		first := -1
-		for i := range w.timers {
-			if w.timers[i].at <= end && (first < 0 || w.timers[i].at < w.timers[first].at) {
+		for i := range h.timers {
+			if h.timers[i].at <= end && (first < 0 || h.timers[i].at < h.timers[first].at) {
 				first = i
 			}
 		}
 		if first < 0 {
-			w.now = end
+			h.now = end
 			return
 		}
-		next := w.timers[first]
-		w.timers = append(w.timers[:first], w.timers[first+1:]...)
-		w.now = max(w.now, next.at)
-		w.do(next.ev)
+		next := h.timers[first]
+		h.timers = append(h.timers[:first], h.timers[first+1:]...)
+		h.now = max(h.now, next.at)
+		h.do(next.event)
 	}
 }
 
 // good is a whole answer on a connection that carries on.
-func good(conn uint64) Exchanged {
+func goodAnswer(conn uint64) Exchanged {
 	return Exchanged{Conn: conn, Written: Whole, Result: Good, Reuse: true}
 }
 
@@ -326,11 +326,11 @@
 func TestConnectionsAndCallsKeepToTheModel(t *testing.T) {
 	met := map[string]int{}
 	rapid.Check(t, func(t *rapid.T) {
-		w := &world{t: t, now: time.Hour, cfg: settings(), met: met}
-		w.cfg.CanCancel = rapid.Bool().Draw(t, "cancel") // without, answers come after the call is over
-		w.start(rapid.IntRange(1, 6).Draw(t, "budget"), "a:1", "b:1", "c:1")
+		h := &harness{t: t, now: time.Hour, cfg: settings(), transitions: met}
+		h.cfg.CanCancel = rapid.Bool().Draw(t, "cancel") // without, answers come after the call is over
+		h.start(rapid.IntRange(1, 6).Draw(t, "budget"), "a:1", "b:1", "c:1")
 		pick := func(s connState) (uint64, bool) {
-			ids := w.in(s)
+			ids := h.inState(s)
 			if len(ids) == 0 {
 				return 0, false
 			}
@@ -338,33 +338,33 @@
 		}
 		t.Repeat(map[string]func(*rapid.T){
 			"upload": func(t *rapid.T) {
-				w.last++
+				h.last++
 				wait := time.Duration(rapid.IntRange(0, 700).Draw(t, "wait")) * ms
-				w.calls[w.last] = &owed{deadline: w.now + wait, wait: wait}
-				w.do(Arrived{&Call{ID: w.last, Class: rapid.IntRange(0, 1).Draw(t, "class"), Tenant: -1, Deadline: w.now + wait, OneShot: true}})
+				h.calls[h.last] = &callModel{deadline: h.now + wait, timeout: wait}
+				h.do(Arrived{&Call{ID: h.last, Class: rapid.IntRange(0, 1).Draw(t, "class"), Tenant: -1, Deadline: h.now + wait, OneShot: true}})
 			},
 			"uploaded": func(t *rapid.T) {
-				if w.last > 0 {
-					w.uploaded(rapid.Uint64Range(1, w.last).Draw(t, "call"))
+				if h.last > 0 {
+					h.uploaded(rapid.Uint64Range(1, h.last).Draw(t, "call"))
 				}
 			},
 			"call": func(t *rapid.T) {
-				w.callAs(rapid.SampledFrom([]string{"", "x", "y"}).Draw(t, "id"), rapid.IntRange(0, 1).Draw(t, "class"),
+				h.arriveAs(rapid.SampledFrom([]string{"", "x", "y"}).Draw(t, "id"), rapid.IntRange(0, 1).Draw(t, "class"),
 					time.Duration(rapid.IntRange(0, 700).Draw(t, "wait"))*ms)
 			},
 			"client gone": func(t *rapid.T) {
-				if w.last > 0 {
-					w.gone(rapid.Uint64Range(1, w.last).Draw(t, "call"))
+				if h.last > 0 {
+					h.clientGone(rapid.Uint64Range(1, h.last).Draw(t, "call"))
 				}
 			},
 			"dialed": func(t *rapid.T) {
 				if id, ok := pick(dialing); ok {
-					w.dialed(id, rapid.SampledFrom([]error{nil, nil, errDown}).Draw(t, "err"))
+					h.dialed(id, rapid.SampledFrom([]error{nil, nil, errDown}).Draw(t, "err"))
 				}
 			},
 			"exchanged": func(t *rapid.T) {
 				if id, ok := pick(busy); ok {
-					e := Exchanged{Conn: id, Written: rapid.SampledFrom([]Written{Nothing, Partly, Whole}).Draw(t, "written")}
+					e := Exchanged{Conn: id, Written: rapid.SampledFrom([]WriteProgress{Nothing, Partly, Whole}).Draw(t, "written")}
 					if e.Written == Nothing && rapid.Bool().Draw(t, "left") {
 						e.Result = Left
 					}
@@ -373,108 +373,108 @@
 						e.Reuse = e.Result > Stalled && rapid.Bool().Draw(t, "reuse")
 						e.Report = []float64{float64(rapid.IntRange(0, 9).Draw(t, "queue"))}
 						e.Pause = time.Duration(rapid.IntRange(0, 90).Draw(t, "pause")) * ms
-						e.Spent = w.r.calls[w.onto[id]].OneShot && rapid.Bool().Draw(t, "spent")
+						e.Spent = h.r.calls[h.callOn[id]].OneShot && rapid.Bool().Draw(t, "spent")
 					}
-					if c := w.r.calls[w.onto[id]]; c.OneShot && !e.Spent && c.open {
-						w.calls[c.ID].deadline = max(w.now, c.came+w.calls[c.ID].wait)
+					if c := h.r.calls[h.callOn[id]]; c.OneShot && !e.Spent && c.uploading {
+						h.calls[c.ID].deadline = max(h.now, c.arrivedAt+h.calls[c.ID].timeout)
 					}
-					w.exchanged(e)
+					h.exchanged(e)
 				}
 			},
 			"commit": func(t *rapid.T) {
 				if id, ok := pick(busy); ok {
-					w.flows(id, rapid.SampledFrom([]Result{Good, Good, Unusable}).Draw(t, "result"))
+					h.startFlow(id, rapid.SampledFrom([]Result{Good, Good, Unusable}).Draw(t, "result"))
 				}
 			},
 			"flow ends": func(t *rapid.T) {
 				if id, ok := pick(flowing); ok {
 					r := rapid.SampledFrom([]Result{Broke, Stalled, Good, Good, Left}).Draw(t, "result")
-					w.exchanged(Exchanged{Conn: id, Written: Whole, Result: r, Reuse: r == Good && rapid.Bool().Draw(t, "reuse"),
+					h.exchanged(Exchanged{Conn: id, Written: Whole, Result: r, Reuse: r == Good && rapid.Bool().Draw(t, "reuse"),
 						Report: []float64{1}, Pause: ms, Err: errDown})
 				}
 			},
 			"late events": func(t *rapid.T) {
 				if id, ok := pick(closed); ok {
-					w.do(Flowing{Conn: id, Message: id})
-					w.do(good(id))
-					w.do(Lost{id})
-					w.do(Dialed{Conn: id})
+					h.do(Flowing{Conn: id, Message: id})
+					h.do(goodAnswer(id))
+					h.do(Lost{id})
+					h.do(Dialed{Conn: id})
 				}
 			},
 			"lost": func(t *rapid.T) {
 				if id, ok := pick(idle); ok {
-					w.do(Lost{id})
+					h.do(Lost{id})
 				}
 			},
 			"list": func(t *rapid.T) {
 				state := rapid.SampledFrom([]brain.Readiness{brain.Ready, brain.Draining, brain.Gone}).Draw(t, "state")
-				w.listed(list(rapid.Bool().Draw(t, "complete"), state,
+				h.listed(list(rapid.Bool().Draw(t, "complete"), state,
 					rapid.SampledFrom([]string{"a:1", "a:2", ""}).Draw(t, "address")))
-				w.do(WatchEnded{w.r.watch, errDown})
-				w.do(Reloaded{Discovery: rapid.SampledFrom([]string{"d:1", "d:2"}).Draw(t, "discovery")})
+				h.do(WatchEnded{h.r.watchID, errDown})
+				h.do(Reloaded{Discovery: rapid.SampledFrom([]string{"d:1", "d:2"}).Draw(t, "discovery")})
 			},
 			"operators": func(t *rapid.T) {
 				if rapid.Bool().Draw(t, "away") {
-					w.do(Drain{})
+					h.do(Drain{})
 				} else {
-					w.do(Activate{})
+					h.do(Activate{})
 				}
 			},
 			"time": func(t *rapid.T) {
-				w.pass(time.Duration(rapid.SampledFrom([]int{1, 10, 100, 1500}).Draw(t, "ms")) * ms)
+				h.advance(time.Duration(rapid.SampledFrom([]int{1, 10, 100, 1500}).Draw(t, "ms")) * ms)
 			},
 		})
 		for range 2 { // what is held goes out when others end
-			for id := range w.last {
-				w.uploaded(id + 1)
+			for id := range h.last {
+				h.uploaded(id + 1)
 			}
-			for _, id := range w.in(flowing) { // no deadline ends those
-				w.exchanged(Exchanged{Conn: id, Written: Whole, Result: Good})
+			for _, id := range h.inState(flowing) { // no deadline ends those
+				h.exchanged(Exchanged{Conn: id, Written: Whole, Result: Good})
 			}
-			w.pass(2 * time.Second) // past every deadline
+			h.advance(2 * time.Second) // past every deadline
 		}
-		for _, id := range w.in(dialing) {
-			w.dialed(id, nil)
+		for _, id := range h.inState(dialing) {
+			h.dialed(id, nil)
 		}
-		for id, c := range w.calls {
-			if c.answers == 0 && !c.gone {
+		for id, c := range h.calls {
+			if c.answers == 0 && !c.clientGone {
 				t.Fatalf("call %d was never answered", id)
 			}
 		}
-		if c := w.r.counts; c.Taken != c.Served+c.Refused+c.Failed+c.Left || c.Taken != uint64(len(w.calls)) {
-			t.Fatalf("the counts do not add up: %+v of %d", c, len(w.calls))
+		if c := h.r.counts; c.Taken != c.Served+c.Refused+c.Failed+c.Left || c.Taken != uint64(len(h.calls)) {
+			t.Fatalf("the counts do not add up: %+v of %d", c, len(h.calls))
 		}
-		byClass := ended{}
-		for _, e := range w.r.tallies {
+		byClass := classCount{}
+		for _, e := range h.r.classCounts {
 			byClass.ok, byClass.shed, byClass.errors = byClass.ok+e.ok, byClass.shed+e.shed, byClass.errors+e.errors
 		}
-		if c := w.r.counts; byClass != (ended{c.Served, c.Refused, c.Failed}) {
+		if c := h.r.counts; byClass != (classCount{c.Served, c.Refused, c.Failed}) {
 			t.Fatalf("by class %+v, all told %+v", byClass, c)
 		}
-		if w.r.Open() != 0 || len(w.in(busy))+len(w.in(flowing)) != 0 || len(w.r.byClient) != 0 {
-			t.Fatalf("left behind: %d calls, busy connections %v, flowing %v", w.r.Open(), w.in(busy), w.in(flowing))
+		if h.r.Open() != 0 || len(h.inState(busy))+len(h.inState(flowing)) != 0 || len(h.r.callsByClientID) != 0 {
+			t.Fatalf("left behind: %d calls, busy connections %v, flowing %v", h.r.Open(), h.inState(busy), h.inState(flowing))
 		}
-		w.pass(5 * time.Second)
-		if n := len(w.r.conns); n != 0 {
+		h.advance(5 * time.Second)
+		if n := len(h.r.conns); n != 0 {
 			t.Fatalf("%d connections outlived the idle limit", n)
 		}
 	})
 	// A model whose walks never come to a state proves nothing of it.
-	for _, what := range transitions {
+	for _, what := range modelTransitions {
 		if met[what] == 0 && flag.Lookup("rapid.checks").Value.String() == "2000" {
 			t.Errorf("never met: %s", what)
 		}
 		t.Logf("%7d  %s", met[what], what)
 	}
 	for what, n := range met {
-		if !slices.Contains(transitions, what) {
+		if !slices.Contains(modelTransitions, what) {
 			t.Errorf("not in the model: %s, %d times", what, n)
 		}
 	}
 }
 
 // transitions are all that the model knows.
-var transitions = []string{
+var modelTransitions = []string{
 	"connection: nothing to dialing", "connection: dialing to idle", "connection: dialing to closed",
 	"connection: idle to busy", "connection: idle to closed", "connection: busy to idle", "connection: busy to closed",
 	"connection: busy to flowing", "connection: flowing to idle", "connection: flowing to closed",
@@ -488,61 +488,61 @@
 // A connection that the app node closed just before the write was never used: the call goes out on a new one
 // and the module does not hear of a failure.
 func TestACallNotWrittenAtAllGoesOutAgain(t *testing.T) {
-	w := newWorld(t, 4, "a:1")
-	first := w.call(0, 600*ms)
-	w.dialed(1, nil)
-	w.exchanged(good(1))
-	second := w.call(0, 600*ms)
-	w.exchanged(Exchanged{Conn: 1, Written: Nothing, Err: errDown})
-	w.dialed(2, nil)
-	w.exchanged(good(2))
-	if a, b := w.calls[first], w.calls[second]; a.answers != 1 || b.answers != 1 || a.reply.Kind != Served || b.reply.Kind != Served {
+	h := newHarness(t, 4, "a:1")
+	first := h.arrive(0, 600*ms)
+	h.dialed(1, nil)
+	h.exchanged(goodAnswer(1))
+	second := h.arrive(0, 600*ms)
+	h.exchanged(Exchanged{Conn: 1, Written: Nothing, Err: errDown})
+	h.dialed(2, nil)
+	h.exchanged(goodAnswer(2))
+	if a, b := h.calls[first], h.calls[second]; a.answers != 1 || b.answers != 1 || a.reply.Kind != Served || b.reply.Kind != Served {
 		t.Fatalf("answers %+v and %+v", a, b)
 	}
 }
 
 // A client that leaves frees the app node: its connection closes. A dial under way is kept for the next call.
 func TestClientGoneClosesTheDelegation(t *testing.T) {
-	w := newWorld(t, 4, "a:1")
-	id := w.call(0, 600*ms)
-	w.gone(id)
-	w.dialed(1, nil)
-	id = w.call(0, 600*ms)
-	if len(w.in(busy)) != 1 || w.r.lastConn != 1 {
+	h := newHarness(t, 4, "a:1")
+	id := h.arrive(0, 600*ms)
+	h.clientGone(id)
+	h.dialed(1, nil)
+	id = h.arrive(0, 600*ms)
+	if len(h.inState(busy)) != 1 || h.r.lastConnID != 1 {
 		t.Fatal("the finished dial did not join the pool")
 	}
-	w.gone(id)
-	if w.conns[1] != closed || w.r.Open() != 0 {
-		t.Fatalf("the delegation goes on: %v, %d calls", w.conns[1], w.r.Open())
+	h.clientGone(id)
+	if h.conns[1] != closed || h.r.Open() != 0 {
+		t.Fatalf("the delegation goes on: %v, %d calls", h.conns[1], h.r.Open())
 	}
 }
 
 // An app node that never answers must not cost the client its answer, and a refusal says when to come back.
 func TestASilentAppNodeIsAnsweredForInTime(t *testing.T) {
-	w := newWorld(t, 4, "a:1")
-	id := w.call(0, 600*ms)
-	w.dialed(1, nil)
-	w.pass(600 * ms)
-	if c := w.calls[id]; c.reply.Kind != Refused || c.reply.After == 0 {
+	h := newHarness(t, 4, "a:1")
+	id := h.arrive(0, 600*ms)
+	h.dialed(1, nil)
+	h.advance(600 * ms)
+	if c := h.calls[id]; c.reply.Kind != Refused || c.reply.After == 0 {
 		t.Fatalf("%+v", c.reply)
 	}
-	if w.conns[1] != closed {
+	if h.conns[1] != closed {
 		t.Error("the app node was left working")
 	}
 }
 
 // What is open to an app node's old address leads elsewhere.
 func TestAChangedAddressClosesOldConnections(t *testing.T) {
-	w := newWorld(t, 4, "a:1")
-	w.call(0, 600*ms)
-	w.dialed(1, nil)
-	w.exchanged(good(1))
-	w.call(0, 600*ms)
-	w.listed(list(false, brain.Ready, "a:2"))
-	w.exchanged(Exchanged{Conn: 1, Written: Whole, Result: Good})
-	w.call(0, 600*ms)
-	if d, ok := w.took[len(w.took)-1].(Dial); w.conns[1] != closed || !ok || d.Address != "a:2" {
-		t.Fatalf("%v, then %+v", w.conns[1], w.took)
+	h := newHarness(t, 4, "a:1")
+	h.arrive(0, 600*ms)
+	h.dialed(1, nil)
+	h.exchanged(goodAnswer(1))
+	h.arrive(0, 600*ms)
+	h.listed(list(false, brain.Ready, "a:2"))
+	h.exchanged(Exchanged{Conn: 1, Written: Whole, Result: Good})
+	h.arrive(0, 600*ms)
+	if d, ok := h.effects[len(h.effects)-1].(Dial); h.conns[1] != closed || !ok || d.Address != "a:2" {
+		t.Fatalf("%v, then %+v", h.conns[1], h.effects)
 	}
 }
 
@@ -556,30 +556,30 @@
 		}
 		return n
 	}
-	w := newWorld(t, 4)
-	if ready(w.took) != 0 || ready(w.listed(list(true, brain.Ready, "a:1"))) != 1 ||
-		ready(w.listed(list(true, brain.Ready, "a:1"))) != 0 {
+	h := newHarness(t, 4)
+	if ready(h.effects) != 0 || ready(h.listed(list(true, brain.Ready, "a:1"))) != 1 ||
+		ready(h.listed(list(true, brain.Ready, "a:1"))) != 0 {
 		t.Error("Ready belongs once, to the first list with a server")
 	}
 }
 
 // A call that comes with no time left was sent nowhere, so the client is told that it may come again.
 func TestACallWithoutTimeIsRefused(t *testing.T) {
-	w := newWorld(t, 4, "a:1")
-	id := w.call(1, answerMargin)
-	if c := w.calls[id]; c.reply.Kind != Refused || c.reply.After == 0 || w.r.Open() != 0 {
-		t.Errorf("%+v, %d calls open", c.reply, w.r.Open())
+	h := newHarness(t, 4, "a:1")
+	id := h.arrive(1, answerMargin)
+	if c := h.calls[id]; c.reply.Kind != Refused || c.reply.After == 0 || h.r.Open() != 0 {
+		t.Errorf("%+v, %d calls open", c.reply, h.r.Open())
 	}
 }
 
 // The answer goes out in time even if the node stays silent, as it does about a call it holds.
 func TestTheReducerAnswersForASilentNode(t *testing.T) {
-	w := newWorld(t, 4) // no server: the node holds the call
-	id := w.call(0, 140*ms)
-	w.r.tell(w.r.pools[0], &brain.ClientGone{ID: w.r.calls[id].brainID}) // and now it has forgotten it
-	w.pass(140 * ms)
-	if c := w.calls[id]; c.answers != 1 || c.reply.Kind != Refused || w.r.Open() != 0 {
-		t.Errorf("%+v, %d calls open", c, w.r.Open())
+	h := newHarness(t, 4) // no server: the node holds the call
+	id := h.arrive(0, 140*ms)
+	h.r.notify(h.r.pools[0], &brain.ClientGone{ID: h.r.calls[id].deciderID}) // and now it has forgotten it
+	h.advance(140 * ms)
+	if c := h.calls[id]; c.answers != 1 || c.reply.Kind != Refused || h.r.Open() != 0 {
+		t.Errorf("%+v, %d calls open", c, h.r.Open())
 	}
 }
 
@@ -594,24 +594,24 @@
 		}
 		return all
 	}
-	w := newWorld(t, 4, "a:1")
-	w.pass(2 * time.Second) // the node's first ask
-	old := w.r.watch
-	if got := watches(w.do(Reloaded{Discovery: "d:1"})); old == 0 || len(got) != 0 {
+	h := newHarness(t, 4, "a:1")
+	h.advance(2 * time.Second) // the node's first ask
+	old := h.r.watchID
+	if got := watches(h.do(Reloaded{Discovery: "d:1"})); old == 0 || len(got) != 0 {
 		t.Fatalf("the same address again: %+v", got)
 	}
-	w.do(WatchEnded{old, errDown}) // the node pauses
-	got := watches(w.do(Reloaded{Discovery: "d:2"}))
+	h.do(WatchEnded{old, errDown}) // the node pauses
+	got := watches(h.do(Reloaded{Discovery: "d:2"}))
 	if len(got) != 1 || got[0].Discovery != "d:2" || got[0].Since != 0 || got[0].ID == old {
 		t.Fatalf("%+v", got)
 	}
-	w.do(WatchEnded{old, errDown})
-	w.do(Listed{old, list(true, brain.Gone, "a:1")})
-	w.pass(5 * time.Second) // the pause is over, but a watch is open
-	if w.r.watch != got[0].ID {
+	h.do(WatchEnded{old, errDown})
+	h.do(Listed{old, list(true, brain.Gone, "a:1")})
+	h.advance(5 * time.Second) // the pause is over, but a watch is open
+	if h.r.watchID != got[0].ID {
 		t.Error("the new watch was replaced")
 	}
-	if w.call(0, 600*ms); len(w.in(dialing)) != 1 {
+	if h.arrive(0, 600*ms); len(h.inState(dialing)) != 1 {
 		t.Error("the list was not kept")
 	}
 }
@@ -619,33 +619,33 @@
 // Another client's copy of an open call's id must cost the call nothing, whichever is read first: the app node tells
 // them apart, since it cannot use the copy. Nor may a copy be delegated later, or be told that coming again is harmless.
 func TestACopiedIDCostsTheCallNothing(t *testing.T) {
-	w := newWorld(t, 4, "a:1")
-	copied := w.callAs("x", 1, 600*ms) // read first
-	real := w.callAs("x", 1, 600*ms)
-	another := w.callAs("x", 1, 600*ms)
-	w.dialed(1, nil)
-	w.exchanged(Exchanged{Conn: 1, Written: Whole, Result: Unusable, Reuse: true})
-	w.exchanged(good(1))
-	late := w.callAs("x", 1, 600*ms)
-	for id, want := range map[uint64]Kind{copied: Rejected, real: Served, another: Conflict, late: Conflict} {
-		if got := w.calls[id].reply.Kind; got != want {
+	h := newHarness(t, 4, "a:1")
+	copied := h.arriveAs("x", 1, 600*ms) // read first
+	real := h.arriveAs("x", 1, 600*ms)
+	another := h.arriveAs("x", 1, 600*ms)
+	h.dialed(1, nil)
+	h.exchanged(Exchanged{Conn: 1, Written: Whole, Result: Unusable, Reuse: true})
+	h.exchanged(goodAnswer(1))
+	late := h.arriveAs("x", 1, 600*ms)
+	for id, want := range map[uint64]ReplyKind{copied: Rejected, real: Served, another: Conflict, late: Conflict} {
+		if got := h.calls[id].reply.Kind; got != want {
 			t.Errorf("call %d: %d, want %d", id, got, want)
 		}
 	}
-	held := w.callAs("z", 1, 600*ms)
-	behind := w.callAs("z", 1, 300*ms)
-	w.pass(300 * ms)
-	if w.calls[behind].reply.Kind != Conflict || w.calls[held].answers != 0 {
-		t.Errorf("%+v %+v", w.calls[behind], w.calls[held])
+	held := h.arriveAs("z", 1, 600*ms)
+	behind := h.arriveAs("z", 1, 300*ms)
+	h.advance(300 * ms)
+	if h.calls[behind].reply.Kind != Conflict || h.calls[held].answers != 0 {
+		t.Errorf("%+v %+v", h.calls[behind], h.calls[held])
 	}
-	w.exchanged(good(1))
-	if w.pass(time.Minute); w.r.Open() != 0 || len(w.r.byClient) != 0 {
-		t.Errorf("%d calls and %d ids left", w.r.Open(), len(w.r.byClient))
+	h.exchanged(goodAnswer(1))
+	if h.advance(time.Minute); h.r.Open() != 0 || len(h.r.callsByClientID) != 0 {
+		t.Errorf("%d calls and %d ids left", h.r.Open(), len(h.r.callsByClientID))
 	}
-	for i := range 3 * idsMost { // a flood of ids must not grow without end
-		w.r.remember(strconv.Itoa(i))
+	for i := range 3 * maxClientIDs { // a flood of ids must not grow without end
+		h.r.rememberClientID(strconv.Itoa(i))
 	}
-	if n := len(w.r.used[0]) + len(w.r.used[1]); n > 2*idsMost || !w.r.wasUsed(strconv.Itoa(3*idsMost-1)) {
+	if n := len(h.r.recentClientIDs[0]) + len(h.r.recentClientIDs[1]); n > 2*maxClientIDs || !h.r.recentlyUsed(strconv.Itoa(3*maxClientIDs-1)) {
 		t.Errorf("%d ids remembered", n)
 	}
 }
@@ -653,30 +653,30 @@
 // On a long day app nodes are replaced all the time, some by new ones at the same address. What left must leave the
 // state, what is open to it must not serve the new one, and no call may reach the new one under the old id.
 func TestAReplacedServerIsForgotten(t *testing.T) {
-	w := newWorld(t, 8)
+	h := newHarness(t, 8)
 	one := func(i int, state brain.Readiness, complete bool) List {
 		return List{Complete: complete, Revision: int64(i), Addresses: []string{"a:1"}, Members: []brain.Member{
 			{Server: fmt.Sprintf("s%d", i), Zone: "a", Weight: 1, Started: time.Duration(i) * time.Second, State: state}}}
 	}
-	w.listed(one(1, brain.Ready, false))
-	first := w.call(0, 600*ms)
-	w.dialed(1, nil)
-	w.listed(one(2, brain.Ready, false)) // s1 is not told of
-	if len(w.r.servers) != 1 || len(w.r.ordered) != 1 {
-		t.Fatalf("%d servers at one address", len(w.r.servers))
+	h.listed(one(1, brain.Ready, false))
+	first := h.arrive(0, 600*ms)
+	h.dialed(1, nil)
+	h.listed(one(2, brain.Ready, false)) // s1 is not told of
+	if len(h.r.servers) != 1 || len(h.r.serverList) != 1 {
+		t.Fatalf("%d servers at one address", len(h.r.servers))
 	}
-	w.exchanged(Exchanged{Conn: 1, Written: Whole, Result: Good})
-	w.now += 10 * time.Second // s2 is cold, and takes its share
-	w.call(0, 600*ms)
-	if d, ok := w.took[len(w.took)-1].(Dial); w.calls[first].answers != 1 || w.conns[1] != closed || !ok || d.Address != "a:1" {
-		t.Fatalf("%+v, connection %v, then %+v", w.calls[first], w.conns[1], w.took)
+	h.exchanged(Exchanged{Conn: 1, Written: Whole, Result: Good})
+	h.now += 10 * time.Second // s2 is cold, and takes its share
+	h.arrive(0, 600*ms)
+	if d, ok := h.effects[len(h.effects)-1].(Dial); h.calls[first].answers != 1 || h.conns[1] != closed || !ok || d.Address != "a:1" {
+		t.Fatalf("%+v, connection %v, then %+v", h.calls[first], h.conns[1], h.effects)
 	}
 	for i := 3; i < 50; i++ {
-		w.listed(one(i, brain.Ready, i%2 == 0))
-		w.listed(one(i, brain.Gone, false))
+		h.listed(one(i, brain.Ready, i%2 == 0))
+		h.listed(one(i, brain.Gone, false))
 	}
-	w.pass(time.Minute)
-	if n := len(w.r.servers) + len(w.r.ordered); n != 0 {
+	h.advance(time.Minute)
+	if n := len(h.r.servers) + len(h.r.serverList); n != 0 {
 		t.Errorf("%d entries left of servers that are gone", n)
 	}
 }
@@ -684,26 +684,26 @@
 // An app node may close a connection right behind an answer. The next call takes one that has rested, so that the close
 // is noticed before a call is lost to it; with no other at hand it does take that one.
 func TestAConnectionSettlesBeforeItsNextCall(t *testing.T) {
-	w := newWorld(t, 4, "a:1")
-	answer := func(conn uint64) { w.exchanged(good(conn)) }
-	w.call(0, 600*ms)
-	w.call(0, 600*ms)
-	w.dialed(1, nil)
-	w.dialed(2, nil)
+	h := newHarness(t, 4, "a:1")
+	answer := func(conn uint64) { h.exchanged(goodAnswer(conn)) }
+	h.arrive(0, 600*ms)
+	h.arrive(0, 600*ms)
+	h.dialed(1, nil)
+	h.dialed(2, nil)
 	answer(1)
-	w.pass(settleFor)
+	h.advance(reuseDelay)
 	answer(2)
-	if w.call(0, 600*ms); w.conns[1] != busy || w.conns[2] != idle {
+	if h.arrive(0, 600*ms); h.conns[1] != busy || h.conns[2] != idle {
 		t.Errorf("the connection of the latest answer was taken")
 	}
-	if w.call(0, 600*ms); w.conns[2] != busy || w.r.lastConn != 2 {
+	if h.arrive(0, 600*ms); h.conns[2] != busy || h.r.lastConnID != 2 {
 		t.Errorf("a new connection where one was idle")
 	}
 	answer(1)
-	w.pass(settleFor)
+	h.advance(reuseDelay)
 	answer(2)
-	w.pass(settleFor)
-	if w.call(0, 600*ms); w.conns[2] != busy {
+	h.advance(reuseDelay)
+	if h.arrive(0, 600*ms); h.conns[2] != busy {
 		t.Errorf("of those that have settled, the latest is to be used: the others may end")
 	}
 }
@@ -720,42 +720,42 @@
 		{990 * ms, &Exchanged{Written: Whole, Result: Broke}, false},
 		{990 * ms, &Exchanged{Written: Partly, Result: Broke}, true}, // it never ran
 	} {
-		w := newWorld(t, 10, "a:1", "b:1")
-		w.r.cfg.ConnectTimeout = 2 * time.Second
-		id := w.call(1, 3*time.Second)
-		first := w.in(dialing)[0]
-		w.dialed(first, nil)
-		began := w.now
-		call := w.r.calls[id]
+		h := newHarness(t, 10, "a:1", "b:1")
+		h.r.cfg.ConnectTimeout = 2 * time.Second
+		id := h.arrive(1, 3*time.Second)
+		first := h.inState(dialing)[0]
+		h.dialed(first, nil)
+		began := h.now
+		call := h.r.calls[id]
 		other := "s0"
-		if call.delegations[0].server == "s0" {
+		if call.attempts[0].server == "s0" {
 			other = "s1"
 		}
-		w.pass(200 * ms)
-		if len(call.delegations) == 1 { // the module has not asked for a copy by itself
-			w.r.send(call, &brain.Action{Kind: brain.Send, ID: call.brainID, Server: other})
-			for _, e := range w.r.out {
+		h.advance(200 * ms)
+		if len(call.attempts) == 1 { // the module has not asked for a copy by itself
+			h.r.startAttempt(call, &brain.Action{Kind: brain.Send, ID: call.deciderID, Server: other})
+			for _, e := range h.r.effects {
 				if d, ok := e.(Dial); ok {
-					w.turn(d.Conn, dialing)
+					h.setState(d.Conn, dialing)
 				}
 			}
-			w.r.out = nil
+			h.r.effects = nil
 		}
-		second := w.in(dialing)
-		if len(second) != 1 || len(call.delegations) != 2 {
-			t.Fatalf("%d delegations, connections %v being made", len(call.delegations), second)
+		second := h.inState(dialing)
+		if len(second) != 1 || len(call.attempts) != 2 {
+			t.Fatalf("%d delegations, connections %v being made", len(call.attempts), second)
 		}
 		if c.first != nil {
 			c.first.Conn = first
-			w.exchanged(*c.first)
-			if ran := call.delegations[0].asked > 0; ran == c.goes {
+			h.exchanged(*c.first)
+			if ran := call.attempts[0].mayHaveRunSince > 0; ran == c.goes {
 				t.Errorf("an attempt that ended as %+v may have run: %v", *c.first, ran)
 			}
 			continue // the module, which knows of no copy, has answered
 		}
-		w.now = began + c.up
-		w.dialed(second[0], nil)
-		if goes := w.conns[second[0]] == busy; goes != c.goes {
+		h.now = began + c.up
+		h.dialed(second[0], nil)
+		if goes := h.conns[second[0]] == busy; goes != c.goes {
 			t.Errorf("up %v after the first, which ended as %+v: sent %v, want %v", c.up, c.first, goes, c.goes)
 		}
 	}
--- a/internal/reducer/retune.go
+++ b/internal/reducer/retune.go
@@ -8,125 +8,129 @@
 	"pewterrudder/internal/patience"
 )
 
-// Settings change while calls are under way. A call keeps the class that it came with: each class stands at a place of its
-// own, by which calls, the module and the learned waits know it. A class whose definition changes gets another place, and its
-// old one is gone: no new call takes it. A place is given away again once no call has it and none can be on its way here.
-
-// placeRests is how long a place that is gone stays empty: a request that was read with it is here by then, or never comes.
-const placeRests = time.Minute
-
-// place is what is known of a class beside its settings.
-type place struct {
-	open   int           // calls
-	goneAt time.Duration // when it was left
+// Settings change while calls are open. A call keeps the class that it arrived with: each class has a slot, whose index
+// identifies it to calls, the decider and the learned stall timeouts. A class whose definition changes moves to another
+// slot, and its old slot is marked as Gone: no new call uses it. A slot is reused once no call refers to it and none can
+// still be on its way here.
+
+// classSlotRest is how long a slot that is Gone stays unused: a call read with its index has arrived by then, or never
+// does.
+const classSlotRest = time.Minute
+
+// classSlot is the state of a class apart from its settings.
+type classSlot struct {
+	openCalls int           // calls of the class, including those that wait or have attempts outstanding
+	removedAt time.Duration // when the class was marked as Gone
 }
 
-// Retuned tells the acceptor and the delegations of settings that are in force.
+// Retuned tells the acceptor and the code that drives connections to app nodes which settings are in force.
 type Retuned struct {
-	Places  map[string]int // of the classes that calls may have, by name
-	Classes []brain.Class  // by place
-	Tag     any            // as it came with Reloaded
+	Places  map[string]int // slot index by name, of the classes that new calls may have
+	Classes []brain.Class  // by slot index
+	Tag     any            // from Reloaded
 }
 
 func (Retuned) effect() {}
 
 func (r *Reducer) onRetuned(next brain.Settings, tag any) {
 	classes := slices.Clone(r.cfg.Classes)
-	places := map[string]int{}
+	slots := map[string]int{}
 	for _, c := range next.Classes {
 		if i := slices.Index(classes, c); i >= 0 {
-			places[c.Name] = i
+			slots[c.Name] = i
 		}
 	}
 	for i := range classes {
-		if at, ok := places[classes[i].Name]; !classes[i].Gone && (!ok || at != i) {
+		if at, ok := slots[classes[i].Name]; !classes[i].Gone && (!ok || at != i) {
 			classes[i].Gone = true
-			r.places[i].goneAt = r.now
+			r.classSlots[i].removedAt = r.now
 		}
 	}
 	for _, c := range next.Classes {
-		if _, ok := places[c.Name]; ok {
+		if _, ok := slots[c.Name]; ok {
 			continue
 		}
-		i := r.emptyPlace(classes)
+		i := r.reusableSlot(classes)
 		if i < 0 {
 			i = len(classes)
-			classes, r.places, r.stalls = append(classes, c), append(r.places, place{}), append(r.stalls, nil)
+			classes, r.classSlots, r.stallEstimators = append(classes, c), append(r.classSlots, classSlot{}), append(r.stallEstimators, nil)
 		}
-		classes[i], r.places[i], r.stalls[i] = c, place{}, r.stallOf(&c)
-		places[c.Name] = i
+		classes[i], r.classSlots[i], r.stallEstimators[i] = c, classSlot{}, r.newStallEstimator(&c)
+		slots[c.Name] = i
 	}
 	next.Classes = classes
-	next.AskDiscovery = r.cfg.AskDiscovery // how the list comes is for a start to say
-	if r.view != nil {
-		r.words(r.view.Want(next.Nodes))
-		next.Nodes = r.view.Crowd()
+	next.AskDiscovery = r.cfg.AskDiscovery // fixed at the start
+	if r.peerView != nil {
+		r.applyViewOutput(r.peerView.Want(next.Nodes))
+		next.Nodes = r.peerView.Crowd()
 	}
-	r.cfg, r.retuned = next, true
-	r.retuneAll(Retuned{places, classes, tag})
+	r.cfg, r.settingsChanged = next, true
+	r.retuneAll(Retuned{slots, classes, tag})
 }
 
-// retuneMost bounds the pools that one event tells of settings: some 25 us each, so that an event stays under a millisecond.
-const retuneMost = 20
+// maxRetunesPerEvent bounds the pools that one event sends settings to: some 25 us each, so that an event takes less
+// than a millisecond.
+const maxRetunesPerEvent = 20
 
-// retuneRest is the next slice of the pools.
-type retuneRest struct{}
+// nextRetuneSlice continues with the next slice of the pools.
+type nextRetuneSlice struct{}
 
-func (retuneRest) event() {}
+func (nextRetuneSlice) event() {}
 
-// retuneAll tells every pool of the settings in force, and then the shells: a call with a class that is new must not come to a
-// pool that has not heard of it. Settings that come meanwhile begin anew; their word to the shells takes the place of the earlier.
+// retuneAll sends the settings in force to the deciders of all pools and then emits the effect then, if it is not nil.
+// The order matters: a call with a new class must not reach a pool whose decider does not know it. Newer settings
+// restart the round, and their effect replaces the earlier one.
 func (r *Reducer) retuneAll(then Effect) {
-	if r.retuneAt = 0; then != nil {
-		r.retuneThen = then
+	if r.nextRetuned = 0; then != nil {
+		r.afterRetune = then
 	}
-	if !r.retuning { // else the next slice is on its way
-		r.onRetuneRest()
+	if !r.retuning { // otherwise the next slice is already scheduled
+		r.retuneNextSlice()
 	}
 }
 
-func (r *Reducer) onRetuneRest() {
-	for n := retuneMost; n > 0 && r.retuneAt < len(r.pools); r.retuneAt++ {
-		if p := r.pools[r.retuneAt]; p != nil {
+func (r *Reducer) retuneNextSlice() {
+	for n := maxRetunesPerEvent; n > 0 && r.nextRetuned < len(r.pools); r.nextRetuned++ {
+		if p := r.pools[r.nextRetuned]; p != nil {
 			r.retunePool(p)
 			n--
 		}
 	}
-	if r.retuning = r.retuneAt < len(r.pools); r.retuning {
-		r.emit(Arm{0, retuneRest{}})
-	} else if r.retuneThen != nil {
-		r.emit(r.retuneThen)
-		r.retuneThen = nil
+	if r.retuning = r.nextRetuned < len(r.pools); r.retuning {
+		r.emit(Arm{0, nextRetuneSlice{}})
+	} else if r.afterRetune != nil {
+		r.emit(r.afterRetune)
+		r.afterRetune = nil
 	}
 }
 
-// emptyPlace finds one that can be given away; -1: none.
-func (r *Reducer) emptyPlace(classes []brain.Class) int {
+// reusableSlot returns the index of a slot that can be reused, or -1.
+func (r *Reducer) reusableSlot(classes []brain.Class) int {
 	for i := range classes {
-		if p := &r.places[i]; classes[i].Gone && p.open == 0 && r.now-p.goneAt > placeRests {
+		if p := &r.classSlots[i]; classes[i].Gone && p.openCalls == 0 && r.now-p.removedAt > classSlotRest {
 			return i
 		}
 	}
 	return -1
 }
 
-// retunePool tells the node of a pool. Only the first asks for the list.
+// retunePool sends the settings to the decider of a pool. Only that of discoveryPool asks for the list.
 func (r *Reducer) retunePool(p *pool) {
-	own := r.cfg
-	own.AskDiscovery = own.AskDiscovery && p == r.asker
-	if p.share != nil && p.share.Balancers() > 1 {
-		own.Nodes = p.share.Sharing(own.Nodes)
-		own.Sample, _ = p.share.Count() // all of them: one that its balancers left out would be nobody's
+	poolCfg := r.cfg
+	poolCfg.AskDiscovery = poolCfg.AskDiscovery && p == r.discoveryPool
+	if p.subset != nil && p.subset.Balancers() > 1 {
+		poolCfg.Nodes = p.subset.Sharing(poolCfg.Nodes)
+		poolCfg.Sample, _ = p.subset.Count() // all of the subset: an app node left out by its balancers would get no calls
 	}
-	r.tell(p, &brain.Retuned{Settings: own})
+	r.notify(p, &brain.Retuned{Settings: poolCfg})
 }
 
-// stallOf makes what learns how long the rest of an answer is waited for.
-func (r *Reducer) stallOf(c *brain.Class) *patience.Estimator {
-	if r.stallFixed > 0 {
-		return patience.Fixed(r.stallFixed)
+// newStallEstimator creates the estimator of a class's stall timeout.
+func (r *Reducer) newStallEstimator(c *brain.Class) *patience.Estimator {
+	if r.fixedStall > 0 {
+		return patience.Fixed(r.fixedStall)
 	}
-	part := func(of time.Duration, share float64) time.Duration { return time.Duration(share * float64(of)) }
-	most := part(c.Deadline, stallMost)
-	return patience.New(min(part(c.Aim, stallFirst), most), min(part(c.Aim, stallLeast), most), most)
+	fraction := func(of time.Duration, share float64) time.Duration { return time.Duration(share * float64(of)) }
+	ceiling := fraction(c.Deadline, maxStallShare)
+	return patience.New(min(fraction(c.Aim, initialStallShare), ceiling), min(fraction(c.Aim, minStallShare), ceiling), ceiling)
 }
--- a/internal/reducer/roster.go
+++ b/internal/reducer/roster.go
@@ -5,18 +5,19 @@
 	"pewterrudder/internal/roster"
 )
 
-// UseRoster has what registries say go through a roster, which decides what of it is the list. discovery is the place of
-// the platform's discovery among its sources, -1 if it is none of them. It belongs before the first event.
+// UseRoster passes the lists of all registries through a roster, which merges them into one. discovery is the index of
+// the platform's discovery among the roster's sources, or -1. It must be called before the first event.
 func (r *Reducer) UseRoster(m *roster.Roster, discovery int) {
 	r.roster, r.discoverySource = m, discovery
-	r.wants = make([]bool, len(m.Sources()))
+	r.refetching = make([]bool, len(m.Sources()))
 }
 
-// Roster is what UseRoster was given, for whoever watches; nil: the word of the platform's discovery is the list.
+// Roster returns the roster given to UseRoster, for inspection; nil: the list comes from discovery alone.
 func (r *Reducer) Roster() *roster.Roster { return r.roster }
 
-// entries gives a list of discovery's the roster's form. A change may leave out an address, which then stays.
-func entries(l *List) []roster.Entry {
+// rosterEntries converts a list from discovery to the roster's form. A change may omit the address, which then stays the
+// same.
+func rosterEntries(l *List) []roster.Entry {
 	out := make([]roster.Entry, len(l.Members))
 	for i := range l.Members {
 		m := &l.Members[i]
@@ -31,48 +32,49 @@
 	return out
 }
 
-// said queues what a source said, to be entered in slices.
-func (r *Reducer) said(source int, whole bool, revision int64, es []roster.Entry, kind brain.UpdateKind) {
-	r.enqueue(&feed{kind: kind, said: true, source: source, whole: whole, revision: revision, entries: es})
+// enqueueSourceList enqueues the list of a source, or changes to it, for processing in slices.
+func (r *Reducer) enqueueSourceList(source int, complete bool, revision int64, list []roster.Entry, kind brain.UpdateKind) {
+	r.enqueue(&fleetJob{kind: kind, fromSource: true, source: source, complete: complete, revision: revision, entries: list})
 }
 
-// sayOn hands the roster one slice and gives the changes that follow; over says that it was the last.
-func (r *Reducer) sayOn(f *feed) (changes []roster.Change, over bool) {
-	end := min(f.next+sliceMost, len(f.entries))
-	part := f.entries[f.next:end]
+// applySourceSlice passes one slice to the roster and returns the resulting changes; done reports whether it was the
+// last slice.
+func (r *Reducer) applySourceSlice(job *fleetJob) (changes []roster.Change, done bool) {
+	end := min(job.nextEntry+maxEntriesPerEvent, len(job.entries))
+	slice := job.entries[job.nextEntry:end]
 	switch {
-	case !f.whole:
-		changes = r.roster.Said(r.now, f.source, false, f.revision, part)
-	case f.next == 0:
-		r.roster.Begin(r.now, f.source, f.revision)
+	case !job.complete:
+		changes = r.roster.Said(r.now, job.source, false, job.revision, slice)
+	case job.nextEntry == 0:
+		r.roster.Begin(r.now, job.source, job.revision)
 		fallthrough
 	default:
-		changes = r.roster.Add(r.now, f.source, part)
+		changes = r.roster.Add(r.now, job.source, slice)
 	}
-	if f.next = end; f.next < len(f.entries) {
+	if job.nextEntry = end; job.nextEntry < len(job.entries) {
 		return changes, false
 	}
-	if f.whole {
-		changes = append(changes, r.roster.Commit(r.now, f.source)...)
+	if job.complete {
+		changes = append(changes, r.roster.Commit(r.now, job.source)...)
 	}
 	return changes, true
 }
 
-// believe enters changes that the roster came to by itself.
-func (r *Reducer) believe(changes []roster.Change) {
+// enqueueRosterChanges enqueues changes that the roster made on its own.
+func (r *Reducer) enqueueRosterChanges(changes []roster.Change) {
 	if len(changes) == 0 {
 		return
 	}
 	l := List{}
 	for i := range changes {
-		m, address := member(&changes[i])
+		m, address := memberOf(&changes[i])
 		l.Members, l.Addresses = append(l.Members, m), append(l.Addresses, address)
 	}
-	r.enqueue(&feed{list: l})
+	r.enqueue(&fleetJob{list: l})
 }
 
-// member gives a change of the roster's the fleet's form.
-func member(c *roster.Change) (brain.Member, string) {
+// memberOf converts a roster change to a member and its address.
+func memberOf(c *roster.Change) (brain.Member, string) {
 	m := brain.Member{Server: c.ID, Zone: c.Zone, Kind: c.Kind, Cell: c.Cell, Weight: c.Weight, Started: c.Started}
 	switch c.State {
 	case roster.Draining:
@@ -83,53 +85,54 @@
 	return m, c.Address
 }
 
-// heardAt tells the roster of a connect, or of an answer, which is as good.
-func (r *Reducer) heardAt(s *server, ok bool) {
-	if r.roster != nil && !s.gone {
+// reportConnect reports the result of a connect to the roster. An answer counts like a successful connect.
+func (r *Reducer) reportConnect(s *server, ok bool) {
+	if r.roster != nil && !s.removed {
 		r.roster.Connect(r.now, s.id, ok)
-		r.rosterNext()
+		r.pollRoster()
 	}
 }
 
-// onRosterTick has the roster do what is due.
+// onRosterTick lets the roster do the work that is due.
 func (r *Reducer) onRosterTick() {
-	if r.roster == nil || r.now < r.rosterAt {
-		return // an earlier one has been set since
+	if r.roster == nil || r.now < r.rosterTimerAt {
+		return // a newer timer has been armed
 	}
-	r.rosterAt = 0
-	r.believe(r.roster.Tick(r.now))
-	r.rosterNext()
+	r.rosterTimerAt = 0
+	r.enqueueRosterChanges(r.roster.Tick(r.now))
+	r.pollRoster()
 }
 
-// rosterNext passes on the roster's lines and what it wants, and arms its next moment.
-func (r *Reducer) rosterNext() {
+// pollRoster logs the roster's notes, requests the lists that it needs, and arms its next timer.
+func (r *Reducer) pollRoster() {
 	for _, line := range r.roster.Notes() {
 		r.emit(Log{"roster: " + line})
 	}
-	for i := range r.wants {
-		if wants := r.roster.Wants(i); wants && !r.wants[i] {
+	for i := range r.refetching {
+		if wants := r.roster.Wants(i); wants && !r.refetching[i] {
 			if i == r.discoverySource {
-				r.revision = 0
+				r.listRevision = 0
 				r.openWatch()
 			} else {
 				r.emit(Refetch{i})
 			}
 		}
-		r.wants[i] = r.roster.Wants(i)
+		r.refetching[i] = r.roster.Wants(i)
 	}
 	at, ok := r.roster.Due()
-	if !ok || r.rosterAt > 0 && r.rosterAt <= at {
+	if !ok || r.rosterTimerAt > 0 && r.rosterTimerAt <= at {
 		return
 	}
-	r.rosterAt = max(at, r.now, 1)
-	r.emit(Arm{max(0, at-r.now), rosterTick{}})
+	r.rosterTimerAt = max(at, r.now, 1)
+	r.emit(Arm{max(0, at-r.now), rosterTimer{}})
 }
 
-// onSourceBroke: one source cannot be heard. The platform's discovery is asked again by the node, others by themselves.
+// onSourceBroke reports to the roster that a source cannot be reached. The decider reconnects to the platform's
+// discovery; other sources reconnect by themselves.
 func (r *Reducer) onSourceBroke(source int, err error) {
 	if r.roster == nil {
 		return
 	}
 	r.roster.Broke(r.now, source, err.Error())
-	r.rosterNext()
+	r.pollRoster()
 }
--- a/internal/reducer/servers.go
+++ b/internal/reducer/servers.go
@@ -10,151 +10,154 @@
 )
 
 const (
-	// sliceMost bounds the entries of a list that one event works through, and walkMost the servers that one looks at:
-	// each keeps an event under a millisecond. What is left comes back as an event of its own, behind those that wait.
-	sliceMost = 100
-	walkMost  = 1000
+	// maxEntriesPerEvent bounds the list entries that one event processes, and maxServersPerEvent the servers that one
+	// event scans, so that each event takes less than a millisecond. The rest follows in further events, queued behind
+	// those that already wait.
+	maxEntriesPerEvent = 100
+	maxServersPerEvent = 1000
 )
 
 func (r *Reducer) openWatch() {
-	r.watch++
-	r.watching = true
-	r.emit(Watch{r.watch, r.discovery, r.revision})
+	r.watchID++
+	r.watchOpen = true
+	r.emit(Watch{r.watchID, r.discoveryAddress, r.listRevision})
 }
 
-// watchPause is how long nothing is heard at the most between two watches.
+// watchPause is the delay before a broken watch is reopened, during which nothing is heard from discovery.
 func (r *Reducer) watchPause() time.Duration {
-	return min(max(r.cfg.Rules.DrainGrace/watchPart, watchLeast), watchAgain)
+	return min(max(r.cfg.Rules.DrainGrace/watchPauseDivisor, minWatchPause), maxWatchPause)
 }
 
-// feed is work on the fleet that is under way: a list being entered, or the pools being dealt anew.
-type feed struct {
-	list   List
-	kind   brain.UpdateKind
-	deal   bool        // no list: only the pools have changed
-	adjust *adjustment // what follows, if it is one
-	epoch  uint64      // of the servers that the list names
-	next   int         // entry
-	left   int         // servers still to be looked at, once all entries are in; they are taken from the end
-	walks  bool        // that has begun
+// fleetJob is work on the servers that is processed in slices: a list to apply, or an assignment of the servers to
+// changed pools.
+type fleetJob struct {
+	list        List
+	kind        brain.UpdateKind
+	reassign    bool        // no list: assign the servers to pools again
+	adjustment  *adjustment // to commit at the end; nil: none
+	epoch       uint64      // of the list, recorded in each server it names
+	nextEntry   int         // index into the entries
+	serversLeft int         // servers left to scan after all entries are applied, from the end of serverList
+	scanning    bool        // the scan has started
 
-	said     bool // by a source of the roster, which gives the changes that follow
-	source   int
-	whole    bool
-	revision int64
-	entries  []roster.Entry
+	fromSource bool // the entries come from a source of the roster, which turns them into changes
+	source     int
+	complete   bool
+	revision   int64
+	entries    []roster.Entry
 }
 
 func (r *Reducer) onList(l List, kind brain.UpdateKind) {
-	r.revision = max(r.revision, l.Revision)
+	r.listRevision = max(r.listRevision, l.Revision)
 	if l.Complete {
-		r.revision = l.Revision // whatever came before, the list is this one
+		r.listRevision = l.Revision // a complete list replaces everything, including a higher revision
 	}
 	if kind == brain.UpdateFull {
-		kind = brain.UpdateChanges // what the pools hear is what has changed; a whole list without the rest would empty them
+		kind = brain.UpdateChanges // the pools get only the changes; one slice of a full list would make them drop all other servers
 	}
-	r.epoch++
-	r.enqueue(&feed{list: l, kind: kind, epoch: r.epoch})
+	r.lastListEpoch++
+	r.enqueue(&fleetJob{list: l, kind: kind, epoch: r.lastListEpoch})
 }
 
-func (r *Reducer) enqueue(f *feed) {
-	if r.feeds = append(r.feeds, f); len(r.feeds) == 1 {
-		r.feedOn()
+func (r *Reducer) enqueue(job *fleetJob) {
+	if r.jobs = append(r.jobs, job); len(r.jobs) == 1 {
+		r.runJobSlice()
 	}
 }
 
-// feedOn works through one slice. The pools hear of changes alone. The one that asks for the list hears also of an empty
-// one: that discovery has answered is news.
-func (r *Reducer) feedOn() {
-	f := r.feeds[0]
-	touched := r.touched[:0]
-	saidAll := true
-	if f.said {
+// runJobSlice processes one slice of the first job. The pools are notified of changes only. The pool that asks for the
+// list is also notified of an empty update, since that discovery has answered is information by itself.
+func (r *Reducer) runJobSlice() {
+	job := r.jobs[0]
+	moved := r.movedServers[:0]
+	sourceDone := true
+	if job.fromSource {
 		var changes []roster.Change
-		changes, saidAll = r.sayOn(f)
+		changes, sourceDone = r.applySourceSlice(job)
 		for i := range changes {
-			m, address := member(&changes[i])
-			if s := r.learn(&m, address, f.epoch); s != nil {
-				touched = append(touched, s)
+			m, address := memberOf(&changes[i])
+			if s := r.applyEntry(&m, address, job.epoch); s != nil {
+				moved = append(moved, s)
 			}
 		}
 	}
-	for n := sliceMost; n > 0 && f.next < len(f.list.Members); n-- {
-		if s := r.learn(&f.list.Members[f.next], f.list.Addresses[f.next], f.epoch); s != nil {
-			touched = append(touched, s)
+	for n := maxEntriesPerEvent; n > 0 && job.nextEntry < len(job.list.Members); n-- {
+		if s := r.applyEntry(&job.list.Members[job.nextEntry], job.list.Addresses[job.nextEntry], job.epoch); s != nil {
+			moved = append(moved, s)
 		}
-		f.next++
+		job.nextEntry++
 	}
-	for _, s := range touched {
-		r.displace(s)
+	for _, s := range moved {
+		r.removeDisplaced(s)
 	}
-	clear(touched)
-	r.touched = touched[:0]
-	if f.next >= len(f.list.Members) && (f.list.Complete || f.deal) {
-		r.walk(f)
+	clear(moved)
+	r.movedServers = moved[:0]
+	if job.nextEntry >= len(job.list.Members) && (job.list.Complete || job.reassign) {
+		r.scanServers(job)
 	}
-	over := saidAll && f.next >= len(f.list.Members) && f.left == 0
-	if over {
-		r.feeds = slices.Delete(r.feeds, 0, 1)
+	done := sourceDone && job.nextEntry >= len(job.list.Members) && job.serversLeft == 0
+	if done {
+		r.jobs = slices.Delete(r.jobs, 0, 1)
 	}
-	kind := f.kind
-	f.kind = brain.UpdateChanges // the rest of it
-	asker := r.asker
-	if f.deal || f.adjust != nil {
-		asker = nil // it was not discovery that spoke
+	kind := job.kind
+	job.kind = brain.UpdateChanges // for the remaining slices
+	discoveryPool := r.discoveryPool
+	if job.reassign || job.adjustment != nil {
+		discoveryPool = nil // the update does not come from discovery
 	}
-	if over {
-		r.tellRegions(asker)
+	if done {
+		r.updateStaleZones(discoveryPool)
 	}
-	r.tellChanged(asker, kind)
-	if f.adjust != nil && over {
-		r.bringAbout(f.adjust)
+	r.notifyChangedPools(discoveryPool, kind)
+	if job.adjustment != nil && done {
+		r.commitAdjustment(job.adjustment)
 	}
-	// Without a server every call would only be held, so readiness waits for one.
-	if !r.readied && r.ready > 0 {
-		r.readied = true
+	// Without a server every call would only be held, so readiness waits for the first one.
+	if !r.readySent && r.readyServers > 0 {
+		r.readySent = true
 		r.emit(Ready{})
 	}
-	if f.said && over {
-		r.rosterNext()
+	if job.fromSource && done {
+		r.pollRoster()
 	}
-	if len(r.feeds) > 0 {
-		r.emit(Arm{0, more{}})
+	if len(r.jobs) > 0 {
+		r.emit(Arm{0, nextSlice{}})
 	} else {
-		r.redeal()
+		r.reassignSubsets()
 	}
 }
 
-// learn enters one entry. It gives the server if it may now stand at the address of another.
-func (r *Reducer) learn(m *brain.Member, address string, epoch uint64) *server {
+// applyEntry applies one list entry. It returns the server if its address is new, so that removeDisplaced must run for
+// it.
+func (r *Reducer) applyEntry(m *brain.Member, address string, epoch uint64) *server {
 	s := r.servers[m.Server]
 	if m.State == brain.Gone {
 		if s != nil {
-			r.drop(s)
+			r.removeServer(s)
 		}
 		return nil
 	}
 	if s == nil {
-		s = &server{id: m.Server, conns: map[uint64]*conn{}, at: len(r.ordered)}
-		r.servers[m.Server], r.ordered = s, append(r.ordered, s)
-		s.member.State, s.told.State = brain.Gone, brain.Gone // until noted below
+		s = &server{id: m.Server, conns: map[uint64]*conn{}, position: len(r.serverList)}
+		r.servers[m.Server], r.serverList = s, append(r.serverList, s)
+		s.member.State, s.listed.State = brain.Gone, brain.Gone // until updatePools below
 	}
-	s.seen = epoch
+	s.listEpoch = epoch
 	moved := address != "" && address != s.address
-	// What is open to an old address, or was to the process before the last start, leads elsewhere or nowhere.
+	// Connections to the old address, or to the process before its latest start, are no longer usable.
 	if moved || m.Started != s.member.Started {
-		r.leaveAddress(s)
+		r.unindexAddress(s)
 		s.address = cmp.Or(address, s.address)
-		r.byAddress[s.address] = append(r.byAddress[s.address], s)
-		r.doom(s)
+		r.serversByAddress[s.address] = append(r.serversByAddress[s.address], s)
+		r.closeServerConns(s)
 		moved = true
 	}
 	was := s.member
-	s.told = *m
-	s.told.Bit = r.zoneBit(m.Zone)
-	s.member = r.effective(s.told)
+	s.listed = *m
+	s.listed.Bit = r.zoneBit(m.Zone)
+	s.member = r.applyOverride(s.listed)
 	if was != s.member {
-		r.note(s, was)
+		r.updatePools(s, was)
 	}
 	if moved {
 		return s
@@ -162,108 +165,108 @@
 	return nil
 }
 
-// walk looks at servers for what a whole list does not name any more, or for the pools that they belong to.
-func (r *Reducer) walk(f *feed) {
-	if !f.walks {
-		f.walks, f.left = true, len(r.ordered)
-	}
-	f.left = min(f.left, len(r.ordered))
-	for n := walkMost; n > 0 && f.left > 0; n-- {
-		f.left--
-		s := r.ordered[f.left] // one that is dropped gives its place to a later one, which has been looked at
+// scanServers removes servers that a complete list no longer names, or assigns servers to pools again.
+func (r *Reducer) scanServers(job *fleetJob) {
+	if !job.scanning {
+		job.scanning, job.serversLeft = true, len(r.serverList)
+	}
+	job.serversLeft = min(job.serversLeft, len(r.serverList))
+	for n := maxServersPerEvent; n > 0 && job.serversLeft > 0; n-- {
+		job.serversLeft--
+		s := r.serverList[job.serversLeft] // a removed server's position is taken by a later one, which has been scanned already
 		switch {
-		case f.deal:
-			if takes, uses := r.belongs(s); !slices.Equal(takes, s.takes) || !slices.Equal(uses, s.pools) {
-				r.note(s, s.member)
-				n -= 10 // that is more than a look
+		case job.reassign:
+			if matching, using := r.matchPools(s); !slices.Equal(matching, s.matchingPools) || !slices.Equal(using, s.usingPools) {
+				r.updatePools(s, s.member)
+				n -= 10 // costs more than a plain check
 			}
-		case s.seen != f.epoch:
-			r.drop(s)
+		case s.listEpoch != job.epoch:
+			r.removeServer(s)
 			n -= 10
 		}
 	}
 }
 
-// displace drops the servers at whose address another has started since: that they are gone may be listed only later, and
-// until then their calls would reach the new one.
-func (r *Reducer) displace(s *server) {
-	if s.gone {
+// removeDisplaced removes the servers at whose address another server has started since. Discovery may list their
+// removal only later, and until then their calls would reach the new server.
+func (r *Reducer) removeDisplaced(s *server) {
+	if s.removed {
 		return
 	}
-	last := s
-	for _, o := range r.byAddress[s.address] {
-		if o.member.Started > last.member.Started {
-			last = o
+	latest := s
+	for _, o := range r.serversByAddress[s.address] {
+		if o.member.Started > latest.member.Started {
+			latest = o
 		}
 	}
-	for _, o := range slices.Clone(r.byAddress[s.address]) {
-		if o.member.Started < last.member.Started {
-			r.drop(o)
+	for _, o := range slices.Clone(r.serversByAddress[s.address]) {
+		if o.member.Started < latest.member.Started {
+			r.removeServer(o)
 		}
 	}
 }
 
-// note has the pools hear of a server: those it belongs to now, and those it has left.
-func (r *Reducer) note(s *server, was brain.Member) {
-	before, took := s.pools, s.takes
-	takes, uses := r.belongs(s)
-	s.takes = r.kept(took, takes)
-	s.pools = s.takes
-	if len(uses) < len(takes) {
-		s.pools = r.kept(before, uses)
+// updatePools notifies the pools of a server's change: those that it belongs to now, and those that it has left.
+func (r *Reducer) updatePools(s *server, was brain.Member) {
+	beforeUsing, beforeMatching := s.usingPools, s.matchingPools
+	matching, using := r.matchPools(s)
+	s.matchingPools = r.internIndexSet(beforeMatching, matching)
+	s.usingPools = s.matchingPools
+	if len(using) < len(matching) {
+		s.usingPools = r.internIndexSet(beforeUsing, using)
 	}
 	if was.State == brain.Ready {
-		r.ready--
+		r.readyServers--
 		if s.member.State != brain.Ready {
-			s.leftAt = r.now
+			s.notReadySince = r.now
 		}
 	}
 	if s.member.State == brain.Ready {
-		r.ready++
+		r.readyServers++
 	}
-	both(before, s.pools, func(i uint16, had, is bool) {
+	forEachInEither(beforeUsing, s.usingPools, func(i uint16, had, is bool) {
 		p := r.pools[i]
-		if p.region != nil {
-			if !p.untold {
-				p.untold, r.untold = true, append(r.untold, p)
+		if p.zoneView != nil {
+			if !p.zonesStale {
+				p.zonesStale, r.staleZonePools = true, append(r.staleZonePools, p)
 			}
 			if had {
-				r.count(p.region, s, &was, -1)
+				r.countMember(p.zoneView, s, &was, -1)
 			}
 			if is {
-				r.count(p.region, s, &s.member, 1)
+				r.countMember(p.zoneView, s, &s.member, 1)
 			}
 		}
 		if had && was.State == brain.Ready {
-			p.ready--
+			p.readyMembers--
 		}
 		if is && s.member.State == brain.Ready {
-			p.ready++
+			p.readyMembers++
 		}
 		m := s.member
 		if !is {
 			m.State = brain.Gone
 		}
-		if len(p.changes) == 0 {
-			r.changed = append(r.changed, p)
+		if len(p.pendingChanges) == 0 {
+			r.changedPools = append(r.changedPools, p)
 		}
-		p.changes = append(p.changes, m)
+		p.pendingChanges = append(p.pendingChanges, m)
 	})
-	both(took, s.takes, func(i uint16, was, is bool) {
+	forEachInEither(beforeMatching, s.matchingPools, func(i uint16, was, is bool) {
 		switch p := r.pools[i]; {
 		case is && !was:
-			p.held++
+			p.matchedServers++
 		case was && !is:
-			p.held--
-			r.free(p)
+			p.matchedServers--
+			r.freeIfUnused(p)
 		}
 	})
-	if r.subsetSize > 0 && len(before) > 0 && len(s.pools) == 0 && !s.gone {
-		r.doom(s) // what is open to it is let go, busy connections after their call
+	if r.subsetSize > 0 && len(beforeUsing) > 0 && len(s.usingPools) == 0 && !s.removed {
+		r.closeServerConns(s) // busy connections close after their call
 	}
 }
 
-// zoneBit gives each zone a bit of its own, the first 62 of them.
+// zoneBit returns the bit of a zone. Each zone gets its own bit, up to 62 zones; further ones get 0.
 func (r *Reducer) zoneBit(zone string) uint64 {
 	bit, ok := r.zoneBits[zone]
 	if !ok && len(r.zoneBits) < 62 {
@@ -273,37 +276,37 @@
 	return bit
 }
 
-// drop takes a server out of the state for good; on a long day most of those ever listed are gone.
-func (r *Reducer) drop(s *server) {
+// removeServer removes a server from the state for good: over a long run most servers ever listed are gone.
+func (r *Reducer) removeServer(s *server) {
 	was := s.member
-	s.gone, s.member.State = true, brain.Gone
-	r.note(s, was)
-	r.leaveAddress(s)
+	s.removed, s.member.State = true, brain.Gone
+	r.updatePools(s, was)
+	r.unindexAddress(s)
 	delete(r.servers, s.id)
-	last := r.ordered[len(r.ordered)-1]
-	r.ordered[s.at], last.at = last, s.at
-	r.ordered[len(r.ordered)-1] = nil
-	r.ordered = r.ordered[:len(r.ordered)-1]
-	r.doom(s)
+	last := r.serverList[len(r.serverList)-1]
+	r.serverList[s.position], last.position = last, s.position
+	r.serverList[len(r.serverList)-1] = nil
+	r.serverList = r.serverList[:len(r.serverList)-1]
+	r.closeServerConns(s)
 }
 
-func (r *Reducer) leaveAddress(s *server) {
-	at := r.byAddress[s.address]
-	if i := slices.Index(at, s); i >= 0 {
-		if at = slices.Delete(at, i, i+1); len(at) == 0 {
-			delete(r.byAddress, s.address)
+func (r *Reducer) unindexAddress(s *server) {
+	sameAddress := r.serversByAddress[s.address]
+	if i := slices.Index(sameAddress, s); i >= 0 {
+		if sameAddress = slices.Delete(sameAddress, i, i+1); len(sameAddress) == 0 {
+			delete(r.serversByAddress, s.address)
 		} else {
-			r.byAddress[s.address] = at
+			r.serversByAddress[s.address] = sameAddress
 		}
 	}
 }
 
-// doom closes what is open to a server, busy connections and dials at their end.
-func (r *Reducer) doom(s *server) {
+// closeServerConns closes a server's connections: idle ones at once, busy and dialing ones when they are done.
+func (r *Reducer) closeServerConns(s *server) {
 	for len(s.idle) > 0 {
 		r.close(s.idle[0])
 	}
-	for _, k := range s.conns {
-		k.doomed = true
+	for _, cn := range s.conns {
+		cn.closeWhenDone = true
 	}
 }
--- a/internal/reducer/zones.go
+++ b/internal/reducer/zones.go
@@ -9,72 +9,73 @@
 	"pewterrudder/internal/zones"
 )
 
-// zoneTick is how often the zones of a pool are told of its app nodes and asked for what time brings about.
-const zoneTick = 250 * time.Millisecond
-
-// tally is what a pool has in one zone.
-type tally struct {
-	ready int
-	size  float64
-	cold  []young // of the ready ones, those that may still be warming
-	stale bool    // the zones have not heard of the latest change
+// zoneTickInterval is how often the zones are updated with their app nodes and advanced in time.
+const zoneTickInterval = 250 * time.Millisecond
+
+// zoneTally summarizes the members of a pool in one zone.
+type zoneTally struct {
+	ready    int
+	capacity float64
+	warming  []warmingServer // ready members that may still be warming up
+	stale    bool            // changed since the last updateZone
 }
 
-// young is an app node that is warming.
-type young struct {
-	srv     *server
-	started time.Duration
-	size    float64
+// warmingServer is an app node that is warming up.
+type warmingServer struct {
+	srv      *server
+	started  time.Duration
+	capacity float64
 }
 
-// region is a pool's view of its zones: what may be sent where, by zones.State, and what there is.
-type region struct {
+// zoneView tracks the zones of a pool: state decides what may be sent where, tallies count the members.
+type zoneView struct {
 	state   *zones.State
-	tallies []tally // by zone
-	counted bool    // they hold every member
+	tallies []zoneTally // by zone index
+	counted bool        // the tallies include every member
 }
 
-func newRegion(cfg zones.Settings) (*region, error) {
+func newZoneView(cfg zones.Settings) (*zoneView, error) {
 	s, err := zones.New(cfg)
 	if err != nil {
 		return nil, err
 	}
-	return &region{state: s, tallies: make([]tally, len(cfg.Zones))}, nil
+	return &zoneView{state: s, tallies: make([]zoneTally, len(cfg.Zones))}, nil
 }
 
-// zoneOf is the place of an app node's zone among those that were named, or -1.
-func (g *region) zoneOf(m *brain.Member) int {
-	if i := bits.TrailingZeros64(m.Bit); i < len(g.tallies) {
+// zoneIndex returns the index of an app node's zone among the configured zones, or -1.
+func (zv *zoneView) zoneIndex(m *brain.Member) int {
+	if i := bits.TrailingZeros64(m.Bit); i < len(zv.tallies) {
 		return i
 	}
 	return -1
 }
 
-// count enters an app node as it is, or takes it out as it was. Those that are not ready do not count.
-func (r *Reducer) count(g *region, s *server, m *brain.Member, by int) {
-	zone := g.zoneOf(m)
+// countMember adds an app node to the tally of its zone (by 1) or removes it (by -1). Members that are not ready are not
+// counted.
+func (r *Reducer) countMember(zv *zoneView, s *server, m *brain.Member, delta int) {
+	zone := zv.zoneIndex(m)
 	if zone < 0 || m.State != brain.Ready {
 		return
 	}
-	t := &g.tallies[zone]
-	t.ready += by
-	t.size += float64(by) * r.size(m)
+	t := &zv.tallies[zone]
+	t.ready += delta
+	t.capacity += float64(delta) * r.capacity(m)
 	t.stale = true
-	if by > 0 && r.warmth(m.Started) < 1 {
-		t.cold = append(t.cold, young{s, m.Started, r.size(m)})
-	} else if by < 0 {
-		t.cold = slices.DeleteFunc(t.cold, func(y young) bool { return y.srv == s })
+	if delta > 0 && r.warmth(m.Started) < 1 {
+		t.warming = append(t.warming, warmingServer{s, m.Started, r.capacity(m)})
+	} else if delta < 0 {
+		t.warming = slices.DeleteFunc(t.warming, func(w warmingServer) bool { return w.srv == s })
 	}
 }
 
-func (r *Reducer) size(m *brain.Member) float64 {
+func (r *Reducer) capacity(m *brain.Member) float64 {
 	if r.cfg.Weights == brain.WeightOff || r.cfg.Weights == brain.WeightLive || m.Weight <= 0 {
 		return 1
 	}
 	return m.Weight
 }
 
-// warmth is the share of its capacity that an app node has at the least, by the rule on cold ones.
+// warmth returns the minimum share of its capacity that an app node has while it warms up, by the rule on cold servers.
 func (r *Reducer) warmth(started time.Duration) float64 {
 	age := r.now - started
 	if started == 0 || r.cfg.Rules.ColdFor <= 0 || age >= r.cfg.Rules.ColdFor {
@@ -83,61 +84,62 @@
 	return r.cfg.Rules.ColdFrom + (1-r.cfg.Rules.ColdFrom)*max(0, age.Seconds())/r.cfg.Rules.ColdFor.Seconds()
 }
 
-// onZoneTick tells each region what it has, and has it say what has changed. The work grows with the app nodes that are
-// warming, and not with the others.
+// onZoneTick updates the zones of all pools and logs what they report. The work is proportional to the app nodes that
+// are warming up, not to the others.
 func (r *Reducer) onZoneTick() {
 	for _, p := range r.pools {
-		if p == nil || p.region == nil {
+		if p == nil || p.zoneView == nil {
 			continue
 		}
-		for i := range p.region.tallies {
-			r.tellZone(p.region, i)
+		for i := range p.zoneView.tallies {
+			r.updateZone(p.zoneView, i)
 		}
-		for _, n := range p.region.state.Tick(r.now) {
+		for _, n := range p.zoneView.state.Tick(r.now) {
 			r.emit(Log{"zones: pool " + p.Name + ": " + n.Text})
 		}
 	}
-	if r.zoned {
-		r.emit(Arm{zoneTick, zoneClock{}})
+	if r.hasZones {
+		r.emit(Arm{zoneTickInterval, zoneTimer{}})
 	}
 }
 
-func (r *Reducer) tellZone(g *region, zone int) {
-	t := &g.tallies[zone]
-	if len(t.cold) == 0 && !t.stale {
+func (r *Reducer) updateZone(zv *zoneView, zone int) {
+	t := &zv.tallies[zone]
+	if len(t.warming) == 0 && !t.stale {
 		return
 	}
 	missing := 0.0
-	t.cold = slices.DeleteFunc(t.cold, func(y young) bool {
-		w := r.warmth(y.started)
-		missing += (1 - w) * y.size
-		return w >= 1
+	t.warming = slices.DeleteFunc(t.warming, func(ws warmingServer) bool {
+		warmth := r.warmth(ws.started)
+		missing += (1 - warmth) * ws.capacity
+		return warmth >= 1
 	})
 	t.stale = false
-	g.state.Members(r.now, zone, t.size-missing, t.ready, len(t.cold))
+	zv.state.Members(r.now, zone, t.capacity-missing, t.ready, len(t.warming))
 }
 
-// sentTo tells the region of an attempt that goes out.
-func (r *Reducer) sentTo(d *delegation) {
-	if g := d.call.pool.region; g != nil && d.srv != nil {
-		if zone := g.zoneOf(&d.srv.member); zone >= 0 {
-			g.state.Sent(r.now, zone, d.call.Class)
+// recordZoneAttempt reports a new attempt to the zones.
+func (r *Reducer) recordZoneAttempt(att *attempt) {
+	if zv := att.call.pool.zoneView; zv != nil && att.srv != nil {
+		if zone := zv.zoneIndex(&att.srv.member); zone >= 0 {
+			zv.state.Sent(r.now, zone, att.call.Class)
 		}
 	}
 }
 
-// heardFrom tells the region how an attempt ended. What failed for want of our own descriptors says nothing of a zone.
-func (r *Reducer) heardFrom(d *delegation, o brain.Outcome, took time.Duration, report []float64) {
-	g := d.call.pool.region
-	if g == nil || d.srv == nil || d.ours {
+// recordZoneOutcome reports the end of an attempt to the zones. A failure for lack of our own descriptors says nothing
+// about a zone.
+func (r *Reducer) recordZoneOutcome(att *attempt, o brain.Outcome, took time.Duration, report []float64) {
+	zv := att.call.pool.zoneView
+	if zv == nil || att.srv == nil || att.outOfDescriptors {
 		return
 	}
-	zone := g.zoneOf(&d.srv.member)
-	out, ok := zoneOutcome[o]
+	zone := zv.zoneIndex(&att.srv.member)
+	out, ok := zoneOutcomes[o]
 	if zone < 0 || !ok {
 		return
 	}
-	inTime := o == brain.OK && took <= r.cfg.Classes[d.call.Class].Aim
+	inTime := o == brain.OK && took <= r.cfg.Classes[att.call.Class].Aim
 	if o == brain.OK && !inTime {
 		out = zones.Late
 	}
@@ -153,19 +155,19 @@
 			queue = report[i]
 		}
 	}
-	g.state.Ended(r.now, zone, d.call.Class, out, took, inTime, util, queue)
+	zv.state.Ended(r.now, zone, att.call.Class, out, took, inTime, util, queue)
 }
 
-var zoneOutcome = map[brain.Outcome]zones.Outcome{brain.OK: zones.OK, brain.AppError: zones.Errored, brain.Shed: zones.Shed,
+var zoneOutcomes = map[brain.Outcome]zones.Outcome{brain.OK: zones.OK, brain.AppError: zones.Errored, brain.Shed: zones.Shed,
 	brain.ConnectFailed: zones.ConnectFailed, brain.TimedOut: zones.TimedOut, brain.Dropped: zones.Dropped, brain.Cancelled: zones.Cancelled}
 
-// boundOf asks where a call may go.
-func (r *Reducer) boundOf(c *call) (first, later uint64) {
-	g := c.pool.region
-	if g == nil {
+// zoneBounds returns the zones that a call's first and later attempts may go to, as bits; 0: anywhere.
+func (r *Reducer) zoneBounds(c *call) (first, later uint64) {
+	zv := c.pool.zoneView
+	if zv == nil {
 		return 0, 0
 	}
-	b := g.state.Arrived(r.now, c.Class)
+	b := zv.state.Arrived(r.now, c.Class)
 	if b.Shed {
 		return brain.Nowhere, brain.Nowhere
 	}
--- a/internal/reducer/zones_test.go
+++ b/internal/reducer/zones_test.go
@@ -10,89 +10,89 @@
 )
 
 // twoZones is a world with app nodes in two zones, this balancer in the first.
-func twoZones(t *testing.T) *world {
-	w := &world{t: t, now: time.Hour, cfg: settings()}
-	w.cfg.Columns = []brain.Column{brain.ColUtilization, brain.ColQueue}
-	w.start(100)
+func newTwoZoneHarness(t *testing.T) *harness {
+	h := &harness{t: t, now: time.Hour, cfg: settings()}
+	h.cfg.Columns = []brain.Column{brain.ColUtilization, brain.ColQueue}
+	h.start(100)
 	z := &zones.Settings{Zones: []string{"a", "b"}, Own: 0, Tiers: [][]int{{0}, {1}}, Balancers: 1,
 		Classes: []zones.Class{{Value: 1, Movable: true}, {Value: 5}}}
-	r, err := NewLaid(w.cfg, 7, 100, Layout{Pools: []PoolSpec{{Name: "all", Zones: z}}})
+	r, err := NewLaid(h.cfg, 7, 100, Layout{Pools: []PoolSpec{{Name: "all", Zones: z}}})
 	if err != nil {
 		t.Fatal(err)
 	}
-	w.r = r
+	h.r = r
 	l := List{Complete: true, Revision: 1}
 	for i, zone := range []string{"a", "a", "a", "b", "b", "b"} {
 		name := string(rune('p' + i))
 		l.Members = append(l.Members, brain.Member{Server: name, Zone: zone, Weight: 1})
 		l.Addresses = append(l.Addresses, name+":1")
 	}
-	w.do(Started{Known: l, Discovery: "d:1"})
-	return w
+	h.do(Started{Known: l, Discovery: "d:1"})
+	return h
 }
 
 // where tells the zone of the app node that a call went to, "" if nowhere.
-func (w *world) where(id uint64) string {
-	if c := w.r.calls[id]; c != nil && len(c.delegations) > 0 {
-		return c.delegations[len(c.delegations)-1].srv.member.Zone
+func (h *harness) zoneOfLastAttempt(id uint64) string {
+	if c := h.r.calls[id]; c != nil && len(c.attempts) > 0 {
+		return c.attempts[len(c.attempts)-1].srv.member.Zone
 	}
 	return ""
 }
 
 // serve has all that is out answered with a load report.
-func (w *world) serve(util float64) {
-	for _, d := range w.in(dialing) {
-		w.dialed(d, nil)
+func (h *harness) serveAllWithLoad(util float64) {
+	for _, d := range h.inState(dialing) {
+		h.dialed(d, nil)
 	}
-	for _, b := range w.in(busy) {
-		e := good(b)
+	for _, b := range h.inState(busy) {
+		e := goodAnswer(b)
 		e.Report = []float64{util, 0}
-		w.exchanged(e)
+		h.exchanged(e)
 	}
 }
 
 // Calls stay in the balancer's own zone while that is well. When every connect there times out, though it is listed, calls
 // soon go to the other, a keyed one that may have run does not, and it is said once; when it answers again they come back.
 func TestAZoneIsLostAndComesBack(t *testing.T) {
-	w := twoZones(t)
+	h := newTwoZoneHarness(t)
 	for range 300 {
-		id := w.call(0, 600*ms)
-		if w.where(id) != "a" {
-			t.Fatalf("a call went to zone %q: %s", w.where(id), w.r.pools[0].region.state.Describe())
+		id := h.arrive(0, 600*ms)
+		if h.zoneOfLastAttempt(id) != "a" {
+			t.Fatalf("a call went to zone %q: %s", h.zoneOfLastAttempt(id), h.r.pools[0].zoneView.state.Describe())
 		}
-		w.pass(2 * ms)
-		w.serve(0.3)
-		w.pass(8 * ms)
+		h.advance(2 * ms)
+		h.serveAllWithLoad(0.3)
+		h.advance(8 * ms)
 	}
-	booking := w.call(1, time.Second) // out in the zone when it is lost
-	for _, d := range w.in(dialing) {
-		w.dialed(d, nil)
+	booking := h.arrive(1, time.Second) // out in the zone when it is lost
+	for _, d := range h.inState(dialing) {
+		h.dialed(d, nil)
 	}
-	lostAt := w.in(busy)[0]
+	lostAt := h.inState(busy)[0]
 	dark := func(class int) string {
-		id := w.call(class, 600*ms)
-		at := w.where(id)
+		id := h.arrive(class, 600*ms)
+		at := h.zoneOfLastAttempt(id)
 		for range 4 {
-			for _, d := range w.in(dialing) {
+			for _, d := range h.inState(dialing) {
 				var err error
-				if w.r.conns[d].srv.member.Zone == "a" {
+				if h.r.conns[d].srv.member.Zone == "a" {
 					err = errDown
 				}
-				w.dialed(d, err)
+				h.dialed(d, err)
 			}
 		}
-		for _, b := range w.in(busy) {
-			if b != lostAt && w.r.conns[b].srv.member.Zone == "b" {
-				e := good(b)
+		for _, b := range h.inState(busy) {
+			if b != lostAt && h.r.conns[b].srv.member.Zone == "b" {
+				e := goodAnswer(b)
 				e.Report = []float64{0.4, 0}
-				w.exchanged(e)
+				h.exchanged(e)
 			}
 		}
 		return at
 	}
-	for _, s := range w.r.servers { // what is open to the zone is cut
+	for _, s := range h.r.servers { // what is open to the zone is cut
 		for s.member.Zone == "a" && len(s.idle) > 0 {
-			w.do(Lost{s.idle[0].id})
+			h.do(Lost{s.idle[0].id})
 		}
 	}
 	there := 0
@@ -100,26 +100,26 @@
 		if at := dark(0); i >= 60 && at == "b" {
 			there++
 		}
-		w.pass(10 * ms)
+		h.advance(10 * ms)
 	}
 	if there < 130 {
 		t.Errorf("%d of 140 calls went to the other zone", there)
 	}
-	if w.where(booking) != "" && w.where(booking) != "a" {
-		t.Errorf("the booking went to zone %s", w.where(booking))
+	if h.zoneOfLastAttempt(booking) != "" && h.zoneOfLastAttempt(booking) != "a" {
+		t.Errorf("the booking went to zone %s", h.zoneOfLastAttempt(booking))
 	}
-	if c := w.calls[booking]; c.answers != 1 || c.reply.Kind != Failed {
+	if c := h.calls[booking]; c.answers != 1 || c.reply.Kind != Failed {
 		t.Errorf("the booking: %+v", c)
 	}
 	back := 0
 	for i := range 6000 { // a minute
-		id := w.call(0, 600*ms)
-		if i >= 5000 && w.where(id) == "a" {
+		id := h.arrive(0, 600*ms)
+		if i >= 5000 && h.zoneOfLastAttempt(id) == "a" {
 			back++
 		}
-		w.pass(2 * ms)
-		w.serve(0.3)
-		w.pass(8 * ms)
+		h.advance(2 * ms)
+		h.serveAllWithLoad(0.3)
+		h.advance(8 * ms)
 	}
 	if back < 900 {
 		t.Errorf("a minute after its return the zone gets %d of 1000 calls", back)
@@ -129,25 +129,25 @@
 // A list tells the zones what they have: an own zone whose app nodes drain has none to send to, and one that names a
 // single warming one can carry little.
 func TestZonesFollowTheList(t *testing.T) {
-	w := twoZones(t)
-	g := w.r.pools[0].region
-	if g.tallies[0].ready != 3 || g.tallies[0].size != 3 || g.tallies[1].ready != 3 {
-		t.Fatalf("%+v", g.tallies)
+	h := newTwoZoneHarness(t)
+	zv := h.r.pools[0].zoneView
+	if zv.tallies[0].ready != 3 || zv.tallies[0].capacity != 3 || zv.tallies[1].ready != 3 {
+		t.Fatalf("%+v", zv.tallies)
 	}
-	w.listed(List{Revision: 2, Addresses: []string{"", "", "q2:1"}, Members: []brain.Member{
+	h.listed(List{Revision: 2, Addresses: []string{"", "", "q2:1"}, Members: []brain.Member{
 		{Server: "p", Zone: "a", State: brain.Gone}, {Server: "r", Zone: "a", Weight: 1, State: brain.Draining},
-		{Server: "q", Zone: "a", Weight: 1, Started: w.now}}})
-	w.pass(zoneTick)
-	if a := g.tallies[0]; a.ready != 1 || a.size != 1 || len(a.cold) != 1 || !strings.Contains(g.state.Describe(), "a well, 1 ready, 1 cold, capacity 0.2") {
-		t.Errorf("%+v, %s", a, g.state.Describe())
-	}
-	w.listed(List{Revision: 3, Addresses: []string{""}, Members: []brain.Member{{Server: "q", Zone: "a", State: brain.Gone}}})
-	w.pass(zoneTick)
-	if id := w.call(0, 600*ms); w.where(id) != "b" {
-		t.Errorf("without an app node in its own zone a call goes to %q", w.where(id))
-	}
-	w.pass(30 * time.Second)
-	if a := g.tallies[0]; a.ready != 0 || a.size != 0 || len(a.cold) != 0 {
+		{Server: "q", Zone: "a", Weight: 1, Started: h.now}}})
+	h.advance(zoneTickInterval)
+	if a := zv.tallies[0]; a.ready != 1 || a.capacity != 1 || len(a.warming) != 1 || !strings.Contains(zv.state.Describe(), "a well, 1 ready, 1 cold, capacity 0.2") {
+		t.Errorf("%+v, %s", a, zv.state.Describe())
+	}
+	h.listed(List{Revision: 3, Addresses: []string{""}, Members: []brain.Member{{Server: "q", Zone: "a", State: brain.Gone}}})
+	h.advance(zoneTickInterval)
+	if id := h.arrive(0, 600*ms); h.zoneOfLastAttempt(id) != "b" {
+		t.Errorf("without an app node in its own zone a call goes to %q", h.zoneOfLastAttempt(id))
+	}
+	h.advance(30 * time.Second)
+	if a := zv.tallies[0]; a.ready != 0 || a.capacity != 0 || len(a.warming) != 0 {
 		t.Errorf("%+v", a)
 	}
 }
