--- a/internal/reducer/drain_test.go
+++ b/internal/reducer/drain_test.go
@@ -5,21 +5,21 @@
 	"time"
 )
 
-// turned says that the last event turned clients away, or welcomed them.
-func (h *harness) turnedTo(away bool) bool {
-	return h.hasEffect(func(e Effect) bool { return e == Turn{away} })
+// turnedTo reports whether the last event started (drain) or ended a drain of clients.
+func (h *harness) turnedTo(drain bool) bool {
+	return h.hasEffect(func(e Effect) bool { return e == Turn{drain} })
 }
 
-// A drain lets the front take note before connections are closed, and spares those that have not said anything for a
-// while longer; a second wish changes nothing, and both are told.
-func TestADrainSendsClientsAway(t *testing.T) {
+// A drain gives the frontend time to notice before connections are closed, and spares connections that have not sent
+// anything for longer. A repeated request has no effect, and both are confirmed.
+func TestDrainClosesClientConnections(t *testing.T) {
 	h := newHarness(t, 4, "a:1")
-	began, told := h.now, func(e Effect) bool { _, ok := e.(Tell); return ok }
-	if h.do(Drain{Done: func() {}}); !h.turnedTo(true) || !h.hasEffect(told) {
+	began, isCallback := h.now, func(e Effect) bool { _, ok := e.(Tell); return ok }
+	if h.do(Drain{Done: func() {}}); !h.turnedTo(true) || !h.hasEffect(isCallback) {
 		t.Fatalf("%v", h.effects)
 	}
 	h.advance(closeIdleAfter - ms)
-	if h.do(Drain{Done: func() {}}); h.turnedTo(true) || !h.hasEffect(told) || len(h.closes) != 0 {
+	if h.do(Drain{Done: func() {}}); h.turnedTo(true) || !h.hasEffect(isCallback) || len(h.closes) != 0 {
 		t.Errorf("%v, %v", h.effects, h.closes)
 	}
 	h.advance(2 * ms)
@@ -29,18 +29,17 @@
 	h.advance(closeSilentAfter - 2*closeInterval - closeIdleAfter)
 	for _, p := range h.closes {
 		if p.Silent {
-			t.Errorf("the silent go after %v", h.now-began)
+			t.Errorf("silent connections closed after %v", h.now-began)
 		}
 	}
 	h.advance(4 * closeInterval)
 	if last := h.closes[len(h.closes)-1]; !last.Silent || h.now-began > 3*time.Second {
-		t.Errorf("%+v after %v, when the platform looks at 4 s", last, h.now-began)
+		t.Errorf("last close %+v after %v; the platform checks at 4 s", last, h.now-began)
 	}
 }
 
-// Clients are welcome again at any moment of a drain, and none of their connections is closed any more, also by what an
-// earlier drain has begun.
-func TestADrainEndsAtAnyMoment(t *testing.T) {
+// A drain can be ended at any time, and then no client connection is closed, not even by a timer of an earlier drain.
+func TestActivateEndsDrain(t *testing.T) {
 	for _, after := range []time.Duration{0, closeIdleAfter - ms, closeIdleAfter, closeIdleAfter + ms, closeSilentAfter, 3 * time.Second} {
 		h := newHarness(t, 4, "a:1")
 		h.do(Drain{})
@@ -50,24 +49,24 @@
 		}
 		n := len(h.closes)
 		if h.advance(4 * time.Second); len(h.closes) != n {
-			t.Errorf("after %v: connections closed though clients are welcome", after)
+			t.Errorf("after %v: connections closed after Activate", after)
 		}
 		h.do(Drain{})
 		h.advance(closeIdleAfter / 2)
 		h.do(Activate{})
 		h.do(Drain{})
 		if h.advance(closeIdleAfter - ms); len(h.closes) != n {
-			t.Error("a drain was cut short by what an earlier one had begun")
+			t.Error("a timer of an earlier drain closed connections")
 		}
 	}
 }
 
-// What is published adds up, is as old as it may be, and tells what the list and the module say of app nodes.
+// Published figures add up, are recent enough, and reflect the list and the decider's view of app nodes.
 func TestFiguresArePublished(t *testing.T) {
 	h := &harness{t: t, now: time.Hour, cfg: settings()}
 	h.start(4)
 	if h.advance(time.Second); h.figures != nil {
-		t.Fatal("published though nobody asks")
+		t.Fatal("figures published although not enabled")
 	}
 	h.do(Started{Known: list(true, 0, "a:1", "a:2"), Discovery: "d:1", Figures: true})
 	h.arrive(0, 600*ms)
@@ -84,16 +83,16 @@
 	if f := h.figures; f.Active != 1 || f.OK[name] != 1 || f.Shed[name] != 0 || f.Errors[name] != 0 || f.Avoided != 1 {
 		t.Errorf("%+v", f)
 	}
-	h.advance(time.Second) // the second finds nobody in time
+	h.advance(time.Second) // the second call is not answered in time
 	name = h.cfg.Classes[1].Name
 	if f := h.figures; f.Active != 0 || f.Shed[name]+f.Errors[name] != 1 {
 		t.Errorf("%+v", f)
 	}
 }
 
-// While another version serves, half of the connections are given back, those between calls first, and none is opened over
-// the half; alone again the whole is there.
-func TestConnectionsAreSharedWithAnotherVersion(t *testing.T) {
+// While another process serves as well, half of the connection budget is given up, idle connections first, and no
+// connection is opened beyond the half. Alone again, the whole budget is available.
+func TestConnBudgetIsSharedBetweenProcesses(t *testing.T) {
 	h := newHarness(t, 4, "a:1", "a:2", "a:3", "a:4")
 	fill := func(n int) {
 		t.Helper()
@@ -113,10 +112,10 @@
 		t.Errorf("%d connections, %v", n, h.effects)
 	}
 	if fill(4); len(h.r.conns) > 2 {
-		t.Errorf("%d connections of two", len(h.r.conns))
+		t.Errorf("%d connections, budget 2", len(h.r.conns))
 	}
 	h.do(Beside{})
 	if fill(4); len(h.r.conns) != 4 {
-		t.Errorf("%d connections of four", len(h.r.conns))
+		t.Errorf("%d connections, budget 4", len(h.r.conns))
 	}
 }
--- a/internal/reducer/operator_test.go
+++ b/internal/reducer/operator_test.go
@@ -8,7 +8,7 @@
 	"pewterrudder/internal/control"
 )
 
-// operator hands in what operators want, and says whether Done was told.
+// applyOperator applies operator changes and reports whether Done was called.
 func (h *harness) applyOperator(changes ...control.Change) bool {
 	h.t.Helper()
 	done := false
@@ -29,46 +29,47 @@
 	return v
 }
 
-// A drain by hand holds from its answer on, whatever the list says after it, and also where the list takes the app node out
-// and names it again; what is under way there ends as it would. The list's word and the operators' are both to be seen.
-func TestADrainByHandHolds(t *testing.T) {
+// A drain by an operator holds from the moment it is confirmed, whatever is listed later, even if the app node is
+// removed from the list and listed again. Open calls there finish normally. The View shows both the listed and the
+// resulting state.
+func TestOperatorDrainOverridesList(t *testing.T) {
 	h := newHarness(t, 8, "a:1")
 	id := h.arrive(0, 600*ms)
 	h.dialed(1, nil)
 	if !h.applyOperator(control.Change{Node: "s0", Drained: true}) {
-		t.Error("nobody is told that it holds")
+		t.Error("the drain was not confirmed")
 	}
-	fresh := func() int {
+	connsInUse := func() int {
 		h.arrive(0, 100*ms)
 		n := len(h.inState(dialing)) + len(h.inState(busy))
 		h.advance(100 * ms)
 		return n
 	}
-	if n := fresh(); n != 1 { // the one that is under way
+	if n := connsInUse(); n != 1 { // the one still in use
 		t.Errorf("%d connections in use after a drain", n)
 	}
 	h.exchanged(goodAnswer(1))
 	if h.calls[id].reply.Kind != Served {
-		t.Errorf("what was under way: %+v", h.calls[id])
+		t.Errorf("open call: %+v", h.calls[id])
 	}
 	h.listed(list(true, brain.Ready, "a:1"))
 	h.listed(list(false, brain.Gone, ""))
 	h.listed(list(false, brain.Ready, "a:1"))
-	if n := fresh(); n != 0 {
-		t.Error("the list takes the drain back")
+	if n := connsInUse(); n != 0 {
+		t.Error("the list cancelled the operator's drain")
 	}
 	if v := h.inspect(); len(v.Nodes) != 1 || v.Nodes[0].Told != brain.Ready || v.Nodes[0].Counts != brain.Draining || !v.Nodes[0].Drained || v.Pools[0].Members != 0 {
 		t.Errorf("%+v", v)
 	}
 	h.applyOperator(control.Change{Node: "s0"})
-	if n := fresh(); n != 1 || len(h.r.nodeOverrides) != 0 {
-		t.Errorf("%d connections in use after it was restored", n)
+	if n := connsInUse(); n != 1 || len(h.r.nodeOverrides) != 0 {
+		t.Errorf("%d connections in use after the drain ended", n)
 	}
 }
 
-// A wish for an app node that nobody has listed waits for it, a weight takes the place of the list's, and a cap that of the
-// settings.
-func TestWishesAheadOfTheList(t *testing.T) {
+// An override for an app node that is not listed yet applies when it is. A weight takes precedence over the listed one,
+// and a cap over that of the settings.
+func TestOverridesPrecedeListing(t *testing.T) {
 	h := newHarness(t, 8)
 	h.applyOperator(control.Change{Node: "s1", Drained: true}, control.Change{Node: "s0", Weight: 0.25}, control.Change{Pool: "all", Cap: 1})
 	h.listed(list(true, brain.Ready, "a:1", "b:1"))
@@ -78,11 +79,11 @@
 	}
 	h.arrive(0, 600*ms)
 	if id := h.arrive(0, 600*ms); h.calls[id].reply.Kind != Refused || h.calls[id].answers != 1 {
-		t.Errorf("past the cap: %+v", h.calls[id])
+		t.Errorf("call beyond the cap: %+v", h.calls[id])
 	}
 	h.applyOperator(control.Change{Pool: "all"})
 	if id := h.arrive(0, 600*ms); h.calls[id].answers != 0 {
-		t.Error("the cap is still there")
+		t.Error("the cap was not removed")
 	}
 	h.advance(time.Second)
 }
--- a/internal/reducer/peers_test.go
+++ b/internal/reducer/peers_test.go
@@ -10,7 +10,7 @@
 	"pewterrudder/internal/fleet/view"
 )
 
-// crowded is a module that remembers by how many balancers it was last told to divide.
+// nodesDecider is a decider that records the number of balancers it was last told.
 type nodesDecider struct{ nodes *int }
 
 func (c nodesDecider) Handle(_ time.Duration, ev brain.Event, actions []brain.Action) []brain.Action {
@@ -20,28 +20,29 @@
 	return actions
 }
 
-// The module divides by those who live, once the view has settled; by the settings again when the process stood still, before the
-// event that it wakes up to; and new settings bound what is believed. Without a view no word changes anything.
-func TestTheModuleDividesByThoseWhoLive(t *testing.T) {
+// The decider divides by the live balancers once the view has settled, and by the number in the settings again after the
+// process was suspended, before the event that woke it. New settings bound the number. Without a view peer events have
+// no effect.
+func TestDeciderDividesByLiveBalancers(t *testing.T) {
 	cfg := settings()
 	cfg.Nodes = 20
-	told := 0
-	r, err := NewPools(cfg, 8, defaultLayout(), func(string) brain.Decider { return nodesDecider{&told} })
+	nodes := 0
+	r, err := NewPools(cfg, 8, defaultLayout(), func(string) brain.Decider { return nodesDecider{&nodes} })
 	if err != nil {
 		t.Fatal(err)
 	}
 	now := 24 * time.Hour
-	var said []view.Fact
+	var facts []view.Fact
 	do := func(ev Event) {
 		for _, e := range r.Handle(now, ev, nil) {
 			if s, ok := e.(Say); ok {
-				said = append(said, s.Fact)
+				facts = append(facts, s.Fact)
 			}
 		}
 	}
 	do(Word{Event: view.Event{Kind: view.Joined, Life: view.Life{ID: "x", Address: "x"}}})
-	if told != 0 || r.fleetFigures() != nil {
-		t.Fatalf("without a view the module is told of %d", told)
+	if nodes != 0 || r.fleetFigures() != nil {
+		t.Fatalf("without a view the decider got Nodes %d", nodes)
 	}
 	r.UsePeers(view.New(view.Life{ID: "me", Address: "here"}, 20, view.Bounds{Kinds: Kinds()}, now))
 	for n := range 9 {
@@ -49,37 +50,37 @@
 		do(Word{Event: view.Event{Kind: view.Joined, Life: l}})
 		do(Word{Event: view.Event{Kind: view.Told, Fact: view.Fact{Owner: l.ID, Kind: ListSizeFact, Revision: 1, Value: json.RawMessage(fmt.Sprint(n % 2))}}})
 	}
-	pass := func(d time.Duration) {
+	advance := func(d time.Duration) {
 		for until := now + d; now < until; {
 			now += 500 * time.Millisecond
 			do(Word{Event: view.Event{Kind: view.Tick}})
 		}
 	}
-	if pass(4 * time.Second); told != 0 {
-		t.Errorf("before it has settled the module is told of %d", told)
+	if advance(4 * time.Second); nodes != 0 {
+		t.Errorf("before the view settled the decider got Nodes %d", nodes)
 	}
-	if pass(2 * time.Second); told != 10 || r.cfg.Nodes != 10 {
-		t.Errorf("the module is told of %d", told)
+	if advance(2 * time.Second); nodes != 10 || r.cfg.Nodes != 10 {
+		t.Errorf("decider got Nodes %d, want 10", nodes)
 	}
-	if f := r.fleetFigures(); f.Live != 9 || f.Crowd != 10 || !f.Believed || f.Agree != 5 { // of lists that are empty, as ours
+	if f := r.fleetFigures(); f.Live != 9 || f.Crowd != 10 || !f.Believed || f.Agree != 5 { // their lists are empty, like ours
 		t.Errorf("%+v", f)
 	}
-	if len(said) != 1 || string(said[0].Value) != "0" {
-		t.Errorf("of our list it is said %+v", said)
+	if len(facts) != 1 || string(facts[0].Value) != "0" {
+		t.Errorf("announced list size: %+v", facts)
 	}
-	pass(25 * time.Second)
-	if len(said) != 2 || said[1].Revision <= said[0].Revision {
-		t.Errorf("later %+v", said)
+	advance(25 * time.Second)
+	if len(facts) != 2 || facts[1].Revision <= facts[0].Revision {
+		t.Errorf("announced again: %+v", facts)
 	}
 	next := settings()
 	next.Nodes = 2
 	do(Reloaded{Settings: &next})
-	if told != 8 || r.cfg.Nodes != 8 { // four times what is written now
-		t.Errorf("with other settings the module is told of %d", told)
+	if nodes != 8 || r.cfg.Nodes != 8 { // four times the number in the new settings
+		t.Errorf("with new settings the decider got Nodes %d", nodes)
 	}
 	now += 20 * time.Second
 	do(Arrived{Call: &Call{ID: 1, Deadline: now + time.Second}})
-	if told != 2 {
-		t.Errorf("after a pause the module is told of %d", told)
+	if nodes != 2 {
+		t.Errorf("after a pause the decider got Nodes %d", nodes)
 	}
 }
--- a/internal/reducer/pools_test.go
+++ b/internal/reducer/pools_test.go
@@ -16,11 +16,11 @@
 	"pgregory.net/rapid"
 )
 
-// viewer is a decider that sends each call to a server of its own view, and keeps that view as the updates tell it.
+// viewDecider is a decider that tracks its members from the updates and sends each call to one of them.
 type viewDecider struct {
 	t             interface{ Fatalf(string, ...any) }
-	view          map[string]brain.Member
-	order         []string // as they came, some of them gone
+	members       map[string]brain.Member
+	order         []string // in order of arrival; may include removed ones
 	largestUpdate int      // entries in one update
 	sends         map[string]string
 }
@@ -29,25 +29,25 @@
 	switch e := ev.(type) {
 	case *brain.FleetUpdate:
 		v.largestUpdate = max(v.largestUpdate, len(e.Members))
-		if e.Kind == brain.UpdateFull || e.Kind == brain.UpdateRestored && len(v.view) > 0 {
-			v.t.Fatalf("an update of kind %d, which says that those it does not name are gone", e.Kind)
+		if e.Kind == brain.UpdateFull || e.Kind == brain.UpdateRestored && len(v.members) > 0 {
+			v.t.Fatalf("update of kind %d, which implies that servers it does not name are gone", e.Kind)
 		}
 		for _, m := range e.Members {
 			if m.State == brain.Gone {
-				if _, ok := v.view[m.Server]; !ok {
-					v.t.Fatalf("%s is told to be gone and was never there", m.Server)
+				if _, ok := v.members[m.Server]; !ok {
+					v.t.Fatalf("%s reported as gone, but was never a member", m.Server)
 				}
-				delete(v.view, m.Server)
+				delete(v.members, m.Server)
 				continue
 			}
-			if _, ok := v.view[m.Server]; !ok {
+			if _, ok := v.members[m.Server]; !ok {
 				v.order = append(v.order, m.Server)
 			}
-			v.view[m.Server] = m
+			v.members[m.Server] = m
 		}
 	case *brain.Request:
 		for len(v.order) > 0 {
-			if _, ok := v.view[v.order[len(v.order)-1]]; ok {
+			if _, ok := v.members[v.order[len(v.order)-1]]; ok {
 				break
 			}
 			v.order = v.order[:len(v.order)-1]
@@ -65,17 +65,17 @@
 	return acts
 }
 
-// yard is a world with pools whose deciders are viewers.
+// newPoolHarness returns a harness with the pools of a layout and a viewDecider for each.
 func newPoolHarness(t interface {
 	Fatalf(string, ...any)
 	Helper()
 }, l Layout) (*harness, map[string]*viewDecider) {
 	h := &harness{t: t, now: time.Hour, cfg: settings(), sendsToDraining: true}
 	h.start(100)
-	views := map[string]*viewDecider{}
+	deciders := map[string]*viewDecider{}
 	r, err := NewPools(h.cfg, 100, l, func(pool string) brain.Decider {
-		views[pool] = &viewDecider{t: t, view: map[string]brain.Member{}, sends: map[string]string{}}
-		return views[pool]
+		deciders[pool] = &viewDecider{t: t, members: map[string]brain.Member{}, sends: map[string]string{}}
+		return deciders[pool]
 	})
 	if err != nil {
 		t.Fatalf("%v", err)
@@ -83,12 +83,12 @@
 	h.r = r
 	h.do(Started{Discovery: "d:1"})
 	h.do(Reloaded{Discovery: "d:2"}) // opens a watch
-	return h, views
+	return h, deciders
 }
 
 func inZone(zone string) selector.Selector { return selector.Selector{Zones: []string{zone}} }
 
-// serveAll has all that is out answered.
+// serveAll answers all outstanding attempts.
 func (h *harness) serveAll() {
 	for _, d := range h.inState(dialing) {
 		h.dialed(d, nil)
@@ -98,22 +98,22 @@
 	}
 }
 
-// staysInPool: a call that has gone out once went to a member of its pool.
+// staysInPool checks that a call with one attempt was sent to a member of its pool.
 func (h *harness) staysInPool(call uint64) {
 	h.t.Helper()
 	if c := h.r.calls[call]; c != nil && len(c.attempts) == 1 && c.attempts[0].srv != nil && !slices.Contains(c.attempts[0].srv.usingPools, c.pool.index) {
-		h.t.Fatalf("a call of pool %s went to %s", c.pool.Name, c.attempts[0].server)
+		h.t.Fatalf("call of pool %s sent to %s, which is not a member", c.pool.Name, c.attempts[0].server)
 	}
 }
 
-// settle lets all that is due now happen.
+// settle delivers all events that are due now.
 func (h *harness) settle() { h.advance(0) }
 
-// Whatever lists come, whole or in part, large or small, one before the other has been worked through, and however the
-// pools are dealt meanwhile: in the end each pool sees just those app nodes that it should, as a plain map says, no
-// update is larger than a slice, and calls go to members of their pool alone.
-func TestPoolsSeeWhatTheListsSay(t *testing.T) {
-	if checks := flag.Lookup("rapid.checks"); checks.Value.String() == "2000" { // each is long: hundreds of entries at a time
+// Complete and partial lists of any size arrive before earlier ones are processed, while layouts and overrides change.
+// In the end each pool sees exactly the app nodes that a plain map predicts, no update is larger than a slice, and calls
+// go only to members of their pool.
+func TestPoolMembersMatchLists(t *testing.T) {
+	if checks := flag.Lookup("rapid.checks"); checks.Value.String() == "2000" { // each check processes hundreds of entries at a time
 		flag.Set("rapid.checks", "100")
 		defer flag.Set("rapid.checks", "2000")
 	}
@@ -126,35 +126,35 @@
 		for i := range layouts {
 			layouts[i].Route = func(c *Call) int { return int(c.ID) % 2 }
 		}
-		in := layouts[0]
-		h, views := newPoolHarness(t, in)
-		truth, wishes := map[string]brain.Member{}, map[string]control.Change{}
+		current := layouts[0]
+		h, deciders := newPoolHarness(t, current)
+		expected, overrides := map[string]brain.Member{}, map[string]control.Change{}
 		t.Repeat(map[string]func(*rapid.T){
 			"list": func(t *rapid.T) {
 				complete := rapid.IntRange(0, 2).Draw(t, "complete") == 0
 				if complete {
-					clear(truth)
+					clear(expected)
 				}
 				l := List{Complete: complete, Revision: 1}
 				for range rapid.SampledFrom([]int{0, 1, 3, 250, 900}).Draw(t, "entries") {
 					i := rapid.IntRange(0, 400).Draw(t, "server")
 					m := brain.Member{Server: fmt.Sprint("s", i), Zone: rapid.SampledFrom([]string{"a", "b", "c"}).Draw(t, "zone"), Weight: 1,
 						State: rapid.SampledFrom([]brain.Readiness{brain.Ready, brain.Ready, brain.Draining, brain.Gone}).Draw(t, "state")}
-					if truth[m.Server] = m; m.State == brain.Gone {
-						delete(truth, m.Server)
+					if expected[m.Server] = m; m.State == brain.Gone {
+						delete(expected, m.Server)
 					}
 					l.Members, l.Addresses = append(l.Members, m), append(l.Addresses, fmt.Sprint("n", i, ":1"))
 				}
 				h.listed(l)
 			},
-			"deal": func(t *rapid.T) {
-				in = rapid.SampledFrom(layouts).Draw(t, "layout")
-				h.do(Reloaded{Discovery: "d:2", Layout: &in})
+			"change layout": func(t *rapid.T) {
+				current = rapid.SampledFrom(layouts).Draw(t, "layout")
+				h.do(Reloaded{Discovery: "d:2", Layout: &current})
 			},
 			"operator": func(t *rapid.T) {
 				c := control.Change{Node: fmt.Sprint("s", rapid.IntRange(0, 400).Draw(t, "server")), Drained: rapid.Bool().Draw(t, "drained"),
 					Weight: rapid.SampledFrom([]float64{0, 0, 0.5}).Draw(t, "weight")}
-				wishes[c.Node] = c
+				overrides[c.Node] = c
 				h.do(Operator{Changes: []control.Change{c}})
 			},
 			"call": func(t *rapid.T) {
@@ -166,48 +166,48 @@
 			"time":   func(t *rapid.T) { h.advance(time.Second) },
 		})
 		h.advance(2 * time.Second)
-		for _, p := range in.Pools {
+		for _, p := range current.Pools {
 			want := map[string]brain.Member{}
-			for name, m := range truth {
+			for name, m := range expected {
 				m.Bit = h.r.zoneBit(m.Zone)
-				if c := wishes[name]; c.Drained && m.State == brain.Ready {
+				if c := overrides[name]; c.Drained && m.State == brain.Ready {
 					m.State = brain.Draining
 				}
-				if c := wishes[name]; c.Weight > 0 {
+				if c := overrides[name]; c.Weight > 0 {
 					m.Weight = c.Weight
 				}
 				if p.Selector.Matches(&m) {
 					want[name] = m
 				}
 			}
-			if v := views[p.Name]; !maps.Equal(v.view, want) {
-				t.Fatalf("pool %s sees %d servers, not %d", p.Name, len(v.view), len(want))
+			if v := deciders[p.Name]; !maps.Equal(v.members, want) {
+				t.Fatalf("pool %s has %d servers, want %d", p.Name, len(v.members), len(want))
 			}
 		}
-		for name, v := range views {
+		for name, v := range deciders {
 			if v.largestUpdate > maxServersPerEvent {
-				t.Errorf("pool %s was told of %d at once", name, v.largestUpdate)
+				t.Errorf("pool %s got an update with %d entries", name, v.largestUpdate)
 			}
 		}
-		if live := len(in.Pools); len(h.r.jobs) != 0 || len(slices.DeleteFunc(slices.Clone(h.r.pools), func(p *pool) bool { return p == nil })) != live {
-			t.Errorf("%d feeds left, %d pools for %d wanted", len(h.r.jobs), len(h.r.pools), live)
+		if wantPools := len(current.Pools); len(h.r.jobs) != 0 || len(slices.DeleteFunc(slices.Clone(h.r.pools), func(p *pool) bool { return p == nil })) != wantPools {
+			t.Errorf("%d jobs left, %d pools, want %d", len(h.r.jobs), len(h.r.pools), wantPools)
 		}
-		if len(h.r.servers) != len(truth) || len(h.r.serverList) != len(truth) {
-			t.Errorf("%d and %d servers, not %d", len(h.r.servers), len(h.r.serverList), len(truth))
+		if len(h.r.servers) != len(expected) || len(h.r.serverList) != len(expected) {
+			t.Errorf("servers: %d by ID, %d in serverList, want %d", len(h.r.servers), len(h.r.serverList), len(expected))
 		}
 		for i, s := range h.r.serverList {
 			if s.position != i {
-				t.Fatalf("%s stands at %d, not %d", s.id, i, s.position)
+				t.Fatalf("%s is at position %d, but records %d", s.id, i, s.position)
 			}
 		}
 	})
 }
 
-// A route moves to another pool with calls in flight: they end where they began, and the pool that nobody wants any more
-// goes with its last call.
-func TestARouteMovesWithCallsInFlight(t *testing.T) {
+// A route moves to another pool while calls are open: they finish in their pool, and the pool that is no longer wanted
+// is removed with its last call.
+func TestRouteChangeKeepsOpenCallsInPool(t *testing.T) {
 	two := Layout{Pools: []PoolSpec{{Name: "old", Selector: inZone("a")}, {Name: "new", Selector: inZone("b")}}}
-	h, views := newPoolHarness(t, two)
+	h, deciders := newPoolHarness(t, two)
 	h.listed(List{Complete: true, Revision: 1, Addresses: []string{"a:1", "b:1"},
 		Members: []brain.Member{{Server: "sa", Zone: "a", Weight: 1}, {Server: "sb", Zone: "b", Weight: 1}}})
 	first := h.arrive(0, 600*ms)
@@ -216,8 +216,8 @@
 	h.do(Reloaded{Discovery: "d:2", Layout: &one})
 	second := h.arrive(0, 600*ms)
 	h.dialed(2, nil)
-	if views["old"].sends["1"] != "sa" || views["new"].sends["2"] != "sb" || len(views["old"].view) != 0 {
-		t.Fatalf("%+v %+v, the old pool sees %v", views["old"].sends, views["new"].sends, views["old"].view)
+	if deciders["old"].sends["1"] != "sa" || deciders["new"].sends["2"] != "sb" || len(deciders["old"].members) != 0 {
+		t.Fatalf("sends %+v and %+v, members of the old pool %v", deciders["old"].sends, deciders["new"].sends, deciders["old"].members)
 	}
 	if names, _, open := h.r.Pools(); !slices.Equal(names, []string{"new"}) || open[0] != 1 || len(h.r.pools) != 2 || h.r.pools[0] == nil {
 		t.Errorf("%v %v %v", names, open, h.r.pools)
@@ -225,16 +225,16 @@
 	h.exchanged(goodAnswer(1))
 	h.exchanged(goodAnswer(2))
 	if a, b := h.calls[first].reply.Kind, h.calls[second].reply.Kind; a != Served || b != Served || h.r.pools[0] != nil || h.r.Open() != 0 {
-		t.Errorf("%v, %v, the old pool is %v", a, b, h.r.pools[0])
+		t.Errorf("replies %v and %v, index of the old pool holds %v", a, b, h.r.pools[0])
 	}
 	h.do(Reloaded{Discovery: "d:2", Layout: &Layout{Pools: []PoolSpec{{Name: "x"}, {Name: "x"}}}})
 	if !h.hasEffect(func(e Effect) bool { l, ok := e.(Log); return ok && strings.Contains(l.Text, `"x"`) }) || len(h.r.routedPools) != 1 {
-		t.Errorf("a bad layout: %+v", h.effects)
+		t.Errorf("duplicate pool names: %+v", h.effects)
 	}
 }
 
-// A pool that loses its last member refuses its own calls and takes nothing from the other, until one comes back.
-func TestAPoolLosesItsLastMember(t *testing.T) {
+// A pool that loses its last member refuses its own calls and does not affect the other pool, until a member returns.
+func TestPoolWithoutMembersRefuses(t *testing.T) {
 	h, _ := newPoolHarness(t, Layout{Pools: []PoolSpec{{Name: "a", Selector: inZone("a")}, {Name: "b", Selector: inZone("b")}},
 		Route: func(c *Call) int { return c.Class }})
 	member := func(state brain.Readiness) List {
@@ -255,12 +255,12 @@
 	}
 	h.listed(member(brain.Ready))
 	if id := h.arrive(0, 600*ms); h.calls[id].answers != 0 || len(h.inState(dialing)) != 1 {
-		t.Error("the member that came back gets no work")
+		t.Error("the returned member gets no calls")
 	}
 }
 
-// Past its cap a pool refuses at once, and says when to come back; what ends makes room.
-func TestAPoolThatIsFullRefuses(t *testing.T) {
+// A pool at its limit refuses at once, with a retry hint; a call that ends makes room.
+func TestFullPoolRefuses(t *testing.T) {
 	h, _ := newPoolHarness(t, Layout{Pools: []PoolSpec{{Name: "small", MaxOpen: 2}, {Name: "other"}}, Route: func(c *Call) int { return c.Class }})
 	h.listed(list(true, brain.Ready, "a:1"))
 	first := h.arrive(0, 600*ms)
@@ -272,13 +272,13 @@
 	h.clientGone(first)
 	h.dialed(1, nil)
 	if id := h.arrive(0, 600*ms); h.calls[id].answers != 0 {
-		t.Error("no room after one has gone")
+		t.Error("call refused after another one ended")
 	}
 }
 
-// A list of ten thousand shrinks to three and grows again, while calls go on between the slices.
-func TestALargeListComesInSlices(t *testing.T) {
-	h, views := newPoolHarness(t, defaultLayout())
+// A list of 10,000 shrinks to 3 and grows again, while calls are served between the slices.
+func TestLargeListIsProcessedInSlices(t *testing.T) {
+	h, deciders := newPoolHarness(t, defaultLayout())
 	all := List{Complete: true, Revision: 1}
 	for i := range 10_000 {
 		all.Members = append(all.Members, brain.Member{Server: fmt.Sprint("s", i), Zone: "a", Weight: 1})
@@ -292,7 +292,7 @@
 			events++
 			h.timers = slices.DeleteFunc(h.timers, func(d scheduledEvent) bool { _, ok := d.event.(nextSlice); return ok })
 			h.do(nextSlice{})
-			id := h.arrive(0, 600*ms) // its turn comes between
+			id := h.arrive(0, 600*ms) // between two slices
 			for _, d := range h.inState(dialing) {
 				h.dialed(d, nil)
 			}
@@ -300,38 +300,39 @@
 				h.exchanged(goodAnswer(b))
 			}
 			if c := h.calls[id]; c.reply.Kind != Served || c.answers != 1 {
-				t.Fatalf("while the list is entered: %+v", c)
+				t.Fatalf("call while the list is processed: %+v", c)
 			}
 		}
-		if v := views["all"]; len(v.view) != n || events < 4 || v.largestUpdate > maxServersPerEvent {
-			t.Errorf("%d of %d seen after %d events, %d at once", len(v.view), n, events, v.largestUpdate)
+		if v := deciders["all"]; len(v.members) != n || events < 4 || v.largestUpdate > maxServersPerEvent {
+			t.Errorf("%d of %d members after %d events, largest update %d", len(v.members), n, events, v.largestUpdate)
 		}
 	}
 }
 
-// A server that another has displaced is told of as gone with all that is known of it: where it stood says where what was
-// out there may be repeated. Without its cell a keyed call was once repeated in the first cell that came.
-func TestWhatIsGoneKeepsItsPlace(t *testing.T) {
+// A server displaced by another is reported as gone with everything known about it: its location says where its attempts
+// may be retried. When the cell was missing, a keyed call was once retried in whichever cell came first.
+func TestRemovedServerKeepsZoneAndCell(t *testing.T) {
 	h, _ := newPoolHarness(t, defaultLayout())
-	told := map[string]brain.Member{}
+	lastUpdate := map[string]brain.Member{}
 	h.r.pools[0].decider = eventFunc{func(ev brain.Event) {
 		if u, ok := ev.(*brain.FleetUpdate); ok {
 			for _, m := range u.Members {
-				told[m.Server] = m
+				lastUpdate[m.Server] = m
 			}
 		}
 	}}
 	h.listed(List{Revision: 1, Addresses: []string{"a:1"}, Members: []brain.Member{{Server: "old", Zone: "a", Cell: 7, Weight: 2, Started: 5}}})
 	h.listed(List{Revision: 2, Addresses: []string{"a:1"}, Members: []brain.Member{{Server: "new", Zone: "a", Cell: 8, Weight: 2, Started: 9}}})
-	if m := told["old"]; m.State != brain.Gone || m.Zone != "a" || m.Cell != 7 {
+	if m := lastUpdate["old"]; m.State != brain.Gone || m.Zone != "a" || m.Cell != 7 {
 		t.Errorf("%+v", m)
 	}
 	h.listed(List{Revision: 3, Addresses: []string{""}, Members: []brain.Member{{Server: "new", State: brain.Gone}}})
-	if m := told["new"]; m.State != brain.Gone || m.Zone != "a" || m.Cell != 8 {
+	if m := lastUpdate["new"]; m.State != brain.Gone || m.Zone != "a" || m.Cell != 8 {
 		t.Errorf("%+v", m)
 	}
 }
 
+// eventFunc is a decider that passes each event to a function and takes no action.
 type eventFunc struct{ handle func(brain.Event) }
 
 func (e eventFunc) Handle(_ time.Duration, ev brain.Event, acts []brain.Action) []brain.Action {
@@ -339,8 +340,8 @@
 	return acts
 }
 
-// A whole list that changes nothing, as a discovery that has started again writes it, must leave the module its servers.
-func TestAWholeListThatChangesNothing(t *testing.T) {
+// A complete list without changes, as sent by a restarted discovery, must not take the decider's servers away.
+func TestUnchangedCompleteList(t *testing.T) {
 	h := newHarness(t, 8, "a:1", "b:1")
 	for range 3 {
 		h.listed(list(true, brain.Ready, "a:1", "b:1"))
--- a/internal/reducer/reducer_test.go
+++ b/internal/reducer/reducer_test.go
@@ -17,7 +17,7 @@
 
 const ms = time.Millisecond
 
-// A hundred walks, the default, seldom meet the rarer orders of events.
+// With the default of 100 checks the rarer orders of events hardly occur.
 func TestMain(m *testing.M) { walks.Main(m, 2000, 80) }
 
 func settings() brain.Settings {
@@ -41,8 +41,8 @@
 	return l
 }
 
-// world drives a reducer by hand. It keeps the model: the states of each connection as the effects imply them,
-// and what each call is owed. Every effect is checked against it.
+// harness drives a Reducer event by event. It keeps a model of the state of each connection, as implied by the effects,
+// and of what each call is owed, and checks every effect against it.
 type harness struct {
 	t interface {
 		Fatalf(string, ...any)
@@ -53,23 +53,23 @@
 	now             time.Duration
 	conns           map[uint64]connState
 	idleAt          map[uint64]time.Duration
-	calls           map[uint64]*callModel
-	last            uint64
+	calls           map[uint64]*callState
+	lastCall        uint64
 	timers          []scheduledEvent
-	lastByClientID  map[string]scheduledEvent // by client's id: the call last delegated under it, and when
+	lastByClientID  map[string]scheduledEvent // by client ID: the call last sent under it, and when
 	effects         []Effect                  // of the last event
-	closes          []Part                    // asked for so far
-	sendsToDraining bool                      // its deciders send to app nodes that drain
-	notReadySince   map[string]time.Duration  // app nodes that are not in service, by the list, since when
+	closes          []Part                    // all Part effects so far
+	sendsToDraining bool                      // the deciders may send to app nodes that drain
+	notReadySince   map[string]time.Duration  // when each app node that is not ready was first listed so
 
-	figures     *Figures          // as last published
-	callOn      map[uint64]uint64 // the call that a connection carries
-	transitions map[string]int    // transitions of connections and calls, kept from run to run
+	figures     *Figures          // last published
+	callOn      map[uint64]uint64 // the call on each connection
+	transitions map[string]int    // counts of the transitions of connections and calls, shared between runs
 }
 
 var stateNames = map[connState]string{dialing: "dialing", busy: "busy", flowing: "flowing", idle: "idle", closed: "closed"}
 
-// turn puts a connection in a state.
+// setState puts a connection into a state and counts the transition.
 func (h *harness) setState(conn uint64, to connState) {
 	from := "nothing"
 	if s, ok := h.conns[conn]; ok {
@@ -79,20 +79,22 @@
 	h.transitions["connection: "+from+" to "+stateNames[to]]++
 }
 
-// becomes notes what became of a call.
+// record counts a transition of a call.
 func (h *harness) record(what string) { h.transitions["call: "+what]++ }
 
-type callModel struct {
+// callState is what the model knows of a call.
+type callState struct {
 	deadline     time.Duration
 	timeout      time.Duration // of an upload, from its last byte
-	pastDeadline bool          // it flows past that
+	pastDeadline bool          // its answer still flows after the deadline
 	answers      int
 	clientGone   bool
-	bodyUsed     bool   // its body is gone
-	flow         uint64 // the connection that its answer flows on; 0: none, or no more
+	bodyUsed     bool   // its body has been consumed
+	flow         uint64 // the connection that its answer flows on; 0: none
 	reply        Reply
 }
 
+// scheduledEvent is an event with the time at which it is due.
 type scheduledEvent struct {
 	at    time.Duration
 	event Event
@@ -111,7 +113,7 @@
 	if h.transitions == nil {
 		h.transitions = map[string]int{}
 	}
-	h.r, h.conns, h.idleAt, h.calls = r, map[uint64]connState{}, map[uint64]time.Duration{}, map[uint64]*callModel{}
+	h.r, h.conns, h.idleAt, h.calls = r, map[uint64]connState{}, map[uint64]time.Duration{}, map[uint64]*callState{}
 	h.do(Started{Known: list(true, brain.Ready, addresses...), Discovery: "d:1"})
 	return h
 }
@@ -128,44 +130,44 @@
 			h.setState(e.Conn, dialing)
 		case Exchange:
 			if s, ok := h.conns[e.Conn]; !ok || s != idle {
-				h.t.Fatalf("exchange on connection %d, which is %v", e.Conn, s)
+				h.t.Fatalf("Exchange on connection %d in state %v", e.Conn, s)
 			}
 			if at, ok := h.idleAt[e.Conn]; ok && h.now-at >= h.r.idleLimit() {
 				h.t.Fatalf("connection %d used after %v idle", e.Conn, h.now-at)
 			}
 			if c := h.calls[e.Call.ID]; c.answers > 0 || c.clientGone || c.bodyUsed {
-				h.t.Fatalf("call %d goes out though nothing may: %+v", e.Call.ID, c)
+				h.t.Fatalf("call %d sent although it has ended or its body was used: %+v", e.Call.ID, c)
 			}
 			cn := h.r.conns[e.Conn]
 			if at, ok := h.notReadySince[cn.srv.id]; ok && h.now-at >= h.cfg.Rules.DrainGrace && !(h.sendsToDraining && cn.attempt.startedAt >= at) {
-				h.t.Fatalf("call %d goes to an app node %v after it was told to drain", e.Call.ID, h.now-at)
+				h.t.Fatalf("call %d sent to an app node %v after its drain was listed", e.Call.ID, h.now-at)
 			}
 			if c := h.calls[e.Call.ID]; h.now >= c.deadline-answerMargin {
-				h.t.Fatalf("call %d goes out %v before its time is over", e.Call.ID, c.deadline-h.now)
+				h.t.Fatalf("call %d sent only %v before its deadline", e.Call.ID, c.deadline-h.now)
 			}
 			if e.Stall <= 0 || e.FlowStall <= e.Stall {
-				h.t.Fatalf("waits of %v and %v", e.Stall, e.FlowStall)
+				h.t.Fatalf("invalid stall timeouts %v and %v", e.Stall, e.FlowStall)
 			}
 			h.setState(e.Conn, busy)
 			h.callOn[e.Conn] = e.Call.ID
 			if e.Call.OneShot {
-				h.calls[e.Call.ID].deadline = 1 << 62 // no time runs while its body is on its way
+				h.calls[e.Call.ID].deadline = 1 << 62 // the deadline does not run while the body is being sent
 			}
 			if id := e.Call.ClientID; id != "" {
 				by, ok := h.lastByClientID[id].event.(callDeadline)
 				if ok && by.call != e.Call.ID && h.calls[by.call].reply.Kind != Rejected && h.now-h.lastByClientID[id].at < clientIDRetention {
-					h.t.Fatalf("calls %d and %d were both delegated as %s", by.call, e.Call.ID, id)
+					h.t.Fatalf("calls %d and %d both sent with client ID %s", by.call, e.Call.ID, id)
 				}
 				h.lastByClientID[id] = scheduledEvent{h.now, callDeadline{e.Call.ID}}
 			}
 		case Close:
 			if s, ok := h.conns[e.Conn]; !ok || s == closed {
-				h.t.Fatalf("connection %d given back twice", e.Conn)
+				h.t.Fatalf("connection %d closed twice", e.Conn)
 			}
 			if c := h.calls[h.callOn[e.Conn]]; h.conns[e.Conn] == flowing && c.flow == e.Conn {
 				c.flow = 0
 				if !c.clientGone {
-					h.t.Fatalf("call %d was cut while it flowed, by %T", h.callOn[e.Conn], ev)
+					h.t.Fatalf("flow of call %d cut by event %T", h.callOn[e.Conn], ev)
 				}
 				h.record("flowing, the client left")
 			}
@@ -181,7 +183,7 @@
 			c.reply = e.Reply
 			if conn, ok := e.Reply.Message.(uint64); ok {
 				if h.conns[conn] != busy || h.callOn[conn] != e.Call {
-					h.t.Fatalf("call %d is to flow on connection %d, which is %v and carries %d", e.Call, conn, h.conns[conn], h.callOn[conn])
+					h.t.Fatalf("call %d committed on connection %d, which is in state %v and carries call %d", e.Call, conn, h.conns[conn], h.callOn[conn])
 				}
 				c.flow = conn
 				h.setState(conn, flowing)
@@ -202,7 +204,7 @@
 		}
 	}
 	if c := h.r.counts; c.active() < 0 || c.active() > h.r.Open() {
-		h.t.Fatalf("%d calls active of %d open: %+v", c.active(), h.r.Open(), c)
+		h.t.Fatalf("%d calls active, %d open: %+v", c.active(), h.r.Open(), c)
 	}
 	byServer, seen := 0, map[*server]bool{}
 	for _, cn := range h.r.conns {
@@ -213,12 +215,12 @@
 	}
 	if open := len(h.inState(dialing)) + len(h.inState(busy)) + len(h.inState(flowing)) + len(h.inState(idle)); open > h.r.connBudget ||
 		open != len(h.r.conns) || open != byServer {
-		h.t.Fatalf("%d connections open, the reducer holds %d, the budget is %d", open, len(h.r.conns), h.r.connBudget)
+		h.t.Fatalf("%d connections open, the reducer has %d, budget %d", open, len(h.r.conns), h.r.connBudget)
 	}
 	return h.effects
 }
 
-// in lists the connections in a state, lowest id first.
+// inState returns the connections in a state, lowest ID first.
 func (h *harness) inState(s connState) (ids []uint64) {
 	for id := uint64(1); id <= h.r.lastConnID; id++ {
 		if have, ok := h.conns[id]; ok && have == s {
@@ -231,13 +233,13 @@
 func (h *harness) arrive(class int, wait time.Duration) uint64 { return h.arriveAs("", class, wait) }
 
 func (h *harness) arriveAs(id string, class int, wait time.Duration) uint64 {
-	h.last++
-	h.calls[h.last] = &callModel{deadline: h.now + wait}
-	h.do(Arrived{&Call{ID: h.last, ClientID: id, Class: class, Tenant: -1, Deadline: h.now + wait}})
-	return h.last
+	h.lastCall++
+	h.calls[h.lastCall] = &callState{deadline: h.now + wait}
+	h.do(Arrived{&Call{ID: h.lastCall, ClientID: id, Class: class, Tenant: -1, Deadline: h.now + wait}})
+	return h.lastCall
 }
 
-// gone has the client of a call leave.
+// clientGone ends the client connection of a call.
 func (h *harness) clientGone(id uint64) {
 	if c := h.calls[id]; c.answers == 0 || c.flow != 0 {
 		c.clientGone = true
@@ -245,13 +247,13 @@
 	h.do(ClientGone{id})
 }
 
-// flows has the answer on a connection ask to be committed, and says whether it was.
+// startFlow asks to commit the answer on a connection and reports whether it was committed.
 func (h *harness) startFlow(conn uint64, result Result) bool {
 	h.do(Flowing{Conn: conn, Result: result, Message: conn})
 	return h.conns[conn] == flowing
 }
 
-// uploaded has the last byte of a body come, where it was on its way.
+// uploaded reports the last byte of a body, if it was being sent.
 func (h *harness) uploaded(id uint64) {
 	if c := h.r.calls[id]; c != nil && c.uploading {
 		h.calls[id].deadline = h.now + h.calls[id].timeout
@@ -261,7 +263,7 @@
 
 func (h *harness) dialed(id uint64, err error) {
 	if err == nil {
-		h.setState(id, idle) // in the shell's eyes; used or not is the reducer's word
+		h.setState(id, idle) // the connection is up; whether it is used is up to the reducer
 	}
 	h.do(Dialed{id, err})
 }
@@ -285,7 +287,7 @@
 	c := h.calls[h.callOn[e.Conn]]
 	if e.Result == Left && e.Written == Nothing && c.answers == 0 {
 		c.clientGone = true
-		h.record("seen to have left at the last look")
+		h.record("found to have left before the write")
 	}
 	if c.bodyUsed = c.bodyUsed || e.Spent; c.flow == e.Conn {
 		c.flow = 0
@@ -294,7 +296,7 @@
 	h.do(e)
 }
 
-// pass lets time go by, firing what is due in order.
+// advance moves the clock forward and delivers the scheduled events in order.
 func (h *harness) advance(d time.Duration) {
 	for end := h.now + d; ; {
 		first := -1
@@ -314,20 +316,20 @@
 	}
 }
 
-// good is a whole answer on a connection that carries on.
+// goodAnswer is a complete answer on a connection that can be reused.
 func goodAnswer(conn uint64) Exchanged {
 	return Exchanged{Conn: conn, Written: Whole, Result: Good, Reuse: true}
 }
 
 var errDown = errors.New("down")
 
-// The model against random steps: whatever clients, app nodes and discovery do, each connection goes through
-// its states in order and is given back once, each call has one answer in time, and nothing is left behind.
-func TestConnectionsAndCallsKeepToTheModel(t *testing.T) {
-	met := map[string]int{}
+// Random events from clients, app nodes and discovery: each connection goes through its states in order and is released
+// once, each call gets one answer in time, and nothing is left over.
+func TestConnectionsAndCallsMatchModel(t *testing.T) {
+	transitions := map[string]int{}
 	rapid.Check(t, func(t *rapid.T) {
-		h := &harness{t: t, now: time.Hour, cfg: settings(), transitions: met}
-		h.cfg.CanCancel = rapid.Bool().Draw(t, "cancel") // without, answers come after the call is over
+		h := &harness{t: t, now: time.Hour, cfg: settings(), transitions: transitions}
+		h.cfg.CanCancel = rapid.Bool().Draw(t, "cancel") // without cancellation, answers arrive after the end of the call
 		h.start(rapid.IntRange(1, 6).Draw(t, "budget"), "a:1", "b:1", "c:1")
 		pick := func(s connState) (uint64, bool) {
 			ids := h.inState(s)
@@ -338,14 +340,14 @@
 		}
 		t.Repeat(map[string]func(*rapid.T){
 			"upload": func(t *rapid.T) {
-				h.last++
+				h.lastCall++
 				wait := time.Duration(rapid.IntRange(0, 700).Draw(t, "wait")) * ms
-				h.calls[h.last] = &callModel{deadline: h.now + wait, timeout: wait}
-				h.do(Arrived{&Call{ID: h.last, Class: rapid.IntRange(0, 1).Draw(t, "class"), Tenant: -1, Deadline: h.now + wait, OneShot: true}})
+				h.calls[h.lastCall] = &callState{deadline: h.now + wait, timeout: wait}
+				h.do(Arrived{&Call{ID: h.lastCall, Class: rapid.IntRange(0, 1).Draw(t, "class"), Tenant: -1, Deadline: h.now + wait, OneShot: true}})
 			},
 			"uploaded": func(t *rapid.T) {
-				if h.last > 0 {
-					h.uploaded(rapid.Uint64Range(1, h.last).Draw(t, "call"))
+				if h.lastCall > 0 {
+					h.uploaded(rapid.Uint64Range(1, h.lastCall).Draw(t, "call"))
 				}
 			},
 			"call": func(t *rapid.T) {
@@ -353,8 +355,8 @@
 					time.Duration(rapid.IntRange(0, 700).Draw(t, "wait"))*ms)
 			},
 			"client gone": func(t *rapid.T) {
-				if h.last > 0 {
-					h.clientGone(rapid.Uint64Range(1, h.last).Draw(t, "call"))
+				if h.lastCall > 0 {
+					h.clientGone(rapid.Uint64Range(1, h.lastCall).Draw(t, "call"))
 				}
 			},
 			"dialed": func(t *rapid.T) {
@@ -414,7 +416,7 @@
 				h.do(Reloaded{Discovery: rapid.SampledFrom([]string{"d:1", "d:2"}).Draw(t, "discovery")})
 			},
 			"operators": func(t *rapid.T) {
-				if rapid.Bool().Draw(t, "away") {
+				if rapid.Bool().Draw(t, "drain") {
 					h.do(Drain{})
 				} else {
 					h.do(Activate{})
@@ -424,11 +426,11 @@
 				h.advance(time.Duration(rapid.SampledFrom([]int{1, 10, 100, 1500}).Draw(t, "ms")) * ms)
 			},
 		})
-		for range 2 { // what is held goes out when others end
-			for id := range h.last {
+		for range 2 { // twice, because held calls are sent when others end
+			for id := range h.lastCall {
 				h.uploaded(id + 1)
 			}
-			for _, id := range h.inState(flowing) { // no deadline ends those
+			for _, id := range h.inState(flowing) { // flows are not ended by a deadline
 				h.exchanged(Exchanged{Conn: id, Written: Whole, Result: Good})
 			}
 			h.advance(2 * time.Second) // past every deadline
@@ -442,38 +444,38 @@
 			}
 		}
 		if c := h.r.counts; c.Taken != c.Served+c.Refused+c.Failed+c.Left || c.Taken != uint64(len(h.calls)) {
-			t.Fatalf("the counts do not add up: %+v of %d", c, len(h.calls))
+			t.Fatalf("counts %+v do not add up to %d calls", c, len(h.calls))
 		}
 		byClass := classCount{}
 		for _, e := range h.r.classCounts {
 			byClass.ok, byClass.shed, byClass.errors = byClass.ok+e.ok, byClass.shed+e.shed, byClass.errors+e.errors
 		}
 		if c := h.r.counts; byClass != (classCount{c.Served, c.Refused, c.Failed}) {
-			t.Fatalf("by class %+v, all told %+v", byClass, c)
+			t.Fatalf("counts by class %+v, in total %+v", byClass, c)
 		}
 		if h.r.Open() != 0 || len(h.inState(busy))+len(h.inState(flowing)) != 0 || len(h.r.callsByClientID) != 0 {
-			t.Fatalf("left behind: %d calls, busy connections %v, flowing %v", h.r.Open(), h.inState(busy), h.inState(flowing))
+			t.Fatalf("left over: %d calls, busy connections %v, flowing %v", h.r.Open(), h.inState(busy), h.inState(flowing))
 		}
 		h.advance(5 * time.Second)
 		if n := len(h.r.conns); n != 0 {
-			t.Fatalf("%d connections outlived the idle limit", n)
+			t.Fatalf("%d connections open after the idle limit", n)
 		}
 	})
-	// A model whose walks never come to a state proves nothing of it.
+	// A check whose runs never reach a transition proves nothing about it.
 	for _, what := range modelTransitions {
-		if met[what] == 0 && flag.Lookup("rapid.checks").Value.String() == "2000" {
-			t.Errorf("never met: %s", what)
+		if transitions[what] == 0 && flag.Lookup("rapid.checks").Value.String() == "2000" {
+			t.Errorf("transition never occurred: %s", what)
 		}
-		t.Logf("%7d  %s", met[what], what)
+		t.Logf("%7d  %s", transitions[what], what)
 	}
-	for what, n := range met {
+	for what, n := range transitions {
 		if !slices.Contains(modelTransitions, what) {
-			t.Errorf("not in the model: %s, %d times", what, n)
+			t.Errorf("transition not in the model: %s, %d times", what, n)
 		}
 	}
 }
 
-// transitions are all that the model knows.
+// modelTransitions lists every transition that the model knows.
 var modelTransitions = []string{
 	"connection: nothing to dialing", "connection: dialing to idle", "connection: dialing to closed",
 	"connection: idle to busy", "connection: idle to closed", "connection: busy to idle", "connection: busy to closed",
@@ -482,12 +484,12 @@
 	"call: answered, kind 1, flowing true", "call: answered, kind 2, flowing false", "call: answered, kind 3, flowing false",
 	"call: answered, kind 4, flowing false", "call: flowing, the client left", "call: flowing, past its deadline",
 	"call: flowing, ended with result 0", "call: flowing, ended with result 1", "call: flowing, ended with result 2",
-	"call: flowing, ended with result 7", "call: seen to have left at the last look",
+	"call: flowing, ended with result 7", "call: found to have left before the write",
 }
 
-// A connection that the app node closed just before the write was never used: the call goes out on a new one
-// and the module does not hear of a failure.
-func TestACallNotWrittenAtAllGoesOutAgain(t *testing.T) {
+// The app node closed the connection just before the write: the call was not sent. It goes out on a new connection, and
+// the decider does not see a failure.
+func TestUnwrittenCallIsSentAgain(t *testing.T) {
 	h := newHarness(t, 4, "a:1")
 	first := h.arrive(0, 600*ms)
 	h.dialed(1, nil)
@@ -501,24 +503,25 @@
 	}
 }
 
-// A client that leaves frees the app node: its connection closes. A dial under way is kept for the next call.
-func TestClientGoneClosesTheDelegation(t *testing.T) {
+// When a client leaves, the app node's connection is closed to stop the work. A dial in progress is kept for the next
+// call.
+func TestClientGoneClosesAttempt(t *testing.T) {
 	h := newHarness(t, 4, "a:1")
 	id := h.arrive(0, 600*ms)
 	h.clientGone(id)
 	h.dialed(1, nil)
 	id = h.arrive(0, 600*ms)
 	if len(h.inState(busy)) != 1 || h.r.lastConnID != 1 {
-		t.Fatal("the finished dial did not join the pool")
+		t.Fatal("the connection of the abandoned attempt was not reused")
 	}
 	h.clientGone(id)
 	if h.conns[1] != closed || h.r.Open() != 0 {
-		t.Fatalf("the delegation goes on: %v, %d calls", h.conns[1], h.r.Open())
+		t.Fatalf("the attempt continues: connection %v, %d calls open", h.conns[1], h.r.Open())
 	}
 }
 
-// An app node that never answers must not cost the client its answer, and a refusal says when to come back.
-func TestASilentAppNodeIsAnsweredForInTime(t *testing.T) {
+// If an app node never answers, the client still gets a refusal in time, with a retry hint.
+func TestSilentAppNodeIsRefusedInTime(t *testing.T) {
 	h := newHarness(t, 4, "a:1")
 	id := h.arrive(0, 600*ms)
 	h.dialed(1, nil)
@@ -527,12 +530,12 @@
 		t.Fatalf("%+v", c.reply)
 	}
 	if h.conns[1] != closed {
-		t.Error("the app node was left working")
+		t.Error("the connection to the silent app node is still open")
 	}
 }
 
-// What is open to an app node's old address leads elsewhere.
-func TestAChangedAddressClosesOldConnections(t *testing.T) {
+// Connections to an app node's old address must not be used any more.
+func TestChangedAddressClosesOldConnections(t *testing.T) {
 	h := newHarness(t, 4, "a:1")
 	h.arrive(0, 600*ms)
 	h.dialed(1, nil)
@@ -542,12 +545,12 @@
 	h.exchanged(Exchanged{Conn: 1, Written: Whole, Result: Good})
 	h.arrive(0, 600*ms)
 	if d, ok := h.effects[len(h.effects)-1].(Dial); h.conns[1] != closed || !ok || d.Address != "a:2" {
-		t.Fatalf("%v, then %+v", h.conns[1], h.effects)
+		t.Fatalf("connection %v, effects %+v", h.conns[1], h.effects)
 	}
 }
 
-// Readiness waits for a server: an empty list would have every call held.
-func TestReadyWaitsForAServer(t *testing.T) {
+// Ready waits for the first server: with an empty list every call would be held.
+func TestReadyWaitsForServer(t *testing.T) {
 	ready := func(effects []Effect) (n int) {
 		for _, e := range effects {
 			if _, ok := e.(Ready); ok {
@@ -559,12 +562,12 @@
 	h := newHarness(t, 4)
 	if ready(h.effects) != 0 || ready(h.listed(list(true, brain.Ready, "a:1"))) != 1 ||
 		ready(h.listed(list(true, brain.Ready, "a:1"))) != 0 {
-		t.Error("Ready belongs once, to the first list with a server")
+		t.Error("Ready must be emitted exactly once, with the first list that has a server")
 	}
 }
 
-// A call that comes with no time left was sent nowhere, so the client is told that it may come again.
-func TestACallWithoutTimeIsRefused(t *testing.T) {
+// A call that arrives too late was not sent anywhere, so it is refused and may be retried.
+func TestExpiredCallIsRefused(t *testing.T) {
 	h := newHarness(t, 4, "a:1")
 	id := h.arrive(1, answerMargin)
 	if c := h.calls[id]; c.reply.Kind != Refused || c.reply.After == 0 || h.r.Open() != 0 {
@@ -572,20 +575,20 @@
 	}
 }
 
-// The answer goes out in time even if the node stays silent, as it does about a call it holds.
-func TestTheReducerAnswersForASilentNode(t *testing.T) {
-	h := newHarness(t, 4) // no server: the node holds the call
+// A call is answered in time even if the decider never decides on it, as with a call that it holds.
+func TestReducerAnswersForSilentDecider(t *testing.T) {
+	h := newHarness(t, 4) // without a server the decider holds the call
 	id := h.arrive(0, 140*ms)
-	h.r.notify(h.r.pools[0], &brain.ClientGone{ID: h.r.calls[id].deciderID}) // and now it has forgotten it
+	h.r.notify(h.r.pools[0], &brain.ClientGone{ID: h.r.calls[id].deciderID}) // makes the decider forget the call
 	h.advance(140 * ms)
 	if c := h.calls[id]; c.answers != 1 || c.reply.Kind != Refused || h.r.Open() != 0 {
 		t.Errorf("%+v, %d calls open", c, h.r.Open())
 	}
 }
 
-// A reload that moves discovery must open the watch there at once and for the whole list, keep the servers known
-// until it has spoken, and hear no more of the old watch; one that moves nothing must leave the watch alone.
-func TestAReloadMovesTheWatchAtOnce(t *testing.T) {
+// A reload with a new discovery address opens the watch there at once and requests the complete list, keeps the known
+// servers until that list arrives, and ignores the old watch. A reload with the same address leaves the watch alone.
+func TestReloadMovesWatchAtOnce(t *testing.T) {
 	watches := func(effects []Effect) (all []Watch) {
 		for _, e := range effects {
 			if v, ok := e.(Watch); ok {
@@ -595,30 +598,30 @@
 		return all
 	}
 	h := newHarness(t, 4, "a:1")
-	h.advance(2 * time.Second) // the node's first ask
+	h.advance(2 * time.Second) // until the decider first asks
 	old := h.r.watchID
 	if got := watches(h.do(Reloaded{Discovery: "d:1"})); old == 0 || len(got) != 0 {
-		t.Fatalf("the same address again: %+v", got)
+		t.Fatalf("reload with the same address: %+v", got)
 	}
-	h.do(WatchEnded{old, errDown}) // the node pauses
+	h.do(WatchEnded{old, errDown}) // the decider waits before it asks again
 	got := watches(h.do(Reloaded{Discovery: "d:2"}))
 	if len(got) != 1 || got[0].Discovery != "d:2" || got[0].Since != 0 || got[0].ID == old {
 		t.Fatalf("%+v", got)
 	}
 	h.do(WatchEnded{old, errDown})
 	h.do(Listed{old, list(true, brain.Gone, "a:1")})
-	h.advance(5 * time.Second) // the pause is over, but a watch is open
+	h.advance(5 * time.Second) // the wait is over, but a watch is open
 	if h.r.watchID != got[0].ID {
 		t.Error("the new watch was replaced")
 	}
 	if h.arrive(0, 600*ms); len(h.inState(dialing)) != 1 {
-		t.Error("the list was not kept")
+		t.Error("the server list was not kept")
 	}
 }
 
-// Another client's copy of an open call's id must cost the call nothing, whichever is read first: the app node tells
-// them apart, since it cannot use the copy. Nor may a copy be delegated later, or be told that coming again is harmless.
-func TestACopiedIDCostsTheCallNothing(t *testing.T) {
+// A copy of an open call's client ID from another client must not harm the call, whichever is read first: the app node
+// rejects the copy. A later copy must neither be sent nor be told that a retry is harmless.
+func TestDuplicateClientIDDoesNotHarmCall(t *testing.T) {
 	h := newHarness(t, 4, "a:1")
 	copied := h.arriveAs("x", 1, 600*ms) // read first
 	real := h.arriveAs("x", 1, 600*ms)
@@ -632,58 +635,58 @@
 			t.Errorf("call %d: %d, want %d", id, got, want)
 		}
 	}
-	held := h.arriveAs("z", 1, 600*ms)
-	behind := h.arriveAs("z", 1, 300*ms)
+	first := h.arriveAs("z", 1, 600*ms)
+	second := h.arriveAs("z", 1, 300*ms)
 	h.advance(300 * ms)
-	if h.calls[behind].reply.Kind != Conflict || h.calls[held].answers != 0 {
-		t.Errorf("%+v %+v", h.calls[behind], h.calls[held])
+	if h.calls[second].reply.Kind != Conflict || h.calls[first].answers != 0 {
+		t.Errorf("%+v %+v", h.calls[second], h.calls[first])
 	}
 	h.exchanged(goodAnswer(1))
 	if h.advance(time.Minute); h.r.Open() != 0 || len(h.r.callsByClientID) != 0 {
-		t.Errorf("%d calls and %d ids left", h.r.Open(), len(h.r.callsByClientID))
+		t.Errorf("%d calls and %d client IDs left", h.r.Open(), len(h.r.callsByClientID))
 	}
-	for i := range 3 * maxClientIDs { // a flood of ids must not grow without end
+	for i := range 3 * maxClientIDs { // the number of remembered IDs is bounded
 		h.r.rememberClientID(strconv.Itoa(i))
 	}
 	if n := len(h.r.recentClientIDs[0]) + len(h.r.recentClientIDs[1]); n > 2*maxClientIDs || !h.r.recentlyUsed(strconv.Itoa(3*maxClientIDs-1)) {
-		t.Errorf("%d ids remembered", n)
+		t.Errorf("%d client IDs remembered", n)
 	}
 }
 
-// On a long day app nodes are replaced all the time, some by new ones at the same address. What left must leave the
-// state, what is open to it must not serve the new one, and no call may reach the new one under the old id.
-func TestAReplacedServerIsForgotten(t *testing.T) {
+// App nodes are replaced all the time, sometimes by new ones at the same address. A replaced one must leave the state,
+// its connections must not serve the new one, and no call may reach the new one under the old ID.
+func TestReplacedServerIsRemoved(t *testing.T) {
 	h := newHarness(t, 8)
-	one := func(i int, state brain.Readiness, complete bool) List {
+	listOf := func(i int, state brain.Readiness, complete bool) List {
 		return List{Complete: complete, Revision: int64(i), Addresses: []string{"a:1"}, Members: []brain.Member{
 			{Server: fmt.Sprintf("s%d", i), Zone: "a", Weight: 1, Started: time.Duration(i) * time.Second, State: state}}}
 	}
-	h.listed(one(1, brain.Ready, false))
+	h.listed(listOf(1, brain.Ready, false))
 	first := h.arrive(0, 600*ms)
 	h.dialed(1, nil)
-	h.listed(one(2, brain.Ready, false)) // s1 is not told of
+	h.listed(listOf(2, brain.Ready, false)) // the removal of s1 is not listed
 	if len(h.r.servers) != 1 || len(h.r.serverList) != 1 {
 		t.Fatalf("%d servers at one address", len(h.r.servers))
 	}
 	h.exchanged(Exchanged{Conn: 1, Written: Whole, Result: Good})
-	h.now += 10 * time.Second // s2 is cold, and takes its share
+	h.now += 10 * time.Second // s2 is warming up and gets its share
 	h.arrive(0, 600*ms)
 	if d, ok := h.effects[len(h.effects)-1].(Dial); h.calls[first].answers != 1 || h.conns[1] != closed || !ok || d.Address != "a:1" {
 		t.Fatalf("%+v, connection %v, then %+v", h.calls[first], h.conns[1], h.effects)
 	}
 	for i := 3; i < 50; i++ {
-		h.listed(one(i, brain.Ready, i%2 == 0))
-		h.listed(one(i, brain.Gone, false))
+		h.listed(listOf(i, brain.Ready, i%2 == 0))
+		h.listed(listOf(i, brain.Gone, false))
 	}
 	h.advance(time.Minute)
 	if n := len(h.r.servers) + len(h.r.serverList); n != 0 {
-		t.Errorf("%d entries left of servers that are gone", n)
+		t.Errorf("%d entries of removed servers left", n)
 	}
 }
 
-// An app node may close a connection right behind an answer. The next call takes one that has rested, so that the close
-// is noticed before a call is lost to it; with no other at hand it does take that one.
-func TestAConnectionSettlesBeforeItsNextCall(t *testing.T) {
+// An app node may close a connection right after an answer. The next call prefers a connection that has been idle for
+// reuseDelay, so that the close is noticed before a call is lost to it. Without another one it takes the recent one.
+func TestReuseDelay(t *testing.T) {
 	h := newHarness(t, 4, "a:1")
 	answer := func(conn uint64) { h.exchanged(goodAnswer(conn)) }
 	h.arrive(0, 600*ms)
@@ -694,27 +697,27 @@
 	h.advance(reuseDelay)
 	answer(2)
 	if h.arrive(0, 600*ms); h.conns[1] != busy || h.conns[2] != idle {
-		t.Errorf("the connection of the latest answer was taken")
+		t.Errorf("the connection with the latest answer was used before reuseDelay")
 	}
 	if h.arrive(0, 600*ms); h.conns[2] != busy || h.r.lastConnID != 2 {
-		t.Errorf("a new connection where one was idle")
+		t.Errorf("a new connection was dialed although one was idle")
 	}
 	answer(1)
 	h.advance(reuseDelay)
 	answer(2)
 	h.advance(reuseDelay)
 	if h.arrive(0, 600*ms); h.conns[2] != busy {
-		t.Errorf("of those that have settled, the latest is to be used: the others may end")
+		t.Errorf("the most recently used settled connection must be preferred, so that the others can expire")
 	}
 }
 
-// A repeat of a keyed call is decided on while the app nodes remember its key. Where the connection for it comes up only when
-// a cut is mended, that time may be over, and the call would have its effect twice.
-func TestALateConnectionCarriesNoRepeatOfAKeyedCall(t *testing.T) {
+// A retry of a keyed call is decided while the app nodes remember its key. If its connection comes up only after a
+// network partition heals, the window may be over, and the call would take effect twice.
+func TestNoKeyedRetryAfterKeyWindow(t *testing.T) {
 	for _, c := range []struct {
-		up    time.Duration // of the second connection, after the first was written on
-		first *Exchanged    // how the first attempt has ended by then; nil: not yet
-		goes  bool
+		up    time.Duration // when the second connection comes up, after the first attempt was written
+		first *Exchanged    // how the first attempt has ended by then; nil: it has not
+		sent  bool
 	}{
 		{900 * ms, nil, true}, {990 * ms, nil, false},
 		{990 * ms, &Exchanged{Written: Whole, Result: Broke}, false},
@@ -732,7 +735,7 @@
 			other = "s1"
 		}
 		h.advance(200 * ms)
-		if len(call.attempts) == 1 { // the module has not asked for a copy by itself
+		if len(call.attempts) == 1 { // the decider has not started a second attempt by itself
 			h.r.startAttempt(call, &brain.Action{Kind: brain.Send, ID: call.deciderID, Server: other})
 			for _, e := range h.r.effects {
 				if d, ok := e.(Dial); ok {
@@ -743,20 +746,20 @@
 		}
 		second := h.inState(dialing)
 		if len(second) != 1 || len(call.attempts) != 2 {
-			t.Fatalf("%d delegations, connections %v being made", len(call.attempts), second)
+			t.Fatalf("%d attempts, connections %v being dialed", len(call.attempts), second)
 		}
 		if c.first != nil {
 			c.first.Conn = first
 			h.exchanged(*c.first)
-			if ran := call.attempts[0].mayHaveRunSince > 0; ran == c.goes {
+			if ran := call.attempts[0].mayHaveRunSince > 0; ran == c.sent {
 				t.Errorf("an attempt that ended as %+v may have run: %v", *c.first, ran)
 			}
-			continue // the module, which knows of no copy, has answered
+			continue // the decider, which does not know of the second attempt, has answered
 		}
 		h.now = began + c.up
 		h.dialed(second[0], nil)
-		if goes := h.conns[second[0]] == busy; goes != c.goes {
-			t.Errorf("up %v after the first, which ended as %+v: sent %v, want %v", c.up, c.first, goes, c.goes)
+		if sent := h.conns[second[0]] == busy; sent != c.sent {
+			t.Errorf("connection up %v after the first attempt, which ended as %+v: sent %v, want %v", c.up, c.first, sent, c.sent)
 		}
 	}
 }
--- a/internal/reducer/roster_test.go
+++ b/internal/reducer/roster_test.go
@@ -11,11 +11,12 @@
 	"pewterrudder/internal/roster"
 )
 
-// rostered is a world whose list comes through a roster: the platform's discovery first, another source as its fallback.
+// newRosterHarness returns a harness whose list comes through a roster, with discovery as primary source and another one
+// as fallback.
 func newRosterHarness(t *testing.T, change func(*roster.Settings)) (*harness, *viewDecider) {
 	h := &harness{t: t, now: time.Hour, cfg: settings()}
 	h.start(100)
-	v := &viewDecider{t: t, view: map[string]brain.Member{}, sends: map[string]string{}}
+	v := &viewDecider{t: t, members: map[string]brain.Member{}, sends: map[string]string{}}
 	h.r = NewWith(h.cfg, v, 100)
 	s := roster.Settings{Hold: 2 * time.Second, Sources: []roster.Source{
 		{Name: "discovery", Role: roster.Primary, Stale: 6 * time.Second, Lost: time.Minute},
@@ -33,16 +34,16 @@
 	return h, v
 }
 
-// fleetOf lists app nodes for a source.
-func rosterFleet(state roster.State, from, to int) (es []roster.Entry) {
+// rosterFleet returns entries of app nodes for a source.
+func rosterFleet(state roster.State, from, to int) (entries []roster.Entry) {
 	for i := from; i < to; i++ {
-		es = append(es, roster.Entry{ID: fmt.Sprint("s", i), Address: fmt.Sprint("n", i, ":1"), Zone: "a", Weight: 1, State: state})
+		entries = append(entries, roster.Entry{ID: fmt.Sprint("s", i), Address: fmt.Sprint("n", i, ":1"), Zone: "a", Weight: 1, State: state})
 	}
-	return es
+	return entries
 }
 
 func (v *viewDecider) states() (ready, draining int) {
-	for _, m := range v.view {
+	for _, m := range v.members {
 		if m.State == brain.Ready {
 			ready++
 		} else {
@@ -52,9 +53,9 @@
 	return ready, draining
 }
 
-// What sources say becomes one list: discovery decides while it is heard, a drain of the other holds, and the other decides
-// once discovery has been silent for too long. Large lists come in slices.
-func TestSourcesBecomeOneList(t *testing.T) {
+// The lists of the sources are merged: discovery decides while it is heard, a drain by the other source applies, and the
+// other one decides once discovery has been silent for too long. Large lists are processed in slices.
+func TestSourcesAreMerged(t *testing.T) {
 	h, v := newRosterHarness(t, nil)
 	l := List{Complete: true, Revision: 1}
 	for _, e := range rosterFleet(roster.Up, 0, 1000) {
@@ -63,72 +64,73 @@
 	}
 	h.listed(l)
 	if len(h.r.jobs) == 0 {
-		t.Error("a thousand entries in one event")
+		t.Error("1,000 entries processed in one event")
 	}
 	h.advance(0)
 	h.do(Said{Source: 1, Whole: true, Revision: 7, Entries: append(rosterFleet(roster.Up, 0, 900), rosterFleet(roster.Draining, 900, 910)...)})
 	h.advance(0)
 	if ready, draining := v.states(); ready != 990 || draining != 10 || v.largestUpdate > 2*maxEntriesPerEvent {
-		t.Errorf("%d ready, %d draining, %d told at once", ready, draining, v.largestUpdate)
+		t.Errorf("%d ready, %d draining, largest update %d", ready, draining, v.largestUpdate)
 	}
-	for range 70 { // discovery says nothing any more, the store goes on
+	for range 70 { // discovery is silent, the store is still heard
 		h.do(Heard{1})
 		h.advance(time.Second)
 	}
 	if ready, draining := v.states(); ready != 900 || draining > 100 {
-		t.Errorf("by the store: %d ready, %d draining", ready, draining)
+		t.Errorf("according to the store: %d ready, %d draining", ready, draining)
 	}
 	if !strings.Contains(fmt.Sprint(h.r.Roster().Sources()), "store") {
 		t.Errorf("%+v", h.r.Roster().Sources())
 	}
 }
 
-// A registry that breaks says so once, and its empty list takes no site down.
-func TestAnEmptyListIsDoubted(t *testing.T) {
+// An implausible empty list is logged and does not take all app nodes out of service.
+func TestEmptyListIsNotTrusted(t *testing.T) {
 	h, v := newRosterHarness(t, func(s *roster.Settings) {
 		s.Sources, s.LossShare, s.LossFor = s.Sources[:1], 0.5, time.Minute
 	})
 	h.listed(list(true, brain.Ready, "a:1", "b:1", "c:1", "e:1"))
 	h.advance(0)
-	said := 0
+	logLines := 0
 	h.do(Listed{h.r.watchID, List{Complete: true, Revision: 2}})
 	for _, e := range h.effects {
 		if l, ok := e.(Log); ok && strings.HasPrefix(l.Text, "roster: ") {
-			said++
+			logLines++
 		}
 	}
 	h.advance(2 * time.Second)
-	if ready, _ := v.states(); ready != 4 || said == 0 {
-		t.Errorf("%d ready, %d lines", ready, said)
+	if ready, _ := v.states(); ready != 4 || logLines == 0 {
+		t.Errorf("%d ready, %d log lines", ready, logLines)
 	}
 	h.listed(List{Revision: 3, Addresses: []string{""}, Members: []brain.Member{{Server: "s0", State: brain.Gone}}})
 	if ready, _ := v.states(); ready != 3 {
-		t.Errorf("%d ready after one was told to be gone", ready)
+		t.Errorf("%d ready after one was removed", ready)
 	}
 }
 
-// An app node that is listed as up while every connect to it fails gets no calls but a rare trial, until one succeeds.
-func TestADeadEntryGetsNoCalls(t *testing.T) {
+// An app node that is listed as up but cannot be connected to gets only an occasional trial call, until a connect
+// succeeds.
+func TestUnreachableServerGetsNoCalls(t *testing.T) {
 	h, _ := newRosterHarness(t, func(s *roster.Settings) {
 		s.SuspectFails, s.SuspectOver, s.SuspectShare = 3, 100*ms, 0.5
 		s.TrialFirst, s.TrialMost, s.TrialFor = time.Second, 8*time.Second, 250*ms
 	})
-	module, err := brain.New(h.cfg, 7)
+	decider, err := brain.New(h.cfg, 7)
 	if err != nil {
 		t.Fatal(err)
 	}
-	h.r.pools[0].decider = module
+	h.r.pools[0].decider = decider
 	h.listed(list(true, brain.Ready, "a:1", "b:1", "c:1"))
 	h.advance(0)
 	state := func() brain.Readiness { return h.r.servers["s2"].member.State }
-	touched := 0
+	connects := 0
 	run := func(alive bool) {
-		for range 3 { // at a time, so that each app node would get one
+		for range 3 { // at once, so that each app node would get one
 			h.arrive(0, 600*ms)
 		}
 		for _, d := range h.inState(dialing) {
 			if h.r.conns[d].srv.id == "s2" {
-				touched++
+				connects++
 				var err error
 				if !alive {
 					err = errDown
@@ -148,36 +150,36 @@
 		run(false)
 	}
 	if state() != brain.Draining || !strings.Contains(h.r.Roster().Why("s2"), "connect") {
-		t.Fatalf("%d calls touched it: %v, %s", touched, state(), h.r.Roster().Why("s2"))
+		t.Fatalf("after %d connects to s2: %v, %s", connects, state(), h.r.Roster().Why("s2"))
 	}
-	touched = 0
+	connects = 0
 	for range 1000 { // 20 s
 		run(false)
 	}
-	if touched > 10 {
-		t.Errorf("%d of 3000 calls touched it", touched)
+	if connects > 10 {
+		t.Errorf("%d of 3000 calls tried s2", connects)
 	}
 	for i := 0; i < 3000 && state() != brain.Ready; i++ { // a minute
 		run(true)
 	}
 	if state() != brain.Ready {
-		t.Errorf("alive again: %v, %s", state(), h.r.Roster().Why("s2"))
+		t.Errorf("s2 reachable again: %v, %s", state(), h.r.Roster().Why("s2"))
 	}
 }
 
-// A source whose changes do not follow on what was held is asked for its whole list, once.
-func TestAWholeListIsAskedFor(t *testing.T) {
+// A source whose changes do not follow on the held revision is asked once for its complete list.
+func TestRefetchOnRevisionGap(t *testing.T) {
 	h, _ := newRosterHarness(t, nil)
 	h.do(Said{Source: 1, Whole: true, Revision: 9, Entries: rosterFleet(roster.Up, 0, 3)})
 	h.do(Said{Source: 1, Revision: 4, Entries: rosterFleet(roster.Up, 3, 4)})
-	asked := func() bool {
+	refetched := func() bool {
 		return h.hasEffect(func(e Effect) bool { f, ok := e.(Refetch); return ok && f.Source == 1 })
 	}
-	if !asked() {
+	if !refetched() {
 		t.Errorf("%+v", h.effects)
 	}
 	h.do(SourceBroke{1, errors.New("cut")})
-	if asked() {
-		t.Error("asked for twice")
+	if refetched() {
+		t.Error("list requested twice")
 	}
 }
--- a/internal/reducer/subsets_test.go
+++ b/internal/reducer/subsets_test.go
@@ -12,7 +12,7 @@
 	"pewterrudder/internal/zones"
 )
 
-// listed is a module that remembers its list and by how many it divides.
+// listDecider is a decider that remembers its list and the numbers from its last settings.
 type listDecider struct {
 	list   map[string]bool
 	nodes  *int
@@ -35,7 +35,7 @@
 	return actions
 }
 
-// sharing is a reducer with a pool, its events played to their end.
+// subsetHarness drives a Reducer with one pool and delivers its immediate events.
 type subsetHarness struct {
 	*Reducer
 	decider listDecider
@@ -60,12 +60,12 @@
 }
 
 func (s *subsetHarness) do(ev Event) {
-	for waits := []Event{ev}; len(waits) > 0; waits = waits[1:] {
-		for _, e := range s.Handle(s.now, waits[0], nil) {
+	for queue := []Event{ev}; len(queue) > 0; queue = queue[1:] {
+		for _, e := range s.Handle(s.now, queue[0], nil) {
 			switch e := e.(type) {
 			case Arm:
 				if e.After == 0 {
-					waits = append(waits, e.Event)
+					queue = append(queue, e.Event)
 				}
 			case Log:
 				s.logs = append(s.logs, e.Text)
@@ -95,9 +95,10 @@
 	return view.Life{ID: fmt.Sprint("life ", n), Name: fmt.Sprint("b", n), Address: at}
 }
 
-// The module has all app nodes until the view is believed, then the subset alone, and divides by those who share one with it; a
-// list that changes and balancers that come and go keep it so; after a pause it has all again.
-func TestTheModuleHasItsSubset(t *testing.T) {
+// The decider has all app nodes until the view is believed, then only the subset, and divides by the number of balancers
+// that share an app node. Changes of the list and of the balancers keep it so. After a pause of the process it has all
+// app nodes again.
+func TestDeciderGetsSubset(t *testing.T) {
 	s := newSubsetHarness(t, 12)
 	var ids []string
 	for i := range 60 {
@@ -109,11 +110,11 @@
 	}
 	s.advance(4 * time.Second)
 	if len(s.decider.list) != 60 || s.readyInFirstPool() != 60 {
-		t.Fatalf("before the view is believed the module has %d", len(s.decider.list))
+		t.Fatalf("before the view is believed the decider has %d app nodes", len(s.decider.list))
 	}
 	s.advance(3 * time.Second)
-	// holds is what any balancer works out by itself.
-	holds := func(others int, ids []string) map[string]bool {
+	// expectedSubset computes the subset independently, as any balancer would.
+	expectedSubset := func(others int, ids []string) map[string]bool {
 		set := subset.New("10.0.0.1:7946", 12)
 		for n := range others {
 			set.Enter(peerLife(n).Address)
@@ -129,43 +130,44 @@
 		}
 		return all
 	}
-	same := func(what string, want map[string]bool) {
+	checkSubset := func(what string, want map[string]bool) {
 		t.Helper()
 		if fmt.Sprint(want) != fmt.Sprint(s.decider.list) || s.readyInFirstPool() != len(want) || len(want) == 0 {
-			t.Fatalf("%s the module has %v, not %v", what, s.decider.list, want)
+			t.Fatalf("%s the decider has %v, want %v", what, s.decider.list, want)
 		}
 	}
-	same("with nine others", holds(9, ids))
+	checkSubset("with nine others", expectedSubset(9, ids))
 	if held, of := s.Share(); held != len(s.decider.list) || of != 60 || *s.decider.nodes != 2 || *s.decider.sample != held {
-		t.Errorf("%d of %d are held, and the module divides by %d and works with %d", held, of, *s.decider.nodes, *s.decider.sample)
+		t.Errorf("subset of %d of %d, Nodes %d, Sample %d", held, of, *s.decider.nodes, *s.decider.sample)
 	}
 	fewer := ids[10:]
 	s.start(2, fewer...)
-	same("with ten app nodes less", holds(9, fewer))
+	checkSubset("with ten app nodes fewer", expectedSubset(9, fewer))
 	if held, _ := s.Share(); *s.decider.sample != held {
-		t.Errorf("the module works with %d of %d", *s.decider.sample, held)
+		t.Errorf("Sample %d, want %d", *s.decider.sample, held)
 	}
 	for n := 7; n < 9; n++ {
 		s.do(Word{Event: view.Event{Kind: view.Lost, Life: view.Life{ID: peerLife(n).ID}}})
 	}
 	s.advance(3 * time.Second)
-	same("while those who are lost may be back", holds(9, fewer))
+	checkSubset("while lost balancers may return", expectedSubset(9, fewer))
 	s.advance(4 * time.Second)
-	same("with seven others", holds(7, fewer))
+	checkSubset("with seven others", expectedSubset(7, fewer))
 	s.now += 20 * time.Second
 	s.advance(500 * time.Millisecond)
 	if len(s.decider.list) != 50 || *s.decider.nodes != 10 || *s.decider.sample != 0 {
-		t.Errorf("after a pause the module has %d and divides by %d", len(s.decider.list), *s.decider.nodes)
+		t.Errorf("after a pause the decider has %d app nodes and Nodes %d", len(s.decider.list), *s.decider.nodes)
 	}
 	s.advance(7 * time.Second)
-	same("when the view is believed again", holds(7, fewer))
+	checkSubset("when the view is believed again", expectedSubset(7, fewer))
 }
 
-// Pools1 is how many app nodes the first pool counts as its own.
+// readyInFirstPool returns the number of ready members of the first pool.
 func (s *subsetHarness) readyInFirstPool() int { return s.routedPools[0].readyMembers }
 
-// A subset lets go of what is open to app nodes that leave it: an idle connection at once, a busy one after its call, which is answered.
-func TestConnectionsOfAPairThatEndsAreLetGo(t *testing.T) {
+// Connections to app nodes that leave the subset are closed: idle ones at once, busy ones after their call, which is
+// answered.
+func TestLeavingSubsetClosesConnections(t *testing.T) {
 	s := newSubsetHarness(t, 6)
 	var ids []string
 	for i := range 40 {
@@ -198,23 +200,23 @@
 	s.advance(7 * time.Second)
 	left := 0
 	for _, id := range ids {
-		k, held := conns[id], s.decider.list[id]
+		pair, held := conns[id], s.decider.list[id]
 		if !held {
 			left++
 		}
-		if (k[0].state == closed) == held || k[1].state != busy || k[1].closeWhenDone == held {
-			t.Errorf("%s, held: %v, idle one: %v, busy one: %v, doomed: %v", id, held, k[0].state, k[1].state, k[1].closeWhenDone)
+		if (pair[0].state == closed) == held || pair[1].state != busy || pair[1].closeWhenDone == held {
+			t.Errorf("%s in subset: %v, idle connection: %v, busy connection: %v, closeWhenDone: %v", id, held, pair[0].state, pair[1].state, pair[1].closeWhenDone)
 		}
 	}
 	if left < 20 {
-		t.Errorf("%d have left the subset", left)
+		t.Errorf("%d app nodes left the subset, want at least 20", left)
 	}
 }
 
-// Zones' bounds and subsets do not go together, and say so.
+// Zone bounds and subsets cannot be combined, and applyLayout reports that.
 func TestSubsetsAndZonesExcludeEachOther(t *testing.T) {
 	s := newSubsetHarness(t, 6)
 	if err := s.applyLayout(Layout{Pools: []PoolSpec{{Name: "all", Zones: &zones.Settings{}}}}); err == nil {
-		t.Error(errors.New("zones were laid beside subsets"))
+		t.Error(errors.New("zones were accepted together with subsets"))
 	}
 }
--- a/internal/reducer/zones_test.go
+++ b/internal/reducer/zones_test.go
@@ -9,7 +9,7 @@
 	"pewterrudder/internal/zones"
 )
 
-// twoZones is a world with app nodes in two zones, this balancer in the first.
+// newTwoZoneHarness returns a harness with app nodes in two zones and the balancer in the first.
 func newTwoZoneHarness(t *testing.T) *harness {
 	h := &harness{t: t, now: time.Hour, cfg: settings()}
 	h.cfg.Columns = []brain.Column{brain.ColUtilization, brain.ColQueue}
@@ -31,7 +31,7 @@
 	return h
 }
 
-// where tells the zone of the app node that a call went to, "" if nowhere.
+// zoneOfLastAttempt returns the zone of a call's last attempt, "" if there is none.
 func (h *harness) zoneOfLastAttempt(id uint64) string {
 	if c := h.r.calls[id]; c != nil && len(c.attempts) > 0 {
 		return c.attempts[len(c.attempts)-1].srv.member.Zone
@@ -39,7 +39,7 @@
 	return ""
 }
 
-// serve has all that is out answered with a load report.
+// serveAllWithLoad answers all outstanding attempts with a load report.
 func (h *harness) serveAllWithLoad(util float64) {
 	for _, d := range h.inState(dialing) {
 		h.dialed(d, nil)
@@ -51,27 +51,27 @@
 	}
 }
 
-// Calls stay in the balancer's own zone while that is well. When every connect there times out, though it is listed, calls
-// soon go to the other, a keyed one that may have run does not, and it is said once; when it answers again they come back.
-func TestAZoneIsLostAndComesBack(t *testing.T) {
+// Calls stay in the balancer's own zone while it is healthy. When every connect there times out although it is listed,
+// calls soon go to the other zone, except a keyed call that may have run. When the zone answers again, calls return.
+func TestZoneFailover(t *testing.T) {
 	h := newTwoZoneHarness(t)
 	for range 300 {
 		id := h.arrive(0, 600*ms)
 		if h.zoneOfLastAttempt(id) != "a" {
-			t.Fatalf("a call went to zone %q: %s", h.zoneOfLastAttempt(id), h.r.pools[0].zoneView.state.Describe())
+			t.Fatalf("call sent to zone %q: %s", h.zoneOfLastAttempt(id), h.r.pools[0].zoneView.state.Describe())
 		}
 		h.advance(2 * ms)
 		h.serveAllWithLoad(0.3)
 		h.advance(8 * ms)
 	}
-	booking := h.arrive(1, time.Second) // out in the zone when it is lost
+	keyedCall := h.arrive(1, time.Second) // outstanding in the zone when it fails
 	for _, d := range h.inState(dialing) {
 		h.dialed(d, nil)
 	}
-	lostAt := h.inState(busy)[0]
-	dark := func(class int) string {
+	lostConn := h.inState(busy)[0]
+	callDuringOutage := func(class int) string {
 		id := h.arrive(class, 600*ms)
-		at := h.zoneOfLastAttempt(id)
+		zone := h.zoneOfLastAttempt(id)
 		for range 4 {
 			for _, d := range h.inState(dialing) {
 				var err error
@@ -82,53 +82,53 @@
 			}
 		}
 		for _, b := range h.inState(busy) {
-			if b != lostAt && h.r.conns[b].srv.member.Zone == "b" {
+			if b != lostConn && h.r.conns[b].srv.member.Zone == "b" {
 				e := goodAnswer(b)
 				e.Report = []float64{0.4, 0}
 				h.exchanged(e)
 			}
 		}
-		return at
+		return zone
 	}
-	for _, s := range h.r.servers { // what is open to the zone is cut
+	for _, s := range h.r.servers { // connections to the zone are lost
 		for s.member.Zone == "a" && len(s.idle) > 0 {
 			h.do(Lost{s.idle[0].id})
 		}
 	}
-	there := 0
+	inOtherZone := 0
 	for i := range 200 {
-		if at := dark(0); i >= 60 && at == "b" {
-			there++
+		if zone := callDuringOutage(0); i >= 60 && zone == "b" {
+			inOtherZone++
 		}
 		h.advance(10 * ms)
 	}
-	if there < 130 {
-		t.Errorf("%d of 140 calls went to the other zone", there)
+	if inOtherZone < 130 {
+		t.Errorf("%d of 140 calls sent to the other zone", inOtherZone)
 	}
-	if h.zoneOfLastAttempt(booking) != "" && h.zoneOfLastAttempt(booking) != "a" {
-		t.Errorf("the booking went to zone %s", h.zoneOfLastAttempt(booking))
+	if h.zoneOfLastAttempt(keyedCall) != "" && h.zoneOfLastAttempt(keyedCall) != "a" {
+		t.Errorf("keyed call sent to zone %s", h.zoneOfLastAttempt(keyedCall))
 	}
-	if c := h.calls[booking]; c.answers != 1 || c.reply.Kind != Failed {
-		t.Errorf("the booking: %+v", c)
+	if c := h.calls[keyedCall]; c.answers != 1 || c.reply.Kind != Failed {
+		t.Errorf("keyed call: %+v", c)
 	}
-	back := 0
+	inOwnZone := 0
 	for i := range 6000 { // a minute
 		id := h.arrive(0, 600*ms)
 		if i >= 5000 && h.zoneOfLastAttempt(id) == "a" {
-			back++
+			inOwnZone++
 		}
 		h.advance(2 * ms)
 		h.serveAllWithLoad(0.3)
 		h.advance(8 * ms)
 	}
-	if back < 900 {
-		t.Errorf("a minute after its return the zone gets %d of 1000 calls", back)
+	if inOwnZone < 900 {
+		t.Errorf("a minute after its recovery the zone gets %d of 1000 calls", inOwnZone)
 	}
 }
 
-// A list tells the zones what they have: an own zone whose app nodes drain has none to send to, and one that names a
-// single warming one can carry little.
-func TestZonesFollowTheList(t *testing.T) {
+// The list determines what the zones offer: an own zone whose app nodes all drain or are gone gets no calls, and one
+// with a single app node that is warming up has little capacity.
+func TestZonesFollowList(t *testing.T) {
 	h := newTwoZoneHarness(t)
 	zv := h.r.pools[0].zoneView
 	if zv.tallies[0].ready != 3 || zv.tallies[0].capacity != 3 || zv.tallies[1].ready != 3 {
@@ -144,7 +144,7 @@
 	h.listed(List{Revision: 3, Addresses: []string{""}, Members: []brain.Member{{Server: "q", Zone: "a", State: brain.Gone}}})
 	h.advance(zoneTickInterval)
 	if id := h.arrive(0, 600*ms); h.zoneOfLastAttempt(id) != "b" {
-		t.Errorf("without an app node in its own zone a call goes to %q", h.zoneOfLastAttempt(id))
+		t.Errorf("without an app node in its own zone a call was sent to %q", h.zoneOfLastAttempt(id))
 	}
 	h.advance(30 * time.Second)
 	if a := zv.tallies[0]; a.ready != 0 || a.capacity != 0 || len(a.warming) != 0 {
