--- a/internal/reducer/adjust_test.go
+++ b/internal/reducer/adjust_test.go
@@ -65,7 +65,8 @@
 // pools exist, each sees exactly the app nodes that match its selector, and the indexes of removed pools are free. When
 // Done is called, new calls follow the new routes; every Done is called.
 func TestPoolChangesMatchModel(t *testing.T) {
-	if checks := flag.Lookup("rapid.checks"); checks.Value.String() == "2000" { // each check processes hundreds of entries at a time
+	// Each check processes hundreds of entries at a time.
+	if checks := flag.Lookup("rapid.checks"); checks.Value.String() == "2000" {
 		flag.Set("rapid.checks", "60")
 		defer flag.Set("rapid.checks", "2000")
 	}
@@ -74,7 +75,8 @@
 		h, deciders := newPoolHarness(t, start)
 		wanted := map[int]PoolSpec{0: start.Pools[0], 1: start.Pools[1]} // by ID
 		expected := map[string]brain.Member{}
-		inForce, confirmed, requested := maps.Clone(wanted), 0, 0 // the pools wanted by the last change whose Done was called
+		// The pools wanted by the last change whose Done was called.
+		inForce, confirmed, requested := maps.Clone(wanted), 0, 0
 		routedID := 0
 		check := func(t *rapid.T) { // once all slices have been processed
 			if confirmed != requested || !maps.EqualFunc(inForce, wanted, func(a, b PoolSpec) bool { return a.Name == b.Name && a.Selector.Equal(b.Selector) }) {
--- a/internal/reducer/delegations.go
+++ b/internal/reducer/delegations.go
@@ -33,7 +33,8 @@
 // dispatch assigns an attempt to the most recently used idle connection that has been idle for reuseDelay, otherwise to
 // the longest idle one, otherwise to a new connection.
 func (r *Reducer) dispatch(att *attempt) {
-	if att.call.noMoreAttempts() || att.srv.removed || r.tooLate(att) { // the call ended or the app node was removed during a dial
+	// The call ended or the app node was removed during a dial.
+	if att.call.noMoreAttempts() || att.srv.removed || r.tooLate(att) {
 		r.endAttempt(att, brain.NeverSent, nil)
 		return
 	}
@@ -199,7 +200,8 @@
 		r.dispatch(att)
 		return
 	}
-	if e.Result == Left && e.Written == Nothing { // noticed just before the call was to be written, ahead of the ClientGone event
+	// Noticed just before the call was to be written, ahead of the ClientGone event.
+	if e.Result == Left && e.Written == Nothing {
 		if !c.done {
 			r.onClientGone(c)
 		}
--- a/internal/reducer/event_order_test.go
+++ b/internal/reducer/event_order_test.go
@@ -25,7 +25,8 @@
 			k := h.inState(dialing)[0]
 			h.now += 10 * ms
 			h.listed(list(false, state, "a:1"))
-			h.now += c.up // the clock moves without timers, so the decider does nothing and only the reducer's own check is tested
+			// The clock moves without timers, so the decider does nothing and only the reducer's own check is tested.
+			h.now += c.up
 			h.dialed(k, nil)
 			want := c.wantSent && state == brain.Draining
 			if sent := h.conns[k] == busy; sent != want {
--- a/internal/reducer/figures.go
+++ b/internal/reducer/figures.go
@@ -2,7 +2,7 @@
 
 import "time"
 
-// publishInterval is how often figures are published. They may be up to half a second old when read.
+// publishInterval is how often figures are published. Figures up to half a second old are acceptable.
 const publishInterval = 150 * time.Millisecond
 
 // Figures is a snapshot of a balancer's statistics. The counts run from the start of the process; the calls taken are
@@ -49,7 +49,7 @@
 	return t
 }
 
-// countEnd counts a call whose client received the answer.
+// countEnd counts a finished call by the kind of answer that its client got.
 func (r *Reducer) countEnd(c *call, k ReplyKind) {
 	t := r.classCountOf(c.Class)
 	switch k {
--- a/internal/reducer/flow_test.go
+++ b/internal/reducer/flow_test.go
@@ -218,7 +218,8 @@
 	}
 	h.exchanged(goodAnswer(1))
 	h.advance(time.Second)
-	id := h.arrive(0, 600*ms) // attempts at a fast app node count as overdue after milliseconds, not after the ten seconds of the flow
+	// Attempts at a fast app node count as overdue after milliseconds, not after the ten seconds of the flow.
+	id := h.arrive(0, 600*ms)
 	conn := h.inState(busy)[0]
 	h.advance(300 * ms)
 	if h.calls[id].answers == 0 && h.conns[conn] == busy && h.r.calls[id].attempts[0].ended {
--- a/internal/reducer/operator.go
+++ b/internal/reducer/operator.go
@@ -48,7 +48,7 @@
 	Weight                  float64
 	Started                 time.Duration
 	Warmth                  float64
-	Out, Idle               int // connections
+	Out, Idle               int // connections in use and idle
 	LastAnswer, LastFailure time.Duration
 	Sight                   brain.ServerSight // the state in the decider of the first of its pools that knows it
 }
--- a/internal/reducer/peers_test.go
+++ b/internal/reducer/peers_test.go
@@ -62,7 +62,8 @@
 	if advance(2 * time.Second); nodes != 10 || r.cfg.Nodes != 10 {
 		t.Errorf("decider got Nodes %d, want 10", nodes)
 	}
-	if f := r.fleetFigures(); f.Live != 9 || f.Crowd != 10 || !f.Believed || f.Agree != 5 { // their lists are empty, like ours
+	// Their lists are empty, like ours.
+	if f := r.fleetFigures(); f.Live != 9 || f.Crowd != 10 || !f.Believed || f.Agree != 5 {
 		t.Errorf("%+v", f)
 	}
 	if len(facts) != 1 || string(facts[0].Value) != "0" {
--- a/internal/reducer/pools.go
+++ b/internal/reducer/pools.go
@@ -169,7 +169,8 @@
 	if p.zoneView = zv; zv == nil {
 		return false
 	}
-	r.hasZones, zv.counted = true, p.matchedServers == 0 // without members there is nothing to fill in: each is counted when it is added
+	// Without members there is nothing to fill in: each is counted when it is added.
+	r.hasZones, zv.counted = true, p.matchedServers == 0
 	return !zv.counted
 }
 
@@ -226,7 +227,7 @@
 // findRouted returns the position of the pool with the given ID in routedPools, or where it would be inserted.
 func (r *Reducer) findRouted(id int) (at int, found bool) {
 	if id >= 0 && id < len(r.routedPools) && r.routedPools[id].id == id {
-		return id, true // true for every pool as long as none has been removed
+		return id, true // holds for every pool as long as none has been removed
 	}
 	return slices.BinarySearchFunc(r.routedPools, id, func(p *pool, id int) int { return cmp.Compare(p.id, id) })
 }
--- a/internal/reducer/pools_test.go
+++ b/internal/reducer/pools_test.go
@@ -113,7 +113,8 @@
 // In the end each pool sees exactly the app nodes that a plain map predicts, no update is larger than a slice, and calls
 // go only to members of their pool.
 func TestPoolMembersMatchLists(t *testing.T) {
-	if checks := flag.Lookup("rapid.checks"); checks.Value.String() == "2000" { // each check processes hundreds of entries at a time
+	// Each check processes hundreds of entries at a time.
+	if checks := flag.Lookup("rapid.checks"); checks.Value.String() == "2000" {
 		flag.Set("rapid.checks", "100")
 		defer flag.Set("rapid.checks", "2000")
 	}
--- a/internal/reducer/reducer.go
+++ b/internal/reducer/reducer.go
@@ -78,7 +78,7 @@
 	Key      string
 	Work     float64
 	Deadline time.Duration // when the client gives up, on the reducer's clock
-	OneShot  bool          // the body is read from the client's connection while it is sent, so it can be sent only once; the deadline counts from Uploaded
+	OneShot  bool          // body streamed from the client, so sent only once; the deadline counts from Uploaded
 	Message  any           // opaque; for the code that writes the call
 }
 
@@ -222,7 +222,7 @@
 	Shed                   // the app node reports that it did not run the call
 	Unusable               // the app node reports that the call is invalid
 	NoRoom                 // the answer is larger than the buffer, and there was no memory to stream it
-	Left                   // the client left while the answer flowed, while its body was still arriving, or before anything was written
+	Left                   // the client left during the flow, during the upload, or before anything was written
 )
 
 // List is a list of app nodes from discovery, in the decider's terms.
@@ -311,7 +311,7 @@
 	usingPools    []uint16      // those of matchingPools whose subset contains it
 	listEpoch     uint64        // epoch of the latest list that named it
 	position      int           // index in Reducer.serverList
-	removed       bool          // off the list and out of the state; only running attempts and open connections still refer to it
+	removed       bool          // no longer in the state; only running attempts and open connections refer to it
 	idle          []*conn       // most recently used last
 	conns         map[uint64]*conn
 }
@@ -404,7 +404,7 @@
 	counts      Counts
 	classCounts map[string]*classCount // by class name
 
-	avoidedServers, avoidedSoFar, avoidedScanPos int // app nodes: in the last complete scan; in the current scan; its position in serverList
+	avoidedServers, avoidedSoFar, avoidedScanPos int // last complete scan; current scan; its position in serverList
 	reloadsApplied, reloadsRejected              uint64
 
 	classSlots      []classSlot // by class index
@@ -514,7 +514,8 @@
 		if r.hasZones {
 			r.emit(Arm{zoneTickInterval, zoneTimer{}})
 		}
-		if r.roster != nil && len(e.Known.Members) > 0 { // counts as the list of discovery or, without discovery, of the first source
+		// The saved list counts as that of discovery or, without discovery, of the first source.
+		if r.roster != nil && len(e.Known.Members) > 0 {
 			r.enqueueSourceList(max(0, r.discoverySource), true, e.Known.Revision, rosterEntries(&e.Known), brain.UpdateRestored)
 		} else {
 			r.onList(e.Known, brain.UpdateRestored)
--- a/internal/reducer/retune.go
+++ b/internal/reducer/retune.go
@@ -120,7 +120,8 @@
 	poolCfg.AskDiscovery = poolCfg.AskDiscovery && p == r.discoveryPool
 	if p.subset != nil && p.subset.Balancers() > 1 {
 		poolCfg.Nodes = p.subset.Sharing(poolCfg.Nodes)
-		poolCfg.Sample, _ = p.subset.Count() // all of the subset: an app node left out by its balancers would get no calls
+		// All of the subset: an app node left out by its balancers would get no calls.
+		poolCfg.Sample, _ = p.subset.Count()
 	}
 	r.notify(p, &brain.Retuned{Settings: poolCfg})
 }
--- a/internal/reducer/servers.go
+++ b/internal/reducer/servers.go
@@ -53,7 +53,8 @@
 		r.listRevision = l.Revision // a complete list replaces everything, including a higher revision
 	}
 	if kind == brain.UpdateFull {
-		kind = brain.UpdateChanges // the pools get only the changes; one slice of a full list would make them drop all other servers
+		// The pools get only the changes; one slice of a full list would make them drop all other servers.
+		kind = brain.UpdateChanges
 	}
 	r.lastListEpoch++
 	r.enqueue(&fleetJob{list: l, kind: kind, epoch: r.lastListEpoch})
@@ -173,7 +174,8 @@
 	job.serversLeft = min(job.serversLeft, len(r.serverList))
 	for n := maxServersPerEvent; n > 0 && job.serversLeft > 0; n-- {
 		job.serversLeft--
-		s := r.serverList[job.serversLeft] // a removed server's position is taken by a later one, which has been scanned already
+		// A removed server's position is taken by the last one, which has been scanned already.
+		s := r.serverList[job.serversLeft]
 		switch {
 		case job.reassign:
 			if matching, using := r.matchPools(s); !slices.Equal(matching, s.matchingPools) || !slices.Equal(using, s.usingPools) {
@@ -194,14 +196,14 @@
 		return
 	}
 	latest := s
-	for _, o := range r.serversByAddress[s.address] {
-		if o.member.Started > latest.member.Started {
-			latest = o
+	for _, other := range r.serversByAddress[s.address] {
+		if other.member.Started > latest.member.Started {
+			latest = other
 		}
 	}
-	for _, o := range slices.Clone(r.serversByAddress[s.address]) {
-		if o.member.Started < latest.member.Started {
-			r.removeServer(o)
+	for _, other := range slices.Clone(r.serversByAddress[s.address]) {
+		if other.member.Started < latest.member.Started {
+			r.removeServer(other)
 		}
 	}
 }
@@ -224,7 +226,7 @@
 	if s.member.State == brain.Ready {
 		r.readyServers++
 	}
-	forEachInEither(beforeUsing, s.usingPools, func(i uint16, had, is bool) {
+	forEachInEither(beforeUsing, s.usingPools, func(i uint16, had, has bool) {
 		p := r.pools[i]
 		if p.zoneView != nil {
 			if !p.zonesStale {
@@ -233,18 +235,18 @@
 			if had {
 				r.countMember(p.zoneView, s, &was, -1)
 			}
-			if is {
+			if has {
 				r.countMember(p.zoneView, s, &s.member, 1)
 			}
 		}
 		if had && was.State == brain.Ready {
 			p.readyMembers--
 		}
-		if is && s.member.State == brain.Ready {
+		if has && s.member.State == brain.Ready {
 			p.readyMembers++
 		}
 		m := s.member
-		if !is {
+		if !has {
 			m.State = brain.Gone
 		}
 		if len(p.pendingChanges) == 0 {
@@ -252,11 +254,11 @@
 		}
 		p.pendingChanges = append(p.pendingChanges, m)
 	})
-	forEachInEither(beforeMatching, s.matchingPools, func(i uint16, was, is bool) {
+	forEachInEither(beforeMatching, s.matchingPools, func(i uint16, had, has bool) {
 		switch p := r.pools[i]; {
-		case is && !was:
+		case has && !had:
 			p.matchedServers++
-		case was && !is:
+		case had && !has:
 			p.matchedServers--
 			r.freeIfUnused(p)
 		}
