--- a/internal/reducer/reducer.go
+++ b/internal/reducer/reducer.go
@@ -48,8 +48,9 @@
 	// itself. Everything the discovery agent knows counts as announced meanwhile, so the delay uses up part of the grace
 	// period for drains: it is 1/watchPauseDivisor of it, but at least minWatchPause.
 	maxWatchPause, watchPauseDivisor, minWatchPause = time.Second, 8, 20 * time.Millisecond
-	// clientIDRetention is the minimum time that the client ID of a finished call is remembered, and maxClientIDs bounds
-	// the number of remembered IDs per generation. An ID seen again within that time is a duplicate.
+	// clientIDRetention is how long the client ID of a finished call is remembered at least, and maxClientIDs bounds the
+	// number of IDs per generation, which shortens the time at high call rates. An ID seen again within that time is a
+	// duplicate.
 	clientIDRetention = 3 * time.Second
 	maxClientIDs      = 20000
 	// An answer that stalls in the middle is first given half of the class's latency target (Aim), later a learned time:
