--- a/brain/api.go
+++ b/brain/api.go
@@ -1,14 +1,14 @@
-// Package brain makes the decisions of one node of a load-balancing proxy.
+// Package brain makes the load-balancing decisions of one proxy node.
 //
-// This file is the interface alone: what a node is told at start (Settings), what it hears (Event) and what
-// it answers (Action). A Balancer is driven by one goroutine; it starts none, reads no wall clock and does no
-// I/O, so the same events always give the same actions.
+// This file declares the interface: the configuration of a node (Settings), its inputs (Event) and its
+// outputs (Action). A Decider is driven by one goroutine; it starts none, reads no wall clock and does no
+// I/O, so the same events always produce the same actions.
 //
-// The decisions, in reading order: settings; node (events and timers); discovery (the fleet's list); sample
-// (the servers a node works with); ranking (load figures, K by the burst detector); picking (uniform among the
-// K lowest, affinity of keys, who may be sent a request); attempts (sending, retries, answers); overdue (second
-// copies); health (ejection by evidence, relative to the peers, for each class); slowstart; shedding (cheapest
-// worth first); probing.
+// The decision logic, in reading order: settings (tuning constants); node (event dispatch and timers); discovery
+// (the server list); sample (the subset of servers that a node uses); ranking (load scores); picking (uniform
+// among the K lowest scores, K set by the burst detector; key affinity; eligibility of servers); attempts
+// (sending, retries, final answers); overdue (second copies); health (ejection for each class, relative to the
+// other servers); slowstart; shedding (lowest worth first); probing.
 package brain
 
 import (
@@ -17,70 +17,70 @@
 	"time"
 )
 
-// Times are durations on the embedder's monotonic clock; its zero point is arbitrary, but it never runs back.
+// All times are durations on the embedder's monotonic clock. Its zero point is arbitrary; it never goes backwards.
 
-// Repeat says what a request class permits once an attempt may have run.
+// Repeat says whether a request may be attempted again after an attempt that may have been executed.
 type Repeat uint8
 
 const (
-	Safe   Repeat = iota // may run any number of times
-	Keyed                // repeats are dropped inside a group of servers, for a while
-	Unsafe               // must never run twice
+	Safe   Repeat = iota // idempotent: may be executed any number of times
+	Keyed                // a group of servers (Class.Scope) deduplicates repeats for Class.Window
+	Unsafe               // must never be executed twice
 )
 
-// Scope is the group of servers that drops the repeats of a keyed class.
+// Scope is the group of servers within which repeats of a keyed class are deduplicated.
 type Scope uint8
 
 const (
-	ScopeAll Scope = iota
-	ScopeZone
-	ScopeCell
+	ScopeAll  Scope = iota // all servers
+	ScopeZone              // servers of the same zone
+	ScopeCell              // servers of the same cell
 )
 
-// Class is one kind of request.
+// Class describes a request class.
 type Class struct {
 	Name     string
 	Repeat   Repeat
 	Scope    Scope         // Keyed only
-	Window   time.Duration // Keyed only: how long repeats are dropped, from the first attempt that may have run
-	Aim      time.Duration // full worth when answered within
-	Deadline time.Duration // the client's patience over all its tries
-	Worth    float64
-	Late     float64 // share of the worth left after the aim
-	Gone     bool    // no request of it comes any more; some may be under way
-	Stream   bool    // the answer is a stream; Begun events are sent
+	Window   time.Duration // Keyed only: how long repeats are deduplicated, from the first attempt that may have run
+	Aim      time.Duration // target latency: an answer within it has the full worth
+	Deadline time.Duration // how long the client waits, over all its attempts
+	Worth    float64       // value of an answer in time, relative to other classes
+	Late     float64       // share of the worth left after the aim
+	Gone     bool          // removed: no new requests, but some may still be in flight
+	Stream   bool          // the answer is a stream; StreamBegun events are sent
 }
 
-// ReportMode says where load reports are found.
+// ReportMode says where load reports come from.
 type ReportMode uint8
 
 const (
 	ReportsOff     ReportMode = iota
-	ReportsInline             // in outcomes and probe results
-	ReportsOnProbe            // in probe results alone
+	ReportsInline             // in attempt outcomes and probe results
+	ReportsOnProbe            // in probe results only
 )
 
-// Column names one value of a load report.
+// Column is the meaning of one value of a load report.
 type Column uint8
 
 const (
 	ColUnknown     Column = iota
-	ColInFlight           // requests held
+	ColInFlight           // requests held by the server
 	ColQueue              // requests waiting
-	ColUtilization        // share of the CPU in use
+	ColUtilization        // share of the CPU in use, 0 to 1
 	ColLatency            // recent service time in ms
 	ColRate               // requests served per second
 	ColErrors             // errors per second
 )
 
-// WeightKind says what Member.Weight stands for.
+// WeightKind says what Member.Weight means.
 type WeightKind uint8
 
 const (
-	WeightOff WeightKind = iota
-	WeightNominal
-	WeightRough
-	WeightLive // size / (1 + requests held per core), some time ago
+	WeightOff     WeightKind = iota // ignored: all servers count as equal
+	WeightNominal                   // relative capacity
+	WeightRough                     // approximate relative capacity
+	WeightLive                      // size / (1 + requests held per core), delayed
 )
 
 // Prices are the shares of the result that one unit of each cost takes away.
@@ -88,39 +88,41 @@
 	Connection, CrossZone, Handshake, Probe, Waste, LateFail float64
 }
 
-// Rules are the figures behind the four rules.
+// Rules are the parameters of the four rules that a node must obey: one final answer for each request in time (1), no
+// repeat that may execute an Unsafe request twice or a Keyed one outside its scope and window (2), nothing sent to
+// servers that drain or are gone (3), and no overload of cold servers (4).
 type Rules struct {
-	AnswerGrace    time.Duration
-	DrainGrace     time.Duration
-	AskEvery       time.Duration
-	ColdFrom       float64 // a server starts with this share of its capacity or more
-	ColdFor        time.Duration
-	OverloadFactor float64 // times present capacity that a cold server must not be sent
+	AnswerGrace    time.Duration // rule 1: how long after its deadline a request may be answered
+	DrainGrace     time.Duration // rule 3: how long a server may still get requests after the node was told that it is leaving
+	AskEvery       time.Duration // nominal interval of discovery calls
+	ColdFrom       float64       // share of its capacity that a server has at least when it starts
+	ColdFor        time.Duration // time until a started server has its full capacity; 0: servers are never cold
+	OverloadFactor float64       // rule 4: a cold server must be sent less than this multiple of its present capacity
 	FallFor        time.Duration
 }
 
-// Settings are in force until Retuned brings others.
+// Settings configure a node. They apply until a Retuned event replaces them.
 type Settings struct {
-	Nodes   int // nodes in front of the same fleet
-	Sample  int // servers that are worked with at the least; 0: as the module likes
+	Nodes   int // balancer nodes in front of the same fleet
+	Sample  int // minimum size of the sample of servers that the node uses; 0: chosen by the module
 	Zone    string
 	Classes []Class
 
-	OverQuotaWorth float64 // worth of a request past its tenant's quota, as a share
+	OverQuotaWorth float64 // worth of a request over its tenant's quota, as a share of its class's worth
 	WorthByWork    bool    // worth is per unit of work rather than per request
 
-	AskDiscovery bool // the list must be asked for
+	AskDiscovery bool // the node must ask discovery for the list; otherwise changes are pushed
 	MaxAttempts  int
-	SecondCopies bool // two attempts of a request may be out together
-	CanCancel    bool
-	CanProbe     bool
-	RetryAfter   bool // clients are told how long to stay away
+	SecondCopies bool // two attempts of a request may be in flight at once
+	CanCancel    bool // attempts can be cancelled
+	CanProbe     bool // servers can be probed
+	RetryAfter   bool // refusals tell clients how long to wait before they try again
 
 	MaxRetryAfter  time.Duration
 	ConnectTimeout time.Duration
 	IdleClose      time.Duration
 	StreamsPerConn int
-	WarmKeys       bool // a server that has met a key lately needs less work for it
+	WarmKeys       bool // a server that has served a key recently needs less work for it
 
 	Reports ReportMode
 	Columns []Column
@@ -132,7 +134,7 @@
 	GoalWorstTenant float64
 }
 
-// check finds what no node can work with; an error names the setting at fault.
+// check returns an error that names the first invalid setting.
 func (s *Settings) check() error {
 	switch {
 	case s.Nodes < 1:
@@ -157,20 +159,20 @@
 	return nil
 }
 
-// Event is one of the pointers below. A Balancer keeps no reference to it.
+// Event is a pointer to one of the event types below. A Decider keeps no reference to it.
 type Event interface{ event() }
 
-// UpdateKind tells what a FleetUpdate holds.
+// UpdateKind says what a FleetUpdate contains.
 type UpdateKind uint8
 
 const (
 	UpdateChanges   UpdateKind = iota // only the entries that changed
 	UpdateFull                        // the whole list
-	UpdateRestored                    // the list last held before a restart, perhaps outdated
-	UpdateAskFailed                   // asking failed, or the subscription broke; the old list stays
+	UpdateRestored                    // the last list before a restart, possibly outdated
+	UpdateAskFailed                   // the call failed or the subscription broke; the old list stays in use
 )
 
-// Readiness of a server as discovery knows it.
+// Readiness is the state of a server according to discovery.
 type Readiness uint8
 
 const (
@@ -179,48 +181,48 @@
 	Gone
 )
 
-// Member is one entry of the list of servers.
+// Member is one entry of the server list.
 type Member struct {
 	Server  string
 	Zone    string
 	Kind    string
 	Cell    int
 	Weight  float64
-	Started time.Duration // 0: long ago
+	Started time.Duration // when the process started; 0: long ago
 	State   Readiness
-	Bit     uint64 // of the group that bounds on requests name; 0: of none
+	Bit     uint64 // bit of its group in Request.First and Later; 0: in no group
 }
 
-// FleetUpdate is what discovery says.
+// FleetUpdate is an update of the server list from discovery.
 type FleetUpdate struct {
 	Kind    UpdateKind
 	Members []Member
 }
 
-// Request is a client's request; the node owes one final answer.
+// Request is a client's request. The node owes it exactly one final answer.
 type Request struct {
 	ID       string
 	Class    int     // index into Settings.Classes
-	Tenant   int     // a number that stays with whoever asks, or -1; what is known of it is forgotten when it asks no more
-	Quota    float64 // of that tenant, in requests per second over all nodes; 0: without bound
-	Retry    bool
-	Key      string  // what the request is about; empty: not told
-	Work     float64 // expected work in ms on a standard core; 0: not told
+	Tenant   int     // stable number of the tenant, or -1; its state is dropped after a time without requests
+	Quota    float64 // the tenant's quota in requests per second over all nodes; 0: unlimited
+	Retry    bool    // the client has tried before
+	Key      string  // affinity key; empty: unknown
+	Work     float64 // expected work in ms on a standard core; 0: unknown
 	Deadline time.Duration
 
-	// Upload: its body comes while it is sent, to one server alone. From the send on it has all the time it needs, until
-	// Uploaded tells its deadline.
+	// Upload marks a request whose body arrives while it is forwarded, to a single server. Once sent it has no deadline
+	// until Uploaded sets one.
 	Upload bool
 
-	// First and Later bound where it may go: the first attempt, and further ones, each to servers of whose Bit it has.
-	// 0: anywhere. With Nowhere as First it is given up at once.
+	// First and Later are sets of Member.Bit: the servers allowed for the first attempt and for later ones.
+	// 0: any server. A request with First equal to Nowhere is answered at once without an attempt.
 	First, Later uint64
 }
 
-// Nowhere is the bound that no server meets.
+// Nowhere is a group set that no server belongs to.
 const Nowhere = uint64(1) << 63
 
-// Outcome of an attempt or a probe.
+// Outcome is the result of an attempt or a probe.
 type Outcome uint8
 
 const (
@@ -234,18 +236,18 @@
 	NeverSent
 )
 
-// AttemptEnded is the one end of an attempt. Final: the request is finished.
+// AttemptEnded reports the end of an attempt, exactly once for each.
 type AttemptEnded struct {
 	ID      string
-	Attempt int
+	Attempt int // index of the attempt, in the order of the Send actions
 	Server  string
 	Outcome Outcome
 	Took    time.Duration
-	Final   bool
-	Report  []float64 // by Settings.Columns; empty: none
+	Final   bool      // the request is finished
+	Report  []float64 // load report, in the order of Settings.Columns; empty: none
 }
 
-// StreamBegun says that the answer has started to flow; the attempt has no deadline any more.
+// StreamBegun reports that the answer has started to arrive. From then on the attempt has no deadline.
 type StreamBegun struct {
 	ID      string
 	Attempt int
@@ -253,20 +255,20 @@
 	Took    time.Duration
 }
 
-// Uploaded says that the whole body of an Upload has been sent. Its time counts from here.
+// Uploaded reports that the whole body of an Upload request has been sent. Its time limits apply from then on.
 type Uploaded struct {
 	ID       string
 	Deadline time.Duration
 }
 
-// Retuned puts other settings in force. A class keeps its place for as long as a request of it is under way, and what has
-// been learned of it for as long as it has its name. Settings that New would refuse must not be told.
+// Retuned replaces the settings, which must be valid for New. A class must keep its index while a request of it is in
+// flight; learned state follows the class by its name.
 type Retuned struct{ Settings Settings }
 
-// ClientGone ends a request without an answer owed.
+// ClientGone reports that the client has disconnected. The request needs no answer any more.
 type ClientGone struct{ ID string }
 
-// ProbeEnded is the result of a Probe.
+// ProbeEnded reports the result of a Probe action.
 type ProbeEnded struct {
 	Server  string
 	Outcome Outcome
@@ -274,7 +276,7 @@
 	Report  []float64
 }
 
-// TimerFired answers a SetTimer.
+// TimerFired reports that the timer of a SetTimer action has expired.
 type TimerFired struct{ Cookie uint64 }
 
 func (*FleetUpdate) event()  {}
@@ -287,22 +289,22 @@
 func (*ProbeEnded) event()   {}
 func (*TimerFired) event()   {}
 
-// ActionKind tells which fields of an Action count.
+// ActionKind is the kind of an Action. The comments list the fields that each kind uses.
 type ActionKind uint8
 
 const (
-	Send      ActionKind = iota // ID, Server, At: start an attempt, given up At (0: with the client)
+	Send      ActionKind = iota // ID, Server, At: start an attempt and abandon it At (0: at the client's deadline)
 	Cancel                      // ID, Attempt: stop waiting for an attempt
-	Refuse                      // ID, After: final; says that a further try is harmless
-	Fail                        // ID: final; promises nothing
-	SetTimer                    // After, Cookie
-	Probe                       // Server
-	CloseIdle                   // Server: close this node's idle connections
-	Subscribe                   // have discovery send changes from now on
-	Note                        // Text, for the log
+	Refuse                      // ID, After: final answer; the client may safely try again, after After if that is set
+	Fail                        // ID: final answer; trying again may not be safe
+	SetTimer                    // After, Cookie: deliver TimerFired with Cookie after After
+	Probe                       // Server: send a probe
+	CloseIdle                   // Server: close this node's idle connections to it
+	Subscribe                   // ask discovery for the list and its changes from now on
+	Note                        // Text: write to the log
 )
 
-// Action is one thing for the embedder to do, at once and in the order given.
+// Action is an instruction to the embedder, carried out at once and in the order given.
 type Action struct {
 	Kind    ActionKind
 	Attempt int
@@ -314,8 +316,8 @@
 	Cookie  uint64
 }
 
-// Decider is how an embedder drives a node: New gives one, each event is handed in with the clock, and
-// the actions it calls for are appended to the caller's slice.
+// Decider is the interface through which an embedder drives a node.
 type Decider interface {
+	// Handle processes an event at time now and appends the resulting actions to the slice.
 	Handle(now time.Duration, ev Event, actions []Action) []Action
 }
--- a/brain/arrivals.go
+++ b/brain/arrivals.go
@@ -5,37 +5,37 @@
 	"time"
 )
 
-// tenantKept is how long a tenant's count is kept after its last arrival, at the least. It has faded by e to the 20th then,
-// far below what any decision could tell.
-const tenantKept = 60 * time.Second
+// tenantRetention is the minimum time that a tenant's count is kept after its last arrival. By then it has decayed by a
+// factor of e to the 20th and affects no decision.
+const tenantRetention = 60 * time.Second
 
-// arrivalCounts counts the arrivals of those tenants that have asked of late, however many there are. A count fades with the
-// time of the ranking, by which the node reads all that it has smoothed; nothing is done to counts that nobody looks at. What
-// a count means is decided in quotaWeight (shedding.go).
+// arrivalCounts holds exponentially decaying counts of the arrivals of recently active tenants. Counts decay with the time of
+// the last ranking, like the other smoothed values of a node, and only when they are read or increased. quotaWeight
+// (shedding.go) uses them. The zero value is empty.
 type arrivalCounts struct {
-	current, previous map[int]arrivalCount // a count moves to current at each arrival, and previous is dropped as a whole
-	since             time.Duration        // when current was begun
+	current, previous map[int]arrivalCount // an arrival moves a count to current; previous is dropped as a whole
+	currentSince      time.Duration        // when current was created
 }
 
-// arrivalCount is the smoothed number of one tenant's arrivals.
+// arrivalCount is the decaying arrival count of one tenant.
 type arrivalCount struct {
 	count float64
-	at    time.Duration // of the ranking that the count is as of
+	at    time.Duration // time of the ranking as of which count is valid
 }
 
-// of gives a tenant's count as of a ranking.
-func (l *arrivalCounts) of(tenant int, ranked time.Duration) float64 {
-	a, ok := l.current[tenant]
+// countAt returns a tenant's count as of a ranking.
+func (c *arrivalCounts) countAt(tenant int, ranked time.Duration) float64 {
+	a, ok := c.current[tenant]
 	if !ok {
-		a = l.previous[tenant]
+		a = c.previous[tenant]
 	}
-	return a.count * math.Exp(-(ranked-a.at).Seconds()/tenantFades)
+	return a.count * math.Exp(-(ranked-a.at).Seconds()/tenantDecay)
 }
 
-// add counts an arrival.
-func (l *arrivalCounts) add(tenant int, ranked time.Duration) {
-	if l.current == nil || ranked-l.since >= tenantKept {
-		l.current, l.previous, l.since = map[int]arrivalCount{}, l.current, ranked
+// add counts an arrival as of a ranking.
+func (c *arrivalCounts) add(tenant int, ranked time.Duration) {
+	if c.current == nil || ranked-c.currentSince >= tenantRetention {
+		c.current, c.previous, c.currentSince = map[int]arrivalCount{}, c.current, ranked
 	}
-	l.current[tenant] = arrivalCount{l.of(tenant, ranked) + 1, ranked}
+	c.current[tenant] = arrivalCount{c.countAt(tenant, ranked) + 1, ranked}
 }
--- a/brain/arrivals_test.go
+++ b/brain/arrivals_test.go
@@ -8,14 +8,14 @@
 	"time"
 )
 
-// paced is what the module did before: a count for every tenant there is, each faded at every ranking.
-type paced struct {
+// referenceCounts is a simple reference implementation: a count for every tenant, each decayed at every ranking.
+type referenceCounts struct {
 	counts []float64
 	ranked time.Duration
 }
 
-// follow looks at a node that has just taken an event, which may have been a tenant's request.
-func (p *paced) follow(n *Node, tenant int) {
+// observe updates the counts after the node has handled an event: a request of the tenant, or another event if tenant is -1.
+func (p *referenceCounts) observe(n *Node, tenant int) {
 	if tenant >= 0 {
 		p.counts[tenant]++
 	}
@@ -28,7 +28,7 @@
 	p.ranked = n.rankedAt
 }
 
-func (p *paced) inShare(n *Node, tenant int, quota float64) float64 {
+func (p *referenceCounts) quotaWeight(n *Node, tenant int, quota float64) float64 {
 	if tenant < 0 || tenant >= len(p.counts) || quota <= 0 {
 		return 1
 	}
@@ -37,9 +37,9 @@
 	return 1 - over*(1-n.cfg.OverQuotaWorth)
 }
 
-// Random requests weigh what they weighed when every tenant was counted: a tenant's arrivals, its silence and its return, at
-// any pace, with few tenants and with many, over minutes.
-func TestTenantsWeighWhatTheyWeighed(t *testing.T) {
+// Quota weights of random requests must match the reference implementation over minutes: with few and many tenants, at any
+// rate, and when a tenant stops and returns.
+func TestQuotaWeightsMatchAllTenantCounts(t *testing.T) {
 	partial := 0
 	for seed := range uint64(12) {
 		rng := rand.New(rand.NewPCG(seed, 17))
@@ -50,27 +50,27 @@
 		for i := range quotas {
 			quotas[i] = []float64{0, 0.5, 10, 200}[rng.IntN(4)] * rng.Float64()
 		}
-		b := newBed(cfg, members(4))
-		old := &paced{counts: make([]float64, tenants), ranked: b.node.rankedAt}
+		b := newTestbed(cfg, members(4))
+		reference := &referenceCounts{counts: make([]float64, tenants), ranked: b.node.rankedAt}
 		for step := range 6_000 {
 			b.now += time.Duration(rng.ExpFloat64() * float64([]time.Duration{ms, 20 * ms, 100 * ms}[seed%3]))
 			if rng.IntN(2_000) == 0 {
-				b.now += time.Duration(rng.IntN(200)) * time.Second // nobody asks for a while
+				b.now += time.Duration(rng.IntN(200)) * time.Second // a time without requests
 			}
 			tenant := -1
 			if rng.IntN(10) > 0 {
-				tenant = int(float64(tenants) * math.Pow(rng.Float64(), 3)) // some ask for much
+				tenant = int(float64(tenants) * math.Pow(rng.Float64(), 3)) // some tenants send most of the requests
 			}
 			quota := 0.0
 			if tenant >= 0 {
 				quota = quotas[tenant]
 			}
 			id := fmt.Sprint("q", step)
-			acts := b.do(&Request{ID: id, Class: rng.IntN(3), Tenant: tenant, Quota: quota, Deadline: b.now + time.Second})
-			old.follow(b.node, tenant)
-			for _, a := range only(acts, Send) {
-				b.end(id, a.Attempt, a.Server, OK, time.Duration(1+rng.IntN(30))*ms, 1)
-				old.follow(b.node, -1)
+			acts := b.handle(&Request{ID: id, Class: rng.IntN(3), Tenant: tenant, Quota: quota, Deadline: b.now + time.Second})
+			reference.observe(b.node, tenant)
+			for _, a := range actionsOf(acts, Send) {
+				b.endAttempt(id, a.Attempt, a.Server, OK, time.Duration(1+rng.IntN(30))*ms, 1)
+				reference.observe(b.node, -1)
 			}
 			for range 20 {
 				i := rng.IntN(tenants+1) - 1
@@ -78,9 +78,9 @@
 				if i >= 0 {
 					r.Quota = quotas[i]
 				}
-				got, want := b.node.quotaWeight(r), old.inShare(b.node, i, r.Quota)
+				got, want := b.node.quotaWeight(r), reference.quotaWeight(b.node, i, r.Quota)
 				if math.Abs(got-want) > 1e-9 {
-					t.Fatalf("seed %d, step %d, tenant %d of %d: weighs %v, and weighed %v", seed, step, i, tenants, got, want)
+					t.Fatalf("seed %d, step %d, tenant %d of %d: quota weight %v, want %v", seed, step, i, tenants, got, want)
 				}
 				if want < 1 && want > cfg.OverQuotaWorth+1e-3 {
 					partial++
@@ -89,62 +89,62 @@
 		}
 	}
 	if partial < 1_000 {
-		t.Errorf("%d weights between the bounds: the draw shows nothing", partial)
+		t.Errorf("only %d weights between the bounds: the test cannot tell a wrong weight", partial)
 	}
 }
 
-// A tenant that asks no more is forgotten, and nothing grows with those who asked once.
-func TestTenantsThatAskNoMoreAreForgotten(t *testing.T) {
-	var l arrivalCounts
+// The counts of inactive tenants are dropped, so that the state does not grow with all tenants ever seen.
+func TestInactiveTenantsAreForgotten(t *testing.T) {
+	var counts arrivalCounts
 	now := time.Minute
 	for i := range 200_000 {
 		now += ms
-		l.add(i, now)
-		if kept := len(l.current) + len(l.previous); kept > 2*int(tenantKept/ms)+1 {
-			t.Fatalf("%d tenants are kept after %d, at one a millisecond", kept, i+1)
+		counts.add(i, now)
+		if kept := len(counts.current) + len(counts.previous); kept > 2*int(tenantRetention/ms)+1 {
+			t.Fatalf("%d tenants are kept after %d, at one per millisecond", kept, i+1)
 		}
 	}
-	if got := l.of(199_999, now); got != 1 {
-		t.Errorf("the last counts %v", got)
+	if got := counts.countAt(199_999, now); got != 1 {
+		t.Errorf("the count of the last tenant is %v, want 1", got)
 	}
-	if got := l.of(0, now); got != 0 {
-		t.Errorf("the first, silent for %v, counts %v", now, got)
+	if got := counts.countAt(0, now); got != 0 {
+		t.Errorf("at %v the count of the first tenant is %v, want 0", now, got)
 	}
 }
 
-// Quotas that make no sense bind nobody: settings with one are turned down where they are read.
-func TestAQuotaBelowZeroBindsNobody(t *testing.T) {
-	b := newBed(testSettings(), members(2))
+// A negative quota counts as unlimited. Settings that contain one are rejected when they are read.
+func TestNegativeQuotaIsUnlimited(t *testing.T) {
+	b := newTestbed(testSettings(), members(2))
 	for range 100 {
 		b.seq++
-		b.do(&Request{ID: fmt.Sprint(b.seq), Tenant: 3, Quota: -1, Deadline: b.now + time.Second})
+		b.handle(&Request{ID: fmt.Sprint(b.seq), Tenant: 3, Quota: -1, Deadline: b.now + time.Second})
 	}
 	if got := b.node.quotaWeight(&request{Request: Request{Tenant: 3, Quota: -1}}); got != 1 {
-		t.Errorf("weighs %v", got)
+		t.Errorf("with a quota of -1: quota weight %v, want 1", got)
 	}
 	if got := b.node.quotaWeight(&request{Request: Request{Tenant: 3, Quota: 1}}); got >= 1 {
-		t.Errorf("with a quota of 1 it weighs %v", got)
+		t.Errorf("with a quota of 1: quota weight %v, want less than 1", got)
 	}
 }
 
-// A tenant keeps its number and its count through new settings; its new quota comes with its next request.
-func TestATenantIsCountedThroughNewSettings(t *testing.T) {
-	b := newBed(testSettings(), members(2))
+// A tenant keeps its number and its count across new settings. Its new quota comes with its next request.
+func TestTenantCountsSurviveNewSettings(t *testing.T) {
+	b := newTestbed(testSettings(), members(2))
 	ask := func(quota float64) float64 {
 		b.seq++
 		r := Request{ID: fmt.Sprint(b.seq), Tenant: 70_000, Quota: quota, Deadline: b.now + time.Second}
-		b.do(&r)
+		b.handle(&r)
 		return b.node.quotaWeight(&request{Request: r})
 	}
 	for range 50 {
 		ask(5)
 	}
 	before := ask(5)
-	b.do(&Retuned{Settings: testSettings()})
+	b.handle(&Retuned{Settings: testSettings()})
 	if after := ask(5); before >= 1 || after >= before {
-		t.Errorf("weighed %v, and %v after new settings", before, after)
+		t.Errorf("quota weight %v, and %v after new settings", before, after)
 	}
 	if got := ask(1_000); got != 1 {
-		t.Errorf("with a large quota it weighs %v", got)
+		t.Errorf("with a large quota: quota weight %v, want 1", got)
 	}
 }
--- a/brain/bench_test.go
+++ b/brain/bench_test.go
@@ -7,51 +7,51 @@
 	"time"
 )
 
-// The cost of a request with its outcome, and of a ranking, by the size of the fleet.
-
+// BenchmarkRequest measures a request with its outcome, by the size of the fleet.
 func BenchmarkRequest(b *testing.B) {
 	for _, size := range []int{10, 100, 1000, 10000} {
 		b.Run(fmt.Sprint(size), func(b *testing.B) {
-			t := newBed(testSettings(), members(size))
+			t := newTestbed(testSettings(), members(size))
 			for b.Loop() {
 				t.now += 20 * ms
-				id, acts := t.ask(read)
-				for _, a := range only(acts, Send) {
-					t.end(id, 0, a.Server, OK, 20*ms, 1)
+				id, acts := t.request(read)
+				for _, a := range actionsOf(acts, Send) {
+					t.endAttempt(id, 0, a.Server, OK, 20*ms, 1)
 				}
 			}
 		})
 	}
 }
 
+// BenchmarkRerank measures a ranking, by the size of the fleet.
 func BenchmarkRerank(b *testing.B) {
 	for _, size := range []int{10, 100, 1000, 10000} {
 		b.Run(fmt.Sprint(size), func(b *testing.B) {
-			t := newBed(testSettings(), members(size))
+			t := newTestbed(testSettings(), members(size))
 			for b.Loop() {
-				t.now += rankEvery
+				t.now += rankInterval
 				t.node.rerank()
 			}
 		})
 	}
 }
 
-// The cost of a request, with its ranking now and then, among as many tenants as are announced.
+// BenchmarkRequestOfTenants measures a request, including occasional rankings, with 300,000 tenants.
 func BenchmarkRequestOfTenants(b *testing.B) {
-	t := newBed(testSettings(), members(100))
+	t := newTestbed(testSettings(), members(100))
 	for i := 0; b.Loop(); i++ {
 		t.now += 4 * ms
 		id := fmt.Sprint(i)
-		acts := t.do(&Request{ID: id, Class: read, Tenant: i * 7919 % 300_000, Quota: 5, Deadline: t.now + time.Second})
-		for _, a := range only(acts, Send) {
-			t.end(id, 0, a.Server, OK, 20*ms, 1)
+		acts := t.handle(&Request{ID: id, Class: read, Tenant: i * 7919 % 300_000, Quota: 5, Deadline: t.now + time.Second})
+		for _, a := range actionsOf(acts, Send) {
+			t.endAttempt(id, 0, a.Server, OK, 20*ms, 1)
 		}
 	}
 }
 
-// The cost of a call's look must not follow the number of open calls. Two classes with different aims: each one's looks
-// fall among the other's.
-func BenchmarkLookAmongOpenCalls(b *testing.B) {
+// BenchmarkOverdueCheckAmongOpenRequests measures an overdue check by the number of open requests, which it must hardly
+// depend on. The checks come from two classes with different aims, so that their due times interleave.
+func BenchmarkOverdueCheckAmongOpenRequests(b *testing.B) {
 	for _, open := range []int{100, 1000, 10000} {
 		b.Run(fmt.Sprint(open), func(b *testing.B) {
 			n, err := New(testSettings(), 1)
@@ -59,7 +59,7 @@
 				b.Fatal(err)
 			}
 			r := &request{attempts: []attempt{{ended: true}}}
-			step := time.Second / time.Duration(open) // so many fall into the longer aim
+			step := time.Second / time.Duration(open) // the longer aim of one second spans this many checks
 			for i := range open {
 				n.scheduleCheck(overdueCheck{r, 0, time.Duration(i) * step})
 			}
--- a/brain/brain_test.go
+++ b/brain/brain_test.go
@@ -12,14 +12,14 @@
 	"gotest.tools/v3/assert"
 )
 
-// policyFiles are the files that hold the decision logic, as the deploy file names them, from here.
+// policyFiles returns the paths of the decision logic, from the policy list of deploy/balancer.toml.
 func policyFiles(t *testing.T) []string {
 	t.Helper()
 	root := ".."
 	deploy, err := os.ReadFile(filepath.Join(root, "deploy", "balancer.toml"))
 	assert.NilError(t, err)
 	list := regexp.MustCompile(`(?m)^policy = \[([^\]]*)\]`).FindSubmatch(deploy)
-	assert.Assert(t, list != nil, "the deploy file names no policy")
+	assert.Assert(t, list != nil, "deploy/balancer.toml has no policy list")
 	var files []string
 	for _, name := range regexp.MustCompile(`"([^"]+)"`).FindAllStringSubmatch(string(list[1]), -1) {
 		files = append(files, filepath.Join(root, name[1]))
@@ -28,7 +28,7 @@
 	return files
 }
 
-func TestModuleKeepsItsLineLimits(t *testing.T) {
+func TestPolicyFilesStayWithinLineLimits(t *testing.T) {
 	total := 0
 	for _, file := range policyFiles(t) {
 		text, err := os.ReadFile(file)
@@ -41,58 +41,58 @@
 			assert.Check(t, width <= 110, "%s has a line of %d characters: %s", file, width, line)
 		}
 	}
-	assert.Check(t, total <= 1200, "%d lines, 1200 at most", total)
+	assert.Check(t, total <= 1200, "%d non-blank lines, want at most 1200", total)
 }
 
-// arrive hands in count requests at a fixed interval; each is answered at once.
-func (b *bed) arrive(count int, every time.Duration) {
+// arrive sends the node count reads at a fixed interval and answers each at once.
+func (b *testbed) arrive(count int, every time.Duration) {
 	for range count {
 		b.now += every
-		id, acts := b.ask(read)
-		for _, a := range only(acts, Send) {
-			b.end(id, a.Attempt, a.Server, OK, ms, 0)
+		id, acts := b.request(read)
+		for _, a := range actionsOf(acts, Send) {
+			b.endAttempt(id, a.Attempt, a.Server, OK, ms, 0)
 		}
 	}
 }
 
-func TestBurstTogglesKUpAndDown(t *testing.T) {
-	b := newBed(testSettings(), members(10))
+func TestBurstChangesCandidateCount(t *testing.T) {
+	b := newTestbed(testSettings(), members(10))
 	b.arrive(200, 40*ms)
-	if b.node.burst || b.node.choices() != 1 {
-		t.Fatal("a steady stream is not calm with K = 1")
+	if b.node.inBurst || b.node.candidateCount() != 1 {
+		t.Fatal("a steady stream is a burst or K is not 1")
 	}
 	b.arrive(80, 4*ms)
-	if !b.node.burst || b.node.choices() != 5 {
-		t.Fatalf("ten times the rate: burst %v, K %d, want half of 10", b.node.burst, b.node.choices())
+	if !b.node.inBurst || b.node.candidateCount() != 5 {
+		t.Fatalf("at ten times the rate: burst %v, K %d, want a burst and half of 10", b.node.inBurst, b.node.candidateCount())
 	}
 	b.arrive(60, 40*ms)
-	if b.node.burst || b.node.choices() != 1 {
-		t.Error("falling arrivals did not end the burst")
+	if b.node.inBurst || b.node.candidateCount() != 1 {
+		t.Error("a falling arrival rate did not end the burst")
 	}
 }
 
-func TestABurstWhoseEndGoesUnseenRunsOut(t *testing.T) {
-	b := newBed(testSettings(), members(10))
+func TestBurstExpiresWhenItsEndIsNotDetected(t *testing.T) {
+	b := newTestbed(testSettings(), members(10))
 	b.arrive(200, 40*ms)
-	b.arrive(200, 4*ms) // the last 2m arrivals are all fast now: I is back at 0
-	if !b.node.burst {
-		t.Fatal("no burst")
+	b.arrive(200, 4*ms) // the last 2m arrivals have equal intervals: I is 0 again
+	if !b.node.inBurst {
+		t.Fatal("no burst detected")
 	}
 	b.arrive(int(burstHold/(4*ms))+100, 4*ms)
-	if b.node.burst {
-		t.Error("still a burst long after the last trip")
+	if b.node.inBurst {
+		t.Error("still a burst more than burstHold after the last trip")
 	}
 }
 
 func TestPickIsUniformAmongTheKLowest(t *testing.T) {
-	b := newBed(testSettings(), members(10))
+	b := newTestbed(testSettings(), members(10))
 	for i := range 10 {
-		b.do(&ProbeEnded{Server: members(10)[i].Server, Outcome: OK, Report: []float64{float64(i)}})
+		b.handle(&ProbeEnded{Server: members(10)[i].Server, Outcome: OK, Report: []float64{float64(i)}})
 	}
 	b.node.rerank()
 	r := &request{Request: Request{Class: read, Tenant: -1}}
 	count := map[string]int{}
-	b.node.burst = true // K = 5
+	b.node.inBurst = true // K = 5
 	for range 5000 {
 		count[b.node.pick(r).Server]++
 	}
@@ -101,7 +101,7 @@
 			t.Errorf("%s of rank %d picked %d times of 5000", m.Server, i, got)
 		}
 	}
-	b.node.burst = false
+	b.node.inBurst = false
 	for range 50 {
 		if s := b.node.pick(r).Server; s != "s00" {
 			t.Fatalf("K = 1 picked %s", s)
@@ -109,82 +109,82 @@
 	}
 }
 
-func TestPickAtItsLimits(t *testing.T) {
+func TestPickEdgeCases(t *testing.T) {
 	r := &request{Request: Request{Class: read, Tenant: -1}}
-	empty := newBed(testSettings(), nil)
+	empty := newTestbed(testSettings(), nil)
 	if empty.node.pick(r) != nil {
-		t.Error("a pick from no servers")
+		t.Error("picked a server from an empty fleet")
 	}
-	single := newBed(testSettings(), members(1))
-	single.node.burst = true
+	single := newTestbed(testSettings(), members(1))
+	single.node.inBurst = true
 	if s := single.node.pick(r); s == nil || s.Server != "s00" {
-		t.Error("fewer servers than K")
+		t.Error("no pick with a single server")
 	}
-	// Without any figure all are level: ties go by the seed, so that nodes differ.
+	// Without reports all scores are equal. Ties are broken by the seed, so that nodes differ.
 	first := map[string]bool{}
 	for seed := range uint64(20) {
 		node, _ := New(testSettings(), seed)
-		b := &bed{node: node, now: time.Minute}
-		b.do(&FleetUpdate{Kind: UpdateRestored, Members: members(10)})
+		b := &testbed{node: node, now: time.Minute}
+		b.handle(&FleetUpdate{Kind: UpdateRestored, Members: members(10)})
 		first[node.pick(r).Server] = true
 	}
 	if len(first) < 5 {
-		t.Errorf("20 nodes broke the tie towards only %d servers", len(first))
+		t.Errorf("20 nodes broke the tie in favour of only %d servers", len(first))
 	}
 }
 
-func TestAServerWithoutAFigureCountsAtTheMean(t *testing.T) {
-	b := newBed(testSettings(), members(3))
-	b.do(&ProbeEnded{Server: "s00", Outcome: OK, Report: []float64{2}})
-	b.do(&ProbeEnded{Server: "s01", Outcome: OK, Report: []float64{6}})
+func TestServerWithoutReportIsRankedAtTheMean(t *testing.T) {
+	b := newTestbed(testSettings(), members(3))
+	b.handle(&ProbeEnded{Server: "s00", Outcome: OK, Report: []float64{2}})
+	b.handle(&ProbeEnded{Server: "s01", Outcome: OK, Report: []float64{6}})
 	b.node.rerank()
-	if got := b.node.byID["s02"].figure; got != 5 {
-		t.Errorf("figure %v, want mean 4 and one", got)
+	if got := b.node.byID["s02"].loadScore; got != 5 {
+		t.Errorf("load score %v, want the mean 4 plus 1", got)
 	}
 }
 
-func TestOwnSendsCountForAllNodesThatShareTheServer(t *testing.T) {
+func TestOwnSendsAreScaledByNodesSharingTheServer(t *testing.T) {
 	cfg := testSettings()
 	cfg.Nodes = 4
-	b := newBed(cfg, members(3))
+	b := newTestbed(cfg, members(3))
 	for _, m := range members(3) {
-		b.do(&ProbeEnded{Server: m.Server, Outcome: OK, Report: []float64{1}})
+		b.handle(&ProbeEnded{Server: m.Server, Outcome: OK, Report: []float64{1}})
 	}
-	_, acts := b.ask(read)
-	if got := b.node.byID[only(acts, Send)[0].Server].figure; got != 6 {
-		t.Errorf("figure %v after one send of one of four nodes, want 1 held + 4 + 1", got)
+	_, acts := b.request(read)
+	if got := b.node.byID[actionsOf(acts, Send)[0].Server].loadScore; got != 6 {
+		t.Errorf("load score %v after one send by one of four nodes, want 1 held + 4 + 1", got)
 	}
 }
 
-func TestUnsafeIsNeverSentAgainOnceItMayHaveRun(t *testing.T) {
-	b := newBed(testSettings(), members(5))
+func TestUnsafeRequestIsNotRetriedOnceItMayHaveRun(t *testing.T) {
+	b := newTestbed(testSettings(), members(5))
 	for range 40 {
-		b.ask(read) // earns the retry budgets
+		b.request(read) // fills the retry budgets
 	}
-	id, acts := b.ask(pay)
-	sent := only(acts, Send)
+	id, acts := b.request(pay)
+	sent := actionsOf(acts, Send)
 	if len(sent) != 1 {
 		t.Fatalf("sends: %v", acts)
 	}
 	b.now += 50 * ms
-	acts = b.end(id, 0, sent[0].Server, AppError, 50*ms)
-	if len(only(acts, Send)) != 0 || len(only(acts, Refuse)) != 0 || len(only(acts, Fail)) != 1 {
-		t.Errorf("after an error that may have run: %v", acts)
+	acts = b.endAttempt(id, 0, sent[0].Server, AppError, 50*ms)
+	if len(actionsOf(acts, Send)) != 0 || len(actionsOf(acts, Refuse)) != 0 || len(actionsOf(acts, Fail)) != 1 {
+		t.Errorf("after a failed attempt that may have run: %v", acts)
 	}
-	id, acts = b.ask(pay)
-	acts = b.end(id, 0, only(acts, Send)[0].Server, ConnectFailed, 50*ms)
-	if len(only(acts, Send)) != 1 {
-		t.Errorf("after a proof that it never ran: %v", acts)
+	id, acts = b.request(pay)
+	acts = b.endAttempt(id, 0, actionsOf(acts, Send)[0].Server, ConnectFailed, 50*ms)
+	if len(actionsOf(acts, Send)) != 1 {
+		t.Errorf("after an attempt that never ran: %v", acts)
 	}
 }
 
-func TestNothingIsSentToADrainingServer(t *testing.T) {
-	b := newBed(testSettings(), members(3))
-	b.do(&FleetUpdate{Kind: UpdateChanges, Members: []Member{{Server: "s01", Zone: "z1", Weight: 1, State: Draining}}})
+func TestDrainingServerGetsNoRequests(t *testing.T) {
+	b := newTestbed(testSettings(), members(3))
+	b.handle(&FleetUpdate{Kind: UpdateChanges, Members: []Member{{Server: "s01", Zone: "z1", Weight: 1, State: Draining}}})
 	for range 200 {
 		b.now += time.Millisecond
-		_, acts := b.ask(read)
-		for _, a := range only(acts, Send) {
+		_, acts := b.request(read)
+		for _, a := range actionsOf(acts, Send) {
 			if a.Server == "s01" {
 				t.Fatal("sent to a draining server")
 			}
@@ -192,17 +192,17 @@
 	}
 }
 
-func TestAKeyGoesToItsHomeUntilThatIsBarredOrCrowded(t *testing.T) {
+func TestKeyGoesToItsHomeServerUnlessOverloaded(t *testing.T) {
 	cfg := testSettings()
 	cfg.WarmKeys = true
 	var first, second string
-	for node := range uint64(5) { // nodes with other seeds agree on the home
+	for node := range uint64(5) { // nodes with different seeds agree on the home
 		n, _ := New(cfg, node)
-		b := &bed{node: n, now: time.Minute}
-		b.do(&FleetUpdate{Kind: UpdateRestored, Members: members(8)})
+		b := &testbed{node: n, now: time.Minute}
+		b.handle(&FleetUpdate{Kind: UpdateRestored, Members: members(8)})
 		keyed := func(id string) string {
-			acts := b.do(&Request{ID: id, Class: read, Tenant: -1, Key: "step/7", Deadline: b.now + time.Second})
-			return only(acts, Send)[0].Server
+			acts := b.handle(&Request{ID: id, Class: read, Tenant: -1, Key: "step/7", Deadline: b.now + time.Second})
+			return actionsOf(acts, Send)[0].Server
 		}
 		got := keyed("a")
 		if first == "" {
@@ -211,80 +211,80 @@
 		if got != first {
 			t.Fatalf("node %d sends the key to %s, another to %s", node, got, first)
 		}
-		b.end("a", 0, got, OK, 20*ms, 0)
+		b.endAttempt("a", 0, got, OK, 20*ms, 0)
 		for _, m := range members(8) {
-			b.do(&ProbeEnded{Server: m.Server, Outcome: OK, Report: []float64{1}})
+			b.handle(&ProbeEnded{Server: m.Server, Outcome: OK, Report: []float64{1}})
 		}
-		b.do(&ProbeEnded{Server: first, Outcome: OK, Report: []float64{30}})
+		b.handle(&ProbeEnded{Server: first, Outcome: OK, Report: []float64{30}})
 		got = keyed("b")
 		if second == "" {
 			second = got
 		}
 		if got == first || got != second {
-			t.Fatalf("home crowded: %s, want the second home %s", got, second)
+			t.Fatalf("home overloaded: sent to %s, want the second home %s", got, second)
 		}
 	}
 }
 
-// A request of a class that takes several times as long is that much more work in flight: counted alike, the server
-// that holds the dear one seems as free as the one that holds a cheap one.
-func TestADearRequestWeighsMoreThanACheapOne(t *testing.T) {
+// A request of a class that takes several times as long is that much more load. If all requests counted the same, a
+// server with a slow request in flight would seem as free as one with a fast request.
+func TestOwnLoadIsWeightedByExpectedTime(t *testing.T) {
 	cfg := testSettings()
-	cfg.Classes[put].Aim, cfg.Classes[put].Deadline = 2*time.Second, 4*time.Second // the time expected at first
-	b := newBed(cfg, members(2))
-	_, dear := b.ask(put)
-	_, cheap := b.ask(read)
-	_, next := b.ask(read)
-	if dear[0].Server == cheap[0].Server || next[0].Server != cheap[0].Server {
-		t.Errorf("dear at %s, cheap at %s, the next at %s", dear[0].Server, cheap[0].Server, next[0].Server)
+	cfg.Classes[put].Aim, cfg.Classes[put].Deadline = 2*time.Second, 4*time.Second // the initial expected time derives from the aim
+	b := newTestbed(cfg, members(2))
+	_, slow := b.request(put)
+	_, fast := b.request(read)
+	_, next := b.request(read)
+	if slow[0].Server == fast[0].Server || next[0].Server != fast[0].Server {
+		t.Errorf("slow request at %s, fast one at %s, the next at %s", slow[0].Server, fast[0].Server, next[0].Server)
 	}
 }
 
-// On a long day most servers ever listed are gone; the node must not grow with them.
-func TestAServerThatIsGoneIsForgotten(t *testing.T) {
-	b := newBed(testSettings(), members(2))
+// Over time most servers ever listed are gone. The state of a node must not grow with them.
+func TestGoneServersAreForgotten(t *testing.T) {
+	b := newTestbed(testSettings(), members(2))
 	for i := range 100 {
 		id := fmt.Sprintf("new%d", i)
-		b.do(&FleetUpdate{Members: []Member{{Server: id, Zone: "z1"}}})
-		b.ask(read)
-		b.do(&FleetUpdate{Members: []Member{{Server: id, State: Gone}, {Server: "never", State: Gone}}})
+		b.handle(&FleetUpdate{Members: []Member{{Server: id, Zone: "z1"}}})
+		b.request(read)
+		b.handle(&FleetUpdate{Members: []Member{{Server: id, State: Gone}, {Server: "never", State: Gone}}})
 	}
 	if n := len(b.node.byID); n != 2 {
-		t.Errorf("%d servers known, 2 are there", n)
+		t.Errorf("%d servers known, want 2", n)
 	}
 }
 
-// A bound on a request holds for its first attempt, and another for later ones; servers without a group meet none, and
-// what may go nowhere is given up at once.
-func TestABoundOnARequest(t *testing.T) {
+// First restricts the first attempt of a request to groups of servers, Later the further ones. Servers without a group
+// match neither, and a request with Nowhere is refused at once.
+func TestRequestGroupRestriction(t *testing.T) {
 	list := members(6)
 	for i := range list {
 		list[i].Bit = 1 << (i % 2)
 	}
-	b := newBed(testSettings(), append(list, Member{Server: "none", Zone: "z1", Weight: 1}))
+	b := newTestbed(testSettings(), append(list, Member{Server: "none", Zone: "z1", Weight: 1}))
 	for i := range 60 {
 		b.seq++
 		id, first := fmt.Sprint("b", b.seq), uint64(1)<<(i%2)
-		acts := b.do(&Request{ID: id, Class: read, Tenant: -1, Deadline: b.now + time.Second, First: first, Later: 3 - first})
-		sent := only(acts, Send)
+		acts := b.handle(&Request{ID: id, Class: read, Tenant: -1, Deadline: b.now + time.Second, First: first, Later: 3 - first})
+		sent := actionsOf(acts, Send)
 		if len(sent) != 1 || b.node.byID[sent[0].Server].Bit != first {
-			t.Fatalf("bound to %d: %+v", first, acts)
+			t.Fatalf("first attempt restricted to group %d: %+v", first, acts)
 		}
 		if i%10 != 9 {
-			b.end(id, 0, sent[0].Server, OK, 5*ms)
+			b.endAttempt(id, 0, sent[0].Server, OK, 5*ms)
 			continue
 		}
-		again := only(b.end(id, 0, sent[0].Server, ConnectFailed, ms), Send)
+		again := actionsOf(b.endAttempt(id, 0, sent[0].Server, ConnectFailed, ms), Send)
 		if i > 20 && (len(again) != 1 || b.node.byID[again[0].Server].Bit != 3-first) {
-			t.Fatalf("then to %d: %+v", 3-first, again)
+			t.Fatalf("later attempt restricted to group %d: %+v", 3-first, again)
 		}
 		if len(again) == 1 {
-			b.end(id, 1, again[0].Server, OK, 5*ms)
+			b.endAttempt(id, 1, again[0].Server, OK, 5*ms)
 		}
 		b.now += 50 * ms
 	}
-	acts := b.do(&Request{ID: "nowhere", Class: pay, Tenant: -1, Deadline: b.now + time.Second, First: Nowhere})
+	acts := b.handle(&Request{ID: "nowhere", Class: pay, Tenant: -1, Deadline: b.now + time.Second, First: Nowhere})
 	if len(acts) != 1 || acts[0].Kind != Refuse || len(b.node.requests) != 0 {
-		t.Errorf("%+v, %d held", acts, len(b.node.requests))
+		t.Errorf("Nowhere: %+v, %d requests kept", acts, len(b.node.requests))
 	}
 }
--- a/brain/example_test.go
+++ b/brain/example_test.go
@@ -7,7 +7,7 @@
 	"pewterrudder/brain"
 )
 
-// An embedder hands in timed events and carries out the actions that come back.
+// An embedder passes events with their times and carries out the returned actions.
 func Example() {
 	node, err := brain.New(brain.Settings{
 		Nodes:       1,
--- a/brain/fleet_test.go
+++ b/brain/fleet_test.go
@@ -8,9 +8,9 @@
 	"time"
 )
 
-// However servers come and go, also twice in one update, the fleet has each that is listed once, in the order in which they
-// came: draws from it hang on that order.
-func TestTheFleetKeepsItsOrder(t *testing.T) {
+// The fleet contains each listed server once, in order of first listing, however servers come and go, even twice in one
+// update. Random draws depend on that order.
+func TestFleetKeepsArrivalOrder(t *testing.T) {
 	for seed := range uint64(300) {
 		rng := rand.New(rand.NewPCG(seed, 3))
 		n, err := New(Settings{Nodes: 1, MaxAttempts: 1, Classes: []Class{{Name: "a", Aim: time.Second, Deadline: time.Second}}}, seed)
--- a/brain/health.go
+++ b/brain/health.go
@@ -5,10 +5,10 @@
 	"slices"
 )
 
-// Health: ejection of servers by their outcomes, relative to the peers, for each class.
+// Health: ejection of servers by their outcomes, relative to the other servers, for each class.
 
-// recordOutcome enters one outcome into the evidence on a server: errors and silence against it, answers for
-// it.
+// recordOutcome updates the error rate, latency statistics and pauses of a server with one outcome, and
+// ejects the server if needed.
 func (n *Node) recordOutcome(a *attempt, r *request, e *AttemptEnded) {
 	s, h := a.server, &a.server.health[r.Class]
 	c := &n.classes[r.Class]
@@ -18,16 +18,16 @@
 	case OK:
 		ratio := took / max(c.mean, 1e-4)
 		s.slowness += 0.1 * (min(ratio, 5) - s.slowness)
-		h.waitingSince, s.answered = n.now, max(s.answered, a.sent)
-		h.refusals, s.failedProbes = 0, 0
+		h.waitingSince, s.lastAnsweredSent = n.now, max(s.lastAnsweredSent, a.sent)
+		h.pauses, s.failedProbes = 0, 0
 		s.answers++
 		step := 0.05
-		if !c.seen {
-			c.seen, step = true, 1
+		if !c.measured {
+			c.measured, step = true, 1
 		}
 		c.dev += step * (math.Abs(took-c.mean)*1.25 - c.dev)
 		c.mean += step * (took - c.mean)
-		n.timeByLoad.add(a.load, ratio)
+		n.timeByLoad.add(a.scoreAtSend, ratio)
 	case NeverSent:
 		return
 	case Cancelled:
@@ -41,10 +41,11 @@
 		n.pause(h)
 		h.waitingSince = n.now
 		return
-	case TimedOut: // overload or silence; the second only without any sign of life meanwhile
-		if y := took / max(c.mean, 1e-4); y > n.timeByLoad.at(a.load) && s.answered <= a.sent {
-			// It would have taken longer still, unless it was lost: later ones are answered.
-			n.timeByLoad.add(a.load, y)
+	case TimedOut: // overloaded, or unresponsive if there was no response at all since the send
+		if ratio := took / max(c.mean, 1e-4); ratio > n.timeByLoad.at(a.scoreAtSend) &&
+			s.lastAnsweredSent <= a.sent {
+			// A lower bound of its time, unless it was lost, as answers to later attempts would show.
+			n.timeByLoad.add(a.scoreAtSend, ratio)
 		}
 		if h.waitingSince <= a.sent {
 			n.pause(h)
@@ -53,66 +54,68 @@
 	default:
 		bad = 1
 	}
-	h.errorShare += errorWeight * (bad - h.errorShare)
+	h.errorRate += errorWeight * (bad - h.errorRate)
 	h.onTrial = h.onTrial && bad > 0
-	if bad > 0 && h.errorShare > ejectFloor && h.errorShare > ejectRatio*n.peerErrorShare(r.Class) {
+	if bad > 0 && h.errorRate > ejectMinErrorRate && h.errorRate > ejectErrorRatio*n.peerErrorRate(r.Class) {
 		n.eject(h, r.Class)
-	} else if bad == 0 && h.errorShare < 0.05 {
+	} else if bad == 0 && h.errorRate < 0.05 {
 		h.ejections = 0
 	}
 }
 
-// peerErrorShare is the error share of the better half of the sample: where many fail, the mean would excuse
-// them.
-func (n *Node) peerErrorShare(class int) float64 {
-	shares := make([]float64, 0, len(n.ranked)+1)
+// peerErrorRate returns the mean error rate of the better half of the sample. The mean of all would hide the
+// failing servers when there are many.
+func (n *Node) peerErrorRate(class int) float64 {
+	rates := make([]float64, 0, len(n.ranked)+1)
 	for _, s := range n.ranked {
-		shares = append(shares, s.health[class].errorShare)
+		rates = append(rates, s.health[class].errorRate)
 	}
-	slices.Sort(shares)
-	shares = shares[:(len(shares)+1)/2]
+	slices.Sort(rates)
+	rates = rates[:(len(rates)+1)/2]
 	sum := 0.0
-	for _, share := range shares {
-		sum += share
+	for _, rate := range rates {
+		sum += rate
 	}
-	return sum / float64(max(1, len(shares)))
+	return sum / float64(max(1, len(rates)))
 }
 
-// pause leaves a server out for D, doubled each time until it answers. Acts when it turns an attempt away, or
-// lets one run out without a sign of life: hung servers take work until they are full, then refuse.
+// pause excludes a server for D (rankInterval), doubled each time until it answers. It is called when the
+// server refuses an attempt, or lets one time out without any response: a hung server accepts work until it
+// is full, then refuses.
 func (n *Node) pause(h *health) {
-	if h.pausedUntil <= n.now { // what went out together counts once
-		h.pausedUntil = n.now + min(rankEvery<<min(h.refusals, 6), shedMost)
-		h.refusals++
+	if h.pausedUntil <= n.now { // attempts that were in flight together count once
+		h.pausedUntil = n.now + min(rankInterval<<min(h.pauses, 6), pauseMax)
+		h.pauses++
 	}
 }
 
-// eject takes a server out of a class's candidates for a while. Acts on errors well above the peers', on a
-// bounded share of the fleet at most. It comes back on trial: one request at a time, until an answer.
+// eject excludes a server from the candidates of a class for a while, unless maxEjectedShare of the fleet is
+// already ejected. Afterwards it is on trial: one request at a time until the first success.
 func (n *Node) eject(h *health, class int) {
-	out := 0
+	ejected := 0
 	for _, o := range n.fleet {
 		if o.health[class].ejectedUntil > n.now {
-			out++
+			ejected++
 		}
 	}
-	if h.ejectedUntil > n.now || float64(out+1) > ejectShare*float64(len(n.fleet)) {
+	if h.ejectedUntil > n.now || float64(ejected+1) > maxEjectedShare*float64(len(n.fleet)) {
 		return
 	}
-	h.ejectedUntil = n.now + min(ejectFirst<<min(h.ejections, 5), ejectMax)
+	h.ejectedUntil = n.now + min(ejectBase<<min(h.ejections, 5), ejectMax)
 	h.ejections++
 	h.onTrial = true
-	h.errorShare = 0
+	h.errorRate = 0
 }
 
-// stalled: requests are out and there was no sign of life for several mean latencies. Acts until one comes.
+// stalled reports whether requests are in flight without any response for several (stallRatio) mean
+// latencies.
 func (n *Node) stalled(h *health) bool {
 	if h.inFlight == 0 {
 		return false
 	}
-	worst := 0.0
+	longest := 0.0
 	for i := range n.classes {
-		worst = max(worst, n.classes[i].mean+n.classes[i].dev)
+		longest = max(longest, n.classes[i].mean+n.classes[i].dev)
 	}
-	return n.now-h.waitingSince > seconds(stallRatio*worst)
+	return n.now-h.waitingSince > seconds(stallRatio*longest)
 }
--- a/brain/picking.go
+++ b/brain/picking.go
@@ -5,47 +5,47 @@
 	"slices"
 )
 
-// The pick: uniform among the K lowest figures, of the servers that a request may be sent to.
+// Picking: uniform among the K lowest load scores of the servers that a request may be sent to.
 
-// pick is the paper's rule: one of the K lowest figures, uniformly. The guards leave candidates out.
+// pick returns a uniformly random server among the K eligible ones with the lowest load scores, or nil.
 func (n *Node) pick(r *request) *server {
-	if n.now-n.rankedAt >= rankEvery {
+	if n.now-n.rankedAt >= rankInterval {
 		n.rerank()
 	}
-	if s := n.home(r); s != nil {
+	if s := n.homeServer(r); s != nil {
 		return s
 	}
-	best := n.scratch[:0]
-	n.crowded = false
+	candidates := n.scratch[:0]
+	n.overloaded = false
 	for _, s := range n.ranked {
 		if n.allowed(s, r) && n.expectedInTime(s, r) {
-			best = append(best, s)
-			if len(best) == n.choices() {
+			candidates = append(candidates, s)
+			if len(candidates) == n.candidateCount() {
 				break
 			}
 		}
 	}
-	n.scratch = best[:0]
-	if len(best) == 0 {
-		return n.beyondSample(r)
+	n.scratch = candidates[:0]
+	if len(candidates) == 0 {
+		return n.pickOutsideSample(r)
 	}
-	return best[n.rng.IntN(len(best))]
+	return candidates[n.rng.IntN(len(candidates))]
 }
 
-// choices is K: thl, half of the table, in a burst, else ths, which is 1. Many nodes with the same stale
-// ranking do not all pick the same server, since each counts its own sends for all the nodes that share the
-// server (see setFigure).
-func (n *Node) choices() int {
-	if n.burst {
+// candidateCount returns K: half of the sample in a burst (thl), else 1 (ths). With K = 1 nodes with the same
+// stale ranking still do not all pick the same server, since each scales its own sends by the number of nodes
+// that share the server (see setLoadScore).
+func (n *Node) candidateCount() int {
+	if n.inBurst {
 		return max(1, (len(n.ranked)+1)/2)
 	}
 	return 1
 }
 
-// home is the exception for services whose servers need less work for a key met lately. Acts where the
-// settings say so and the request has a key: it goes to the key's place on a ring of all servers, the same at
-// every node, unless that server is barred, silent or crowded; then to the next place, then the ordinary way.
-func (n *Node) home(r *request) *server {
+// homeServer returns the server for the request's key by consistent hashing, for services whose servers need
+// less work for a recently used key (WarmKeys). The ring is the same on every node. If the first home is not
+// eligible or overloaded, the next server on the ring is tried; nil means an ordinary pick.
+func (n *Node) homeServer(r *request) *server {
 	if !n.cfg.WarmKeys || r.Key == "" || len(n.fleet) == 0 {
 		return nil
 	}
@@ -54,49 +54,50 @@
 	}
 	mean, _ := n.meanHeld()
 	key := hash(r.Key, 0)
-	byHash := func(p ringPoint, h uint64) int { return cmp.Compare(p.at, h) }
+	byHash := func(p ringPoint, h uint64) int { return cmp.Compare(p.position, h) }
 	at, _ := slices.BinarySearchFunc(n.ring, key, byHash)
-	var last *server
-	for i, tried := 0, 0; i < len(n.ring) && tried < homes; i++ {
+	var previous *server
+	for i, tried := 0, 0; i < len(n.ring) && tried < homesPerKey; i++ {
 		s := n.ring[(at+i)%len(n.ring)].server
-		if s == last {
+		if s == previous {
 			continue
 		}
-		last = s
+		previous = s
 		tried++
 		held := s.ownLoad
 		if s.hasReport {
-			held = s.reported + max(0, held-s.ownAtReport)
+			held = s.reportedHeld + max(0, held-s.ownLoadAtReport)
 		}
-		was := s.figure
-		n.setFigure(s, mean, 1) // the other nodes send this key here as well, but each its own requests
-		if n.allowed(s, r) && n.expectedInTime(s, r) && held/s.size <= homeCrowded*(mean+1) {
+		savedScore := s.loadScore
+		n.setLoadScore(s, mean, 1) // other nodes send this key here too, but not in step with own sends
+		if n.allowed(s, r) && n.expectedInTime(s, r) && held/s.size <= homeOverloadRatio*(mean+1) {
 			return s
 		}
-		s.figure = was
+		s.loadScore = savedScore
 	}
 	return nil
 }
 
-// allowed: may this request go to this server now? Rules 2 to 4 and the temporary refusals.
+// allowed reports whether the request may be sent to the server now: rules 2 to 4, ejections and pauses.
 func (n *Node) allowed(s *server, r *request) bool {
 	h := &s.health[r.Class]
-	if s.State != Ready || h.ejectedUntil > n.now || h.pausedUntil > n.now || !n.mayRepeatAt(r, s) {
+	if s.State != Ready || h.ejectedUntil > n.now || h.pausedUntil > n.now || !n.mayAttemptAt(r, s) {
 		return false
 	}
-	if s.failedProbes >= silentProbes || n.stalled(h) || h.onTrial && h.inFlight > 0 {
+	if s.failedProbes >= maxFailedProbes || n.stalled(h) || h.onTrial && h.inFlight > 0 {
 		return false
 	}
 	onTrial := func(h health) bool { return h.onTrial }
-	if n.anyRepeatable && n.classes[r.Class].Repeat == Unsafe && slices.ContainsFunc(s.health, onTrial) {
-		return false // those that may be repeated go first
+	if n.hasSafeClass && n.classes[r.Class].Repeat == Unsafe && slices.ContainsFunc(s.health, onTrial) {
+		return false // a trial is left to requests that are safe to repeat
 	}
-	return n.takesColdRequest(s)
+	return n.hasColdToken(s)
 }
 
-// mayRepeatAt is rule 2: after an attempt that may have run, a further one goes nowhere (unsafe), or only to
-// the servers that drop its repeats and while they remember it (keyed). Never twice to the same server.
-func (n *Node) mayRepeatAt(r *request, s *server) bool {
+// mayAttemptAt enforces rule 2 and the request's group restriction. After an attempt that may have run, an
+// Unsafe request is not sent again, and a Keyed one only within its scope and window. No server gets the same
+// request twice.
+func (n *Node) mayAttemptAt(r *request, s *server) bool {
 	c := &n.classes[r.Class]
 	if r.First != 0 && r.First&s.Bit == 0 {
 		return false
@@ -122,37 +123,39 @@
 	return true
 }
 
-// anyLeft: is there a server that may be sent this request now or later, if it finds room?
-func (n *Node) anyLeft(r *request) bool {
+// hasEligibleServer reports whether some server may be sent this request now or later, load aside.
+func (n *Node) hasEligibleServer(r *request) bool {
 	return slices.ContainsFunc(n.fleet, func(s *server) bool {
-		return s.State == Ready && n.mayRepeatAt(r, s)
+		return s.State == Ready && n.mayAttemptAt(r, s)
 	})
 }
 
+// mayHaveRun reports whether any attempt was possibly executed or still can be.
 func (r *request) mayHaveRun() bool {
 	return slices.ContainsFunc(r.attempts, func(a attempt) bool { return !a.ended || a.mayHaveRun })
 }
 
-// mayRefuse: a refusal says that a further try is harmless.
+// mayRefuse reports whether the request may be refused, which tells the client that a further try is safe.
 func (n *Node) mayRefuse(r *request) bool {
 	c := &n.classes[r.Class]
 	return c.Repeat == Safe || c.Repeat == Keyed && c.Scope == ScopeAll || !r.mayHaveRun()
 }
 
-// beyondSample looks through the rest of the fleet. Acts when the sample holds nobody for this request: a
-// repeat bound to a group, a sample of cold or silent servers. Draws first, then one look at everyone.
-func (n *Node) beyondSample(r *request) *server {
-	if len(n.fleet) == 0 || n.crowded {
+// pickOutsideSample searches the fleet when the sample has no server for the request, as for a retry
+// restricted to a group, or a sample of cold or unresponsive servers. Random draws come first, then a linear
+// scan of at most maxServersSearched.
+func (n *Node) pickOutsideSample(r *request) *server {
+	if len(n.fleet) == 0 || n.overloaded {
 		return nil
 	}
-	for range sampleMin {
+	for range minSampleSize {
 		s := n.fleet[n.rng.IntN(len(n.fleet))]
 		if n.warmth(s) >= 1 && n.allowed(s, r) && n.expectedInTime(s, r) {
 			return s
 		}
 	}
 	from := n.rng.IntN(len(n.fleet))
-	for i := range min(len(n.fleet), searchLimit) {
+	for i := range min(len(n.fleet), maxServersSearched) {
 		if s := n.fleet[(from+i)%len(n.fleet)]; (n.warmth(s) >= 1 || len(n.ranked) == 0) && n.allowed(s, r) &&
 			n.expectedInTime(s, r) {
 			return s
--- a/brain/ranking.go
+++ b/brain/ranking.go
@@ -6,24 +6,24 @@
 	"slices"
 )
 
-// The load table: the load figure of each server of the sample, ranked once in each window D.
+// Ranking: the sample ordered by load score, recomputed once in each window D (rankInterval).
 
-// takeReport enters a load figure, in requests held.
-func (n *Node) takeReport(s *server, held float64) {
-	n.trackOwn(s)
-	s.reported, s.hasReport, s.reportAt, s.ownAtReport = held, true, n.now, s.ownReported
+// recordReport stores a load report, given as the number of requests held.
+func (n *Node) recordReport(s *server, held float64) {
+	n.updateLaggedLoad(s)
+	s.reportedHeld, s.hasReport, s.reportAt, s.ownLoadAtReport = held, true, n.now, s.laggedLoad
 }
 
-// trackOwn follows what a report made now would know of this node's requests: reports are refreshed now and
-// then and travel, so the latest sends are missing from them. Called before a change of the number in flight.
-func (n *Node) trackOwn(s *server) {
-	s.ownReported += (s.ownLoad - s.ownReported) * (1 - math.Exp(-(n.now-s.ownAt).Seconds()/reportLag))
-	s.ownAt = n.now
+// updateLaggedLoad estimates which part of ownLoad a report that arrives now would include: reports are
+// refreshed at intervals and delayed, so they miss the latest sends. Must be called before ownLoad changes.
+func (n *Node) updateLaggedLoad(s *server) {
+	s.laggedLoad += (s.ownLoad - s.laggedLoad) * (1 - math.Exp(-(n.now-s.ownLoadAt).Seconds()/reportLag))
+	s.ownLoadAt = n.now
 }
 
-// heldOf reads the requests held out of a load report: the count where there is one, else what waits plus
-// what the busy share of the machine stands for.
-func (n *Node) heldOf(s *server, report []float64) (float64, bool) {
+// heldFromReport derives the number of requests held from a load report: the reported count if there is one,
+// else the queue length plus the utilization times the size. The result is false if no column is usable.
+func (n *Node) parseReport(s *server, report []float64) (float64, bool) {
 	var queue, busy, held float64
 	known, counted := false, false
 	for i, c := range n.cfg.Columns {
@@ -45,34 +45,34 @@
 	return held, known
 }
 
-// setFigure sets the load figure: requests held per unit of size. To the report come this node's own sends
-// since, magnified by the nodes that share the server and likely did the same; without a report (mean: what
-// the others hold per size) or without reports at all (mean is 0) own requests in flight are all there is.
-// Among many nodes they say little: there an old report gives way to the mean, and more slowly.
-func (n *Node) setFigure(s *server, mean, sharers float64) {
-	held, since := mean*s.size, s.ownLoad
-	if age := (n.now - s.reportAt).Seconds(); s.hasReport && age < reportStale {
-		crowd := max(1, sharers/ownTells)
-		w := math.Exp(-age / reportFades / crowd)
-		held, since = w*s.reported+(1-w)*(1-1/crowd)*held, s.ownLoad-w*s.ownAtReport
+// setLoadScore sets the load score: requests held per unit of size, times slowness. It takes the last report
+// plus this node's own sends since, multiplied by sharers, as the other nodes likely sent as much. Without a
+// report the mean of the other servers replaces it; without any reports the mean is 0 and only own requests
+// count. With many sharers own requests say little, so a report decays more slowly, and towards the mean.
+func (n *Node) setLoadScore(s *server, mean, sharers float64) {
+	held, newOwn := mean*s.size, s.ownLoad
+	if age := (n.now - s.reportAt).Seconds(); s.hasReport && age < reportMaxAge {
+		excess := max(1, sharers/ownCountSharers)
+		weight := math.Exp(-age / reportDecay / excess)
+		held, newOwn = weight*s.reportedHeld+(1-weight)*(1-1/excess)*held, s.ownLoad-weight*s.ownLoadAtReport
 	}
-	held = max(held+since*sharers, s.ownLoad)
-	s.figure = (held + 1) / s.size * s.slowness
+	held = max(held+newOwn*sharers, s.ownLoad)
+	s.loadScore = (held + 1) / s.size * s.slowness
 }
 
-// meanHeld gives what the servers hold per size, by fresh reports, and how many nodes share one.
+// meanHeld returns the mean of requests held per size, from fresh reports, and the number of sharers.
 func (n *Node) meanHeld() (mean, sharers float64) {
 	sum, count := 0.0, 0.0
 	for _, s := range n.ranked {
-		if a := (n.now - s.reportAt).Seconds(); s.hasReport && a < reportMeans {
-			sum += s.reported / s.size
+		if a := (n.now - s.reportAt).Seconds(); s.hasReport && a < reportMeanMaxAge {
+			sum += s.reportedHeld / s.size
 			count++
 		}
 	}
-	return sum / max(1, count), n.coverage()
+	return sum / max(1, count), n.sharers()
 }
 
-// rerank redoes the table; it runs once each window D at most, but for changes of the list.
+// rerank recomputes the ranking. It runs at most once in each window D, plus at list and settings changes.
 func (n *Node) rerank() {
 	dt := (n.now - n.rankedAt).Seconds()
 	n.rankedAt = n.now
@@ -82,34 +82,34 @@
 			n.learnAnswerRate(dt)
 		}
 		n.meanInFlight += k * (float64(n.inFlight) - n.meanInFlight)
-		n.rankedIn, n.burst = n.detector.Arrivals(), n.detector.Evaluate(n.now)
+		n.arrivalsAtRank, n.inBurst = n.detector.Arrivals(), n.detector.Evaluate(n.now)
 		n.setLimits()
 	}
 	n.refillSample()
 	mean, sharers := n.meanHeld()
 	for _, s := range n.ranked {
-		s.slowness += (1 - s.slowness) * (1 - math.Exp(-dt/5)) // old evidence fades
-		n.setFigure(s, mean, sharers)
+		s.slowness += (1 - s.slowness) * (1 - math.Exp(-dt/5)) // old observations decay
+		n.setLoadScore(s, mean, sharers)
 	}
-	slices.SortFunc(n.ranked, byFigure)
+	slices.SortFunc(n.ranked, byLoadScore)
 }
 
-func byFigure(a, b *server) int {
-	return cmp.Or(cmp.Compare(a.figure, b.figure), cmp.Compare(a.tieBreak, b.tieBreak))
+func byLoadScore(a, b *server) int {
+	return cmp.Or(cmp.Compare(a.loadScore, b.loadScore), cmp.Compare(a.tieBreak, b.tieBreak))
 }
 
-// reposition puts one server in its place again after this node's own send or outcome changed its figure.
+// reposition updates the rank of one server after a send or an outcome of this node changed its load score.
 func (n *Node) reposition(s *server) {
 	if !s.inSample {
 		return
 	}
 	i := slices.Index(n.ranked, s)
 	mean, sharers := n.meanHeld()
-	n.setFigure(s, mean, sharers)
-	for ; i > 0 && byFigure(s, n.ranked[i-1]) < 0; i-- {
+	n.setLoadScore(s, mean, sharers)
+	for ; i > 0 && byLoadScore(s, n.ranked[i-1]) < 0; i-- {
 		n.ranked[i] = n.ranked[i-1]
 	}
-	for ; i+1 < len(n.ranked) && byFigure(n.ranked[i+1], s) < 0; i++ {
+	for ; i+1 < len(n.ranked) && byLoadScore(n.ranked[i+1], s) < 0; i++ {
 		n.ranked[i] = n.ranked[i+1]
 	}
 	n.ranked[i] = s
--- a/brain/sample.go
+++ b/brain/sample.go
@@ -1,10 +1,9 @@
 package brain
 
-// The sample: the part of the fleet that a node works with.
+// The sample: the subset of the fleet that a node sends to.
 
-// refillSample keeps the sample this node works with: all of a small fleet, else a seeded part of it, large
-// enough to choose from and small enough to keep connections warm and figures fresh. Ejected and vanished
-// servers leave it here.
+// refillSample updates the sample: all of a small fleet, else a random subset, large enough for a choice and
+// small enough to keep connections warm and load scores fresh. Ejected and removed servers leave the sample.
 func (n *Node) refillSample() {
 	keep := n.ranked[:0]
 	for _, s := range n.ranked {
@@ -15,9 +14,9 @@
 		}
 	}
 	n.ranked = keep
-	want := max(sampleMin, n.cfg.Sample, int(samplePer*max(n.meanInFlight, float64(n.inFlight))))
-	if n.now >= n.rotateAt && len(n.ranked) >= want && len(n.fleet) > len(n.ranked) {
-		n.rotateAt = n.now + rotateEvery
+	target := max(minSampleSize, n.cfg.Sample, int(samplePerRequest*max(n.meanInFlight, float64(n.inFlight))))
+	if n.now >= n.rotateAt && len(n.ranked) >= target && len(n.fleet) > len(n.ranked) {
+		n.rotateAt = n.now + rotateInterval
 		worst := n.ranked[len(n.ranked)-1]
 		n.ranked = n.ranked[:len(n.ranked)-1]
 		worst.inSample = false
@@ -25,26 +24,27 @@
 			n.emit(Action{Kind: CloseIdle, Server: worst.Server})
 		}
 	}
-	n.admitNew(want)
-	if len(n.ranked) >= want || len(n.ranked) >= len(n.fleet) {
+	n.admitNew(target)
+	if len(n.ranked) >= target || len(n.ranked) >= len(n.fleet) {
 		return
 	}
-	if len(n.fleet) <= want {
+	if len(n.fleet) <= target {
 		for _, s := range n.fleet {
 			n.addToSample(s)
 		}
 		return
 	}
-	for try := 0; try < 8*want && len(n.ranked) < want; try++ {
+	for try := 0; try < 8*target && len(n.ranked) < target; try++ {
 		n.addToSample(n.fleet[n.rng.IntN(len(n.fleet))])
 	}
 }
 
-// admitNew lets each new server into the sample with the chance it would have had when the sample was drawn,
-// in place of a random other. Without it a fleet that grows fast stays idle while its old part drowns.
-func (n *Node) admitNew(want int) {
+// admitNew replaces a random member of the sample with each new server, with the probability the server would
+// have had when the sample was drawn. Otherwise new servers of a fast-growing fleet would stay idle while the
+// old ones are overloaded.
+func (n *Node) admitNew(target int) {
 	for _, s := range n.newServers {
-		if len(n.ranked) < want || s.inSample || !n.usable(s) || n.rng.IntN(len(n.fleet)) >= want {
+		if len(n.ranked) < target || s.inSample || !n.usable(s) || n.rng.IntN(len(n.fleet)) >= target {
 			continue
 		}
 		i := n.rng.IntN(len(n.ranked))
@@ -61,12 +61,12 @@
 	}
 }
 
-// coverage is how many nodes are expected to have a given server in their sample.
-func (n *Node) coverage() float64 {
+// sharers returns the expected number of nodes that have a given server in their sample, at least 1.
+func (n *Node) sharers() float64 {
 	return max(1, float64(n.cfg.Nodes)*float64(len(n.ranked))/float64(max(1, len(n.fleet))))
 }
 
-// usable: in service and not ejected for every class. Acts for every server, ordinary path or not.
+// usable reports whether a server is ready and not ejected for all classes.
 func (n *Node) usable(s *server) bool {
 	for i := range s.health {
 		if s.health[i].ejectedUntil <= n.now && !n.classes[i].Gone {
--- a/brain/shedding.go
+++ b/brain/shedding.go
@@ -1,8 +1,8 @@
 package brain
 
-// Load shedding: the cheapest worth is refused first.
+// Load shedding: requests of the lowest worth are refused first.
 
-// worthPerTime is the worth of a request per unit of what it takes from the fleet.
+// worthPerTime returns the worth of a class's request per unit of work that it costs the fleet.
 func (n *Node) worthPerTime(class int) float64 {
 	c := &n.classes[class]
 	if n.cfg.WorthByWork {
@@ -11,50 +11,51 @@
 	return c.Worth / max(c.mean, 1e-4)
 }
 
-// quotaWeight weighs a request by the chance that its tenant is past its quota; a node sees 1/nodes of it.
+// quotaWeight returns 1 for a tenant within its quota, down to OverQuotaWorth as it exceeds the quota. A node
+// sees about 1/Nodes of a tenant's requests.
 func (n *Node) quotaWeight(r *request) float64 {
 	if r.Tenant < 0 || r.Quota <= 0 {
 		return 1
 	}
-	seen := n.tenants.of(r.Tenant, n.rankedAt) / tenantFades * float64(n.cfg.Nodes)
-	over := max(0, 1-r.Quota/max(seen, 1e-9))
-	return 1 - over*(1-n.cfg.OverQuotaWorth)
+	rate := n.tenants.countAt(r.Tenant, n.rankedAt) / tenantDecay * float64(n.cfg.Nodes)
+	excess := max(0, 1-r.Quota/max(rate, 1e-9))
+	return 1 - excess*(1-n.cfg.OverQuotaWorth)
 }
 
-// setLimits gives each class the time that an answer may be expected to take, over the class's mean: a share
-// of its aim, or what brings a class worth more to that share of its own, so that cheap work cannot fill the
-// queues of the dear.
+// setLimits sets each class's limit on the expected answer time, relative to the class mean: a share of its
+// aim, or less if a class of higher worth would exceed its own at that load. Thus cheap requests cannot fill
+// the queues that dearer ones need.
 func (n *Node) setLimits() {
 	for i := range n.classes {
 		c := &n.classes[i]
 		c.limit = c.Aim.Seconds() / c.mean
-		rank := aimShare
+		share := aimShare
 		for j := range n.classes {
 			if d := &n.classes[j]; !d.Gone && n.worthPerTime(j) > n.worthPerTime(i) {
 				c.limit = min(c.limit, d.Aim.Seconds()/d.mean)
-				rank *= rankShare
+				share *= cheaperClassShare
 			}
 		}
-		c.limit *= rank
+		c.limit *= share
 	}
 }
 
-// expectedInTime is the load shedding: a request goes only where its answer can be expected in time. Acts
-// when queues have grown past what the class bears; over-quota tenants have less of it. A server at which
-// nobody waits is always good enough, so that a pace learned in bad times cannot shut the node.
+// expectedInTime is the load-shedding criterion: a server is a candidate only if its answer is expected
+// within the class's limit, which is reduced for tenants over their quota. A server without a queue always
+// qualifies, so that times learned during an overload cannot block the node.
 func (n *Node) expectedInTime(s *server, r *request) bool {
 	c := &n.classes[r.Class]
-	held, age := s.figure*s.size-1, n.now-s.reportAt
-	binds := reportBinds.Seconds() * n.coverage()
-	if age.Seconds() > binds && s.inFlight == 0 && s.inSample && s.failedProbes == 0 {
-		return true // else nobody would learn that it has recovered; each node takes its part of the trials
+	held, age := s.loadScore*s.size-1, n.now-s.reportAt
+	bindingAge := reportBindingAge.Seconds() * n.sharers()
+	if age.Seconds() > bindingAge && s.inFlight == 0 && s.inSample && s.failedProbes == 0 {
+		return true // a trial, to notice recovery; bindingAge spreads the trials over the nodes
 	}
-	if age < reportFresh {
-		held = max(held, s.reported) // own answers since, counted for other nodes too, cannot make it idle
+	if age < reportFreshAge {
+		held = max(held, s.reportedHeld) // own answers since, scaled by sharers, must not make it look idle
 	}
-	if held <= idleHeld*s.size || n.timeByLoad.at(s.figure) <= c.limit*n.quotaWeight(r) {
+	if held <= idleMaxHeld*s.size || n.timeByLoad.at(s.loadScore) <= c.limit*n.quotaWeight(r) {
 		return true
 	}
-	n.crowded = true
+	n.overloaded = true
 	return false
 }
--- a/brain/slowstart.go
+++ b/brain/slowstart.go
@@ -2,9 +2,9 @@
 
 import "math"
 
-// Slow start: what servers that started lately may be sent.
+// Slow start: limits on what recently started servers are sent.
 
-// warmth is the share of its capacity that a server has at the least, 1 when warm.
+// warmth returns the share of its capacity that a server is assumed to have: 1 when warm, less while cold.
 func (n *Node) warmth(s *server) float64 {
 	r := &n.cfg.Rules
 	age := n.now - s.Started
@@ -14,41 +14,43 @@
 	return r.ColdFrom + (1-r.ColdFrom)*max(0, age.Seconds())/r.ColdFor.Seconds()
 }
 
-// takesColdRequest is rule 4: a cold server gets from each node its share, as learned, cut by its warmth; all
-// nodes then stay below the stated multiple. Those that have it in their sample use the share of the others,
-// too. Whole requests come from a bucket, filled at random first, or all nodes would send their first one at
-// once.
-func (n *Node) takesColdRequest(s *server) bool {
-	warm := n.warmth(s)
-	if warm >= 1 {
+// hasColdToken enforces rule 4 with a token bucket; a warm server needs no token. Each node sends a cold
+// server the learned answer rate of a warm one times its warmth, so all nodes together stay below
+// OverloadFactor. The nodes that have the server in their sample also use the part of those that have not.
+// The bucket starts with a random level, or all nodes would send their first request at once.
+func (n *Node) hasColdToken(s *server) bool {
+	warmth := n.warmth(s)
+	if warmth >= 1 {
 		return true
 	}
-	rate := n.answerRate * s.size * warm
-	tokens := max(0, s.coldTokens) // below 0: it was warm meanwhile
+	rate := n.answerRate * s.size * warmth
+	tokens := max(0, s.coldTokens) // negative after sends while the server was warm
 	s.coldTokens = min(1, tokens+rate*(n.now-s.coldAt).Seconds())
 	s.coldAt = n.now
 	return s.coldTokens >= 1
 }
 
-// learnAnswerRate learns what a server of size 1 answers when warm; sends would grow with every failure. Cold
-// ones that hold little may have a multiple of what they answer; where none is warm, what comes at least.
+// learnAnswerRate estimates the answers per second that this node gets from a warm server of size 1. It
+// counts answers, since sends increase with failures. While cold servers hold few requests, the estimate may
+// rise to a multiple of what they answer, and, if no server is warm, at least to the arrival rate.
 func (n *Node) learnAnswerRate(dt float64) {
-	var warm, did, cold, size, coldDid, held, least float64
+	var warmSize, warmAnswers, capacity, coldSize, coldAnswers, held, floor float64
 	for _, s := range n.ranked {
 		if w := n.warmth(s); w >= 1 {
-			warm, did = warm+s.size, did+s.answers
+			warmSize, warmAnswers = warmSize+s.size, warmAnswers+s.answers
 		} else {
-			cold, size, coldDid = cold+s.size*w, size+s.size, coldDid+s.answers
-			held += s.reported * math.Exp(-(n.now-s.reportAt).Seconds()/reportMeans)
+			capacity, coldSize, coldAnswers = capacity+s.size*w, coldSize+s.size, coldAnswers+s.answers
+			held += s.reportedHeld * math.Exp(-(n.now-s.reportAt).Seconds()/reportMeanMaxAge)
 		}
 		s.answers = 0
 	}
-	room, pace := did/warm, 3.0
-	if warm == 0 {
-		room, least, pace = coldDid/cold, float64(n.detector.Arrivals()-n.rankedIn)/size, 1
+	allowed, timeConstant := warmAnswers/warmSize, 3.0
+	if warmSize == 0 {
+		allowed, floor, timeConstant = coldAnswers/capacity,
+			float64(n.detector.Arrivals()-n.arrivalsAtRank)/coldSize, 1
 	}
-	if idle := 1 - held/size/coldHeld; idle > 0 {
-		room = max(room, least, (1+(coldGain-1)*idle)*coldDid/cold)
+	if idleShare := 1 - held/coldSize/coldMaxHeld; idleShare > 0 {
+		allowed = max(allowed, floor, (1+(coldIdleGain-1)*idleShare)*coldAnswers/capacity)
 	}
-	n.answerRate += (1 - math.Exp(-dt/pace)) * (room/dt - n.answerRate)
+	n.answerRate += (1 - math.Exp(-dt/timeConstant)) * (allowed/dt - n.answerRate)
 }
--- a/brain/state.go
+++ b/brain/state.go
@@ -7,112 +7,111 @@
 	"pewterrudder/internal/burst"
 )
 
-// The state of a node. There is no logic here: what follows from it is decided in the files that the key policy
-// of deploy/balancer.toml names.
+// The state of a node. The logic that acts on it is in the files listed under policy in deploy/balancer.toml.
 
-// server is what a node knows of one app node.
+// server is a node's state of one server.
 type server struct {
 	Member
-	size         float64 // relative capacity
-	tieBreak     uint32  // breaks ties; differs between nodes
-	inSample     bool
-	figure       float64 // what the table is ranked by
-	slowness     float64 // answer time relative to the class mean, smoothed
-	reported     float64 // requests held by the last report, made known at reportAt
-	hasReport    bool
-	inFlight     int
-	answered     time.Duration // when the latest sent of the answered attempts was sent
-	ownLoad      float64       // the same, each request weighed by the time its class takes
-	ownAtReport  float64       // own in flight that the report knows of
-	ownReported  float64       // own in flight, smoothed over the lag of reports, as of ownAt
-	health       []health      // for each class: a server may fail at one kind of request alone
-	failedProbes int           // failed probes in a row
-	probing      bool
-	coldTokens   float64 // tokens of a cold server, as of coldAt
-	answers      float64 // since the last ranking
-
-	listedIn, serial int // epoch of the last full list that named it; by which the fleet is ordered
-
-	reportAt, ownAt, coldAt, probedAt time.Duration
+	size             float64 // relative capacity
+	tieBreak         uint32  // orders equal scores; random, so that nodes differ
+	inSample         bool
+	loadScore        float64 // rank criterion, see setLoadScore
+	slowness         float64 // smoothed answer time relative to the class mean
+	reportedHeld     float64 // requests held according to the last report, received at reportAt
+	hasReport        bool
+	inFlight         int           // this node's attempts
+	lastAnsweredSent time.Duration // latest send time of any answered attempt
+	ownLoad          float64       // attempts in flight, each weighted by its class's relative time
+	ownLoadAtReport  float64       // the part of ownLoad that the last report includes
+	laggedLoad       float64       // ownLoad smoothed over reportLag, as of ownLoadAt
+	health           []health      // by class: a server may fail for one class only
+	failedProbes     int           // failed probes in a row
+	probing          bool
+	coldTokens       float64 // token bucket of a cold server, as of coldAt
+	answers          float64 // successful answers since the last ranking
+
+	listedEpoch, serial int // listEpoch when the server was last listed; position in order of first listing
+
+	reportAt, ownLoadAt, coldAt, probedAt time.Duration
 }
 
-// health is what a server's outcomes say of it, for one class.
+// health is the outcome history of a server for one class.
 type health struct {
-	errorShare float64 // share of bad outcomes, smoothed
-	ejections  int     // ejections in a row
-	onTrial    bool    // back from ejection and not yet proven
-	refusals   int     // refusals in a row, without an answer between
-	inFlight   int
+	errorRate float64 // smoothed share of bad outcomes
+	ejections int     // ejections in a row
+	onTrial   bool    // ejected, and no success since
+	pauses    int     // pauses in a row without an answer in between
+	inFlight  int
 
 	waitingSince, ejectedUntil, pausedUntil time.Duration
 }
 
-// attempt is one sending of a request.
+// attempt is one attempt of a request at a server.
 type attempt struct {
-	server     *server
-	sent       time.Duration
-	load       float64 // of the server when it was sent
-	size       float64 // what it added to the server's load
-	ended      bool
-	mayHaveRun bool
-	overdue    bool // it should have been answered long ago
-	working    bool // its server works for it: not while its body comes, nor once its answer flows
+	server      *server
+	sent        time.Duration
+	scoreAtSend float64 // the server's load score
+	cost        float64 // its part of the server's ownLoad
+	ended       bool
+	mayHaveRun  bool
+	overdue     bool // far past its expected time
+	working     bool // the server is processing it: not during the upload, nor while the answer streams
 }
 
-// request is one that has come in, until nothing of it is outstanding.
+// request is a request until it is answered and all of its attempts have ended.
 type request struct {
 	Request
-	until                  time.Duration // when an answer stops being worth anything
-	outstanding            int           // attempts out
+	usefulUntil            time.Duration // an answer after this is worth nothing
+	outstanding            int           // attempts in flight
 	attempts               []attempt
-	done, queued, streamed bool // nothing owed any more; held for want of a server; the answer has begun
+	done, queued, streamed bool // no answer owed any more; held until a server is available; answer has begun
 }
 
-// classState is a class with what has been learned of it.
+// classState is a class and its learned state.
 type classState struct {
 	Class
-	seen      bool
-	mean, dev float64 // time of OK attempts, seconds
-	limit     float64 // time that an answer may be expected to take, over the mean
+	measured  bool    // mean and dev come from answers rather than from the aim
+	mean, dev float64 // mean time of successful attempts and its deviation, in seconds
+	limit     float64 // highest acceptable expected time, as a multiple of mean
 }
 
-// Node decides for one balancer node. It implements Decider.
+// Node makes the decisions of one balancer node. It implements Decider.
 type Node struct {
-	cfg           Settings
-	rng           *rand.Rand
-	now           time.Duration
-	out           []Action
-	started       bool
-	classes       []classState
-	tenants       arrivalCounts // arrivals of each
-	anyRepeatable bool
-
-	byID              map[string]*server
-	fleet             []*server          // ready or draining, in order of arrival
-	newServers        []*server          // new to the list since the sample was last looked at
-	goneServers       []*server          // gone by the update under way
-	epoch, serversMet int                // full lists; servers ever met
-	kindWeights       map[string]float64 // largest weight seen of a kind, for live weights
-	askArmed          bool
-
-	ranked             []*server // the sample, lowest figure first
-	scratch            []*server
+	cfg          Settings
+	rng          *rand.Rand
+	now          time.Duration
+	actions      []Action
+	started      bool
+	classes      []classState
+	tenants      arrivalCounts
+	hasSafeClass bool // a Safe class that is not Gone exists
+
+	byID                  map[string]*server
+	fleet                 []*server          // ready or draining, in order of first listing
+	newServers            []*server          // listed since the last refill of the sample
+	goneServers           []*server          // removed by the current update
+	listEpoch, serversMet int                // number of full lists; number of servers ever listed
+	maxWeightByKind       map[string]float64 // for live weights: the largest weight seen of each kind
+	askArmed              bool
+
+	ranked             []*server // the sample, lowest load score first
+	scratch            []*server // reused by pick
 	rankedAt, rotateAt time.Duration
-	ring               []ringPoint // by place; nil: to be built
-	crowded            bool        // the last pick found servers, but none in time
+	ring               []ringPoint // ordered by position; nil: must be rebuilt
+	overloaded         bool        // the last pick rejected a server because no answer was expected in time
 
-	detector *burst.Detector
-	rankedIn int  // arrivals up to the last ranking
-	burst    bool // as of the last ranking
+	detector       *burst.Detector
+	arrivalsAtRank int  // detector.Arrivals at the last ranking
+	inBurst        bool // as of the last ranking
 
 	requests                 map[string]*request
-	queue                    []*request
+	queue                    []*request // held until a server is available
 	checks                   overdueChecks
-	queueTimer, overdueTimer bool // armed for the queue; for overdue attempts
+	queueArmed, overdueArmed bool // timers that are set
 
-	inFlight                 int        // attempts in flight
-	answerRate, meanInFlight float64    // answers per second and size of a warm server; in flight, smoothed
-	repeats, retries, probes float64    // tokens
-	meanTime                 float64    // of an answer, over all classes as they come, seconds
-	timeByLoad               regression // of an answer's time over its class's mean on the load figure at the send
+	inFlight                               int        // attempts in flight
+	answerRate, meanInFlight               float64    // answers per second per size of a warm server; smoothed inFlight
+	repeatTokens, retryTokens, probeTokens float64    // token buckets
+	meanTime                               float64    // mean answer time over all requests, in seconds
+	timeByLoad                             regression // answer time relative to the class mean, by the load score at the send
 }
--- a/brain/kit_test.go
+++ b/brain/testbed_test.go
@@ -7,7 +7,7 @@
 
 const ms = time.Millisecond
 
-// testSettings is a small site with one class of each kind.
+// testSettings configures a single node with one class for each value of Repeat.
 func testSettings() Settings {
 	return Settings{
 		Nodes: 1, Zone: "z1", MaxAttempts: 4, SecondCopies: true, CanCancel: true, CanProbe: true,
@@ -28,6 +28,7 @@
 	pay
 )
 
+// members returns count equal servers s00, s01 and so on, all in zone z1.
 func members(count int) []Member {
 	list := make([]Member, count)
 	for i := range list {
@@ -36,38 +37,42 @@
 	return list
 }
 
-// bed drives one node by hand.
-type bed struct {
+// testbed drives one node with a manual clock.
+type testbed struct {
 	node *Node
 	now  time.Duration
 	seq  int
 }
 
-func newBed(cfg Settings, list []Member) *bed {
+// newTestbed creates a node with the given settings and servers, at a clock of one minute.
+func newTestbed(cfg Settings, list []Member) *testbed {
 	node, err := New(cfg, 7)
 	if err != nil {
 		panic(err)
 	}
-	b := &bed{node: node, now: time.Minute}
-	b.do(&FleetUpdate{Kind: UpdateRestored, Members: list})
+	b := &testbed{node: node, now: time.Minute}
+	b.handle(&FleetUpdate{Kind: UpdateRestored, Members: list})
 	return b
 }
 
-func (b *bed) do(ev Event) []Action { return b.node.Handle(b.now, ev, nil) }
+// handle passes an event to the node at the current time.
+func (b *testbed) handle(ev Event) []Action { return b.node.Handle(b.now, ev, nil) }
 
-// ask hands in a request of a class and returns its id and the actions.
-func (b *bed) ask(class int) (string, []Action) {
+// request sends the node a request of a class without a tenant, and returns its id and the actions.
+func (b *testbed) request(class int) (string, []Action) {
 	b.seq++
 	id := fmt.Sprintf("r%d", b.seq)
-	return id, b.do(&Request{ID: id, Class: class, Tenant: -1, Deadline: b.now + b.node.classes[class].Deadline})
+	return id, b.handle(&Request{ID: id, Class: class, Tenant: -1, Deadline: b.now + b.node.classes[class].Deadline})
 }
 
-func (b *bed) end(id string, attempt int, server string, o Outcome, took time.Duration, report ...float64) []Action {
-	return b.do(&AttemptEnded{ID: id, Attempt: attempt, Server: server, Outcome: o, Took: took, Final: o == OK,
+// endAttempt reports the end of an attempt; OK finishes the request.
+func (b *testbed) endAttempt(id string, attempt int, server string, o Outcome, took time.Duration, report ...float64) []Action {
+	return b.handle(&AttemptEnded{ID: id, Attempt: attempt, Server: server, Outcome: o, Took: took, Final: o == OK,
 		Report: report})
 }
 
-func only(acts []Action, kind ActionKind) []Action {
+// actionsOf returns the actions of one kind.
+func actionsOf(acts []Action, kind ActionKind) []Action {
 	var out []Action
 	for _, a := range acts {
 		if a.Kind == kind {
