--- a/internal/burst/config.go
+++ b/internal/burst/config.go
@@ -6,18 +6,19 @@
 	"time"
 )
 
-// ErrConfig is wrapped by every error of New.
+// ErrConfig is wrapped by every error that New returns.
 var ErrConfig = errors.New("burst: invalid configuration")
 
-// Config sets a detector.
+// Config holds the parameters of a Detector.
 type Config struct {
-	Samples   int           // intervals of a sample; half as many are the least that is judged
+	Samples   int           // intervals in a sample; with fewer than half of them nothing is evaluated
 	MinSpan   time.Duration // a sample that spans less time is widened to twice as many intervals
 	Lags      int           // autocorrelation lags of the index of dispersion
 	TripLevel float64       // index of dispersion above which the arrival rate counts as changed
-	Hold      time.Duration // a burst ends this long after the index was last above TripLevel
+	Hold      time.Duration // a burst ends at the latest this long after the index was last above TripLevel
 }
 
+// check returns an error that names the first invalid field.
 func (c *Config) check() error {
 	if c.Samples < 2 {
 		return fmt.Errorf("%w: %d samples, want 2 or more", ErrConfig, c.Samples)
--- a/internal/burst/detector.go
+++ b/internal/burst/detector.go
@@ -1,20 +1,20 @@
 // Package burst detects bursts in a stream of arrivals by the index of dispersion of the intervals between
-// them. It keeps no clock, starts no goroutine and does no I/O: the caller passes the time in.
+// them. It reads no clock, starts no goroutine and does no I/O: the caller passes the time.
 package burst
 
 import "time"
 
-// Detector tells whether a burst is on. It is not safe for concurrent use.
+// Detector detects bursts. It is not safe for concurrent use.
 type Detector struct {
 	config    Config
-	times     []time.Duration // ring of the last 2*Samples+1 arrivals
-	arrivals  int
-	intervals []float64 // scratch space, in seconds
-	active    bool
+	times     []time.Duration // ring buffer of the last 2*Samples+1 arrivals
+	arrivals  int             // recorded so far
+	intervals []float64       // scratch space, in seconds
+	active    bool            // result of the last evaluation
 	trippedAt time.Duration
 }
 
-// New makes a detector that has seen no arrival.
+// New returns a detector without arrivals.
 func New(config Config) (*Detector, error) {
 	if err := config.check(); err != nil {
 		return nil, err
@@ -26,18 +26,18 @@
 	}, nil
 }
 
-// Arrive records an arrival. Times are monotonic: none lies before the one given last.
+// Arrive records an arrival. Times must not decrease from call to call.
 func (d *Detector) Arrive(now time.Duration) {
 	d.times[d.arrivals%len(d.times)] = now
 	d.arrivals++
 }
 
-// Arrivals is the number of arrivals recorded.
+// Arrivals returns the number of arrivals recorded.
 func (d *Detector) Arrivals() int { return d.arrivals }
 
-// Evaluate judges the latest arrivals and tells whether a burst is on. An index above the trip level is a
-// burst when arrivals rise and calm when they fall. Below that level the last state holds, a burst for no
-// longer than Hold.
+// Evaluate reports whether a burst is in progress. If the index of the latest arrivals is above the trip
+// level, a rising rate starts a burst and a falling rate ends it. Otherwise the state remains, a burst for at
+// most Hold.
 func (d *Detector) Evaluate(now time.Duration) bool {
 	sample := d.sample()
 	if len(sample) < d.config.Samples/2 {
@@ -52,7 +52,7 @@
 	return d.active
 }
 
-// sample gives the intervals to be judged, oldest first.
+// sample returns the intervals to be evaluated, oldest first.
 func (d *Detector) sample() []float64 {
 	size := max(0, min(d.config.Samples, d.arrivals-1))
 	sample := d.latest(size)
@@ -62,7 +62,7 @@
 	return sample
 }
 
-// latest gives the last size intervals, oldest first.
+// latest returns the last size intervals, oldest first.
 func (d *Detector) latest(size int) []float64 {
 	latest := d.intervals[:size]
 	for i := range latest {
@@ -72,12 +72,13 @@
 	return latest
 }
 
-// time is that of an arrival by its number, from 0 on.
+// time returns the time of an arrival by its number, counted from 0.
 func (d *Detector) time(arrival int) time.Duration {
 	return d.times[arrival%len(d.times)]
 }
 
-// rising tells whether the newer half of the intervals is shorter than the older half.
+// rising reports whether the rate rises: the newer half of the intervals is shorter in sum than the older
+// half.
 func rising(intervals []float64) bool {
 	half := len(intervals) / 2
 	return total(intervals[half:]) < total(intervals[:half])
--- a/internal/burst/detector_test.go
+++ b/internal/burst/detector_test.go
@@ -20,7 +20,7 @@
 	return detector
 }
 
-func TestDispersionAgainstHandWorkedValues(t *testing.T) {
+func TestDispersionOfKnownSequences(t *testing.T) {
 	const lags, tripLevel = 8, 3.0
 	near := func(name string, got, want float64) {
 		t.Helper()
@@ -28,14 +28,15 @@
 	}
 	near("constant", dispersion([]float64{2, 2, 2, 2}, lags), 0)
 
-	// Ten of 1, ten of 3: mean 2, SCV 1/4; the products at lag k sum to 20-3k of 20, over lags 1 to 8 to 52/20.
+	// Ten intervals of 1, then ten of 3: mean 2, SCV 1/4. The products at lag k sum to 20-3k, so the correlations over
+	// lags 1 to 8 sum to 52/20.
 	blocks := make([]float64, 20)
 	for i := range blocks {
 		blocks[i] = 1 + 2*float64(i/10)
 	}
 	near("two blocks", dispersion(blocks, lags), 0.25*(1+2*52.0/20))
 
-	// 32 slow and 32 fast intervals: SCV (47.5/52.5)^2, lag sums (64*8-3*36)/64.
+	// 32 long intervals, then 32 short ones: SCV (47.5/52.5)^2, sum of correlations (64*8-3*36)/64.
 	faster := make([]float64, 64)
 	for i := range faster {
 		faster[i] = []float64{0.1, 0.005}[i/32]
@@ -45,7 +46,7 @@
 	assert.Assert(t, index >= tripLevel)
 }
 
-func TestPoissonStreamsHardlyTrip(t *testing.T) {
+func TestPoissonStreamsRarelyTrip(t *testing.T) {
 	const lags, tripLevel = 8, 3.0
 	random := rand.New(rand.NewPCG(1, 2))
 	intervals := make([]float64, 64)
@@ -58,11 +59,11 @@
 			trips++
 		}
 	}
-	assert.Assert(t, trips <= 4, "%d of 200 Poisson streams trip", trips)
+	assert.Assert(t, trips <= 4, "%d of 200 Poisson streams exceed the trip level", trips)
 }
 
-// arrivals hands in arrivals at a fixed interval and evaluates after each.
-func arrivals(detector *Detector, now *time.Duration, count int, every time.Duration) (active bool) {
+// feed records arrivals at a fixed interval, evaluates after each, and returns the last result.
+func feed(detector *Detector, now *time.Duration, count int, every time.Duration) (active bool) {
 	for range count {
 		*now += every
 		detector.Arrive(*now)
@@ -71,35 +72,35 @@
 	return active
 }
 
-func TestRisingArrivalsAreABurstAndFallingOnesItsEnd(t *testing.T) {
+func TestRisingRateStartsABurstAndFallingRateEndsIt(t *testing.T) {
 	detector, now := newDetector(t, testConfig()), time.Minute
-	assert.Assert(t, !arrivals(detector, &now, 200, 40*time.Millisecond), "a steady stream is calm")
-	assert.Assert(t, arrivals(detector, &now, 80, 4*time.Millisecond), "ten times the rate is a burst")
-	assert.Assert(t, !arrivals(detector, &now, 60, 40*time.Millisecond), "the former rate is calm")
+	assert.Assert(t, !feed(detector, &now, 200, 40*time.Millisecond), "a steady stream is no burst")
+	assert.Assert(t, feed(detector, &now, 80, 4*time.Millisecond), "ten times the rate is a burst")
+	assert.Assert(t, !feed(detector, &now, 60, 40*time.Millisecond), "the return to the former rate ends it")
 	assert.Equal(t, detector.Arrivals(), 340)
 }
 
-func TestABurstWhoseEndIsNotSeenRunsOut(t *testing.T) {
+func TestBurstExpiresWhenItsEndIsNotDetected(t *testing.T) {
 	config := testConfig()
 	detector, now := newDetector(t, config), time.Minute
-	arrivals(detector, &now, 200, 40*time.Millisecond)
-	assert.Assert(t, arrivals(detector, &now, 200, 4*time.Millisecond))
-	assert.Assert(t, detector.Evaluate(now+config.Hold/2), "it holds")
-	assert.Assert(t, !detector.Evaluate(now+config.Hold+time.Millisecond), "it runs out")
+	feed(detector, &now, 200, 40*time.Millisecond)
+	assert.Assert(t, feed(detector, &now, 200, 4*time.Millisecond))
+	assert.Assert(t, detector.Evaluate(now+config.Hold/2), "the burst lasts until Hold has passed")
+	assert.Assert(t, !detector.Evaluate(now+config.Hold+time.Millisecond), "the burst ends after Hold")
 }
 
-func TestFewArrivalsAreNotJudged(t *testing.T) {
+func TestFewArrivalsAreNotEvaluated(t *testing.T) {
 	config := testConfig()
 	detector, now := newDetector(t, config), time.Minute
-	assert.Assert(t, !detector.Evaluate(now), "no arrival at all")
-	arrivals(detector, &now, config.Samples/4, 40*time.Millisecond)
-	// Half the intervals slow, half fast, and one too few to be judged.
-	active := arrivals(detector, &now, config.Samples/4-1, time.Millisecond)
+	assert.Assert(t, !detector.Evaluate(now), "no arrivals")
+	feed(detector, &now, config.Samples/4, 40*time.Millisecond)
+	// Half of the intervals long, half short, and one too few for an evaluation.
+	active := feed(detector, &now, config.Samples/4-1, time.Millisecond)
 	assert.Assert(t, !active)
-	assert.Assert(t, arrivals(detector, &now, 2, time.Millisecond), "enough to be judged")
+	assert.Assert(t, feed(detector, &now, 2, time.Millisecond), "enough for an evaluation")
 }
 
-func TestNewTurnsDownWhatMakesNoSense(t *testing.T) {
+func TestNewRejectsInvalidConfigurations(t *testing.T) {
 	for name, change := range map[string]func(*Config){
 		"no samples":     func(c *Config) { c.Samples = 0 },
 		"one sample":     func(c *Config) { c.Samples = 1 },
@@ -117,15 +118,15 @@
 	}
 }
 
-// plainModel is the definition written down: it keeps every arrival and works each sum out anew.
-type plainModel struct {
+// referenceDetector follows the definition directly: it keeps all arrivals and recomputes every sum.
+type referenceDetector struct {
 	config    Config
 	times     []time.Duration
 	active    bool
 	trippedAt time.Duration
 }
 
-func (m *plainModel) intervals(count int) []float64 {
+func (m *referenceDetector) intervals(count int) []float64 {
 	var intervals []float64
 	for i := len(m.times) - count; i < len(m.times); i++ {
 		intervals = append(intervals, (m.times[i] - m.times[i-1]).Seconds())
@@ -133,7 +134,7 @@
 	return intervals
 }
 
-func (m *plainModel) evaluate(now time.Duration) bool {
+func (m *referenceDetector) evaluate(now time.Duration) bool {
 	count := min(m.config.Samples, len(m.times)-1)
 	if count < m.config.Samples/2 {
 		return m.active
@@ -154,7 +155,7 @@
 			newer += interval
 		}
 	}
-	if m.index(intervals) > m.config.TripLevel {
+	if m.dispersion(intervals) > m.config.TripLevel {
 		m.active, m.trippedAt = newer < older, now
 	} else if m.active && now-m.trippedAt > m.config.Hold {
 		m.active = false
@@ -162,7 +163,7 @@
 	return m.active
 }
 
-func (m *plainModel) index(intervals []float64) float64 {
+func (m *referenceDetector) dispersion(intervals []float64) float64 {
 	mean, square := 0.0, 0.0
 	for _, interval := range intervals {
 		mean += interval
@@ -185,17 +186,17 @@
 	return max(0, square/float64(len(intervals))/(mean*mean)*(1+2*rho))
 }
 
-// Drawn streams, whose rate changes now and then by up to a thousandfold, with pauses and arrivals at one moment, are judged
-// as by the plain model at every evaluation.
-func TestDrawnStreamsAreJudgedAsByThePlainModel(t *testing.T) {
+// On random streams, with rate changes of up to a factor of 1000, pauses and simultaneous arrivals, every evaluation must
+// match the reference detector.
+func TestRandomStreamsMatchReferenceDetector(t *testing.T) {
 	begun, ended := 0, 0
 	for seed := range uint64(40) {
 		random := rand.New(rand.NewPCG(seed, 3))
 		config := testConfig()
 		if seed%2 == 1 {
-			config = drawnConfig(random)
+			config = randomConfig(random)
 		}
-		detector, model := newDetector(t, config), &plainModel{config: config}
+		detector, model := newDetector(t, config), &referenceDetector{config: config}
 		now, mean, was := time.Minute, 40*time.Millisecond, false
 		for step := range 10_000 {
 			if random.IntN(150) == 0 {
@@ -220,10 +221,10 @@
 			was = got
 		}
 	}
-	assert.Assert(t, begun > 200 && ended > 200, "%d bursts begun, %d ended: the draw shows too little", begun, ended)
+	assert.Assert(t, begun > 200 && ended > 200, "only %d bursts begun and %d ended, want more than 200 of each", begun, ended)
 }
 
-func drawnConfig(random *rand.Rand) Config {
+func randomConfig(random *rand.Rand) Config {
 	return Config{
 		Samples:   2 + random.IntN(100),
 		MinSpan:   time.Duration(random.IntN(3)) * time.Second,
--- a/internal/burst/dispersion.go
+++ b/internal/burst/dispersion.go
@@ -1,6 +1,6 @@
 package burst
 
-// total is the sum of the intervals.
+// total returns the sum of the intervals.
 func total(intervals []float64) float64 {
 	sum := 0.0
 	for _, interval := range intervals {
@@ -9,9 +9,9 @@
 	return sum
 }
 
-// dispersion is the index of dispersion I = SCV * (1 + 2 * sum of rho_k), where SCV is the squared coefficient of variation
-// of the intervals and rho_k their autocorrelation at lag k, for k from 1 to lags. A Poisson stream has an index of 1. Without
-// any variation the index is 0; it is never below that.
+// dispersion returns the index of dispersion I = SCV * (1 + 2 * sum of rho_k), where SCV is the squared coefficient of
+// variation of the intervals and rho_k their autocorrelation at lag k, for k from 1 to lags. A Poisson stream has an index of
+// 1. Without variation the index is 0, and negative estimates are returned as 0.
 func dispersion(intervals []float64, lags int) float64 {
 	mean := total(intervals) / float64(len(intervals))
 	squares := sumOfSquares(intervals, mean)
@@ -26,7 +26,7 @@
 	return max(0, scv*(1+2*correlations))
 }
 
-// sumOfSquares adds up the squared deviations from the mean.
+// sumOfSquares returns the sum of the squared deviations from the mean.
 func sumOfSquares(intervals []float64, mean float64) float64 {
 	sum := 0.0
 	for _, interval := range intervals {
@@ -35,7 +35,7 @@
 	return sum
 }
 
-// sumOfProducts adds up the products of each deviation with the one that came lag intervals before it.
+// sumOfProducts returns the sum of the products of each deviation with the one lag intervals earlier.
 func sumOfProducts(intervals []float64, mean float64, lag int) float64 {
 	sum := 0.0
 	for i := lag; i < len(intervals); i++ {
