--- a/internal/burst/detector_test.go
+++ b/internal/burst/detector_test.go
@@ -28,7 +28,7 @@
 	}
 	near("constant", dispersion([]float64{2, 2, 2, 2}, lags), 0)
 
-	// Ten intervals of 1, then ten of 3: mean 2, SCV 1/4. The products at lag k sum to 20-3k, so the correlations over
+	// Ten intervals of 1, then ten of 3: mean 2, SCV 1/4. The products at lag k sum to 20-3k of 20, so the correlations over
 	// lags 1 to 8 sum to 52/20.
 	blocks := make([]float64, 20)
 	for i := range blocks {
--- a/internal/selector/index.go
+++ b/internal/selector/index.go
@@ -8,128 +8,131 @@
 	"pewterrudder/brain"
 )
 
-// Index finds the selectors that pick an entry. Each is entered under the values of one of its keys, the one whose places
-// are emptiest then, so that an entry is compared with few. The zero value is empty.
+// Index finds the selectors that match a server. Each selector is indexed by the values of one of its keys, the one whose
+// slots hold the fewest selectors at that time, so that a server is compared with few selectors. The zero value is empty.
 type Index struct {
-	held  map[uint16]entered
-	keys  [3]names // by key
-	cells map[int][]uint16
-	rest  []uint16 // without a key
+	entries  map[uint16]entry
+	patterns [3]patternIndex // indexed by keyID, keyKind and keyZone
+	byCell   map[int][]uint16
+	unkeyed  []uint16 // selectors without a key
 }
 
-type entered struct {
+// entry is an indexed selector and the key that it is indexed by.
+type entry struct {
 	Selector
-	by key
+	key keyField
 }
 
-// key is what a selector is found by. Those that tell more come first: of two that are as good the first is taken.
-type key uint8
+// keyField is a key of a selector. More selective keys come first, since a tie goes to the first.
+type keyField uint8
 
 const (
-	ids key = iota
-	kinds
-	zones
-	cells
-	none
+	keyID keyField = iota
+	keyKind
+	keyZone
+	keyCell
+	keyNone
 )
 
-// names are places by name, and by what stands before a *.
-type names struct {
-	exact, heads map[string][]uint16
-	lengths      []int // of heads: how many there are of each
+// patternIndex holds the ids of selectors by name pattern.
+type patternIndex struct {
+	exact, prefixes map[string][]uint16 // by whole name; by the part before the *
+	prefixCounts    []int               // number of ids in prefixes, by prefix length
 }
 
-func (s *Selector) named(k key) []string {
+// patternsOf returns the patterns of keyID, keyKind or keyZone.
+func (s *Selector) patternsOf(k keyField) []string {
 	switch k {
-	case ids:
+	case keyID:
 		return s.IDs
-	case kinds:
+	case keyKind:
 		return s.Kinds
 	}
 	return s.Zones
 }
 
-// Put enters a selector, in place of the one that the id had.
+// Put stores a selector under an id and replaces a previous one.
 func (x *Index) Put(id uint16, s Selector) {
 	x.Delete(id)
-	if x.held == nil {
-		x.held, x.cells = map[uint16]entered{}, map[int][]uint16{}
-		for k := range x.keys {
-			x.keys[k] = names{exact: map[string][]uint16{}, heads: map[string][]uint16{}}
+	if x.entries == nil {
+		x.entries, x.byCell = map[uint16]entry{}, map[int][]uint16{}
+		for k := range x.patterns {
+			x.patterns[k] = patternIndex{exact: map[string][]uint16{}, prefixes: map[string][]uint16{}}
 		}
 	}
-	e := entered{s, x.emptiest(&s)}
-	x.held[id] = e
-	switch e.by {
-	case none:
-		x.rest = append(x.rest, id)
-	case cells:
+	e := entry{s, x.bestKey(&s)}
+	x.entries[id] = e
+	switch e.key {
+	case keyNone:
+		x.unkeyed = append(x.unkeyed, id)
+	case keyCell:
 		for _, c := range s.Cells {
-			if at := x.cells[c]; !slices.Contains(at, id) {
-				x.cells[c] = append(at, id)
+			if ids := x.byCell[c]; !slices.Contains(ids, id) {
+				x.byCell[c] = append(ids, id)
 			}
 		}
 	default:
-		for _, p := range s.named(e.by) {
-			x.keys[e.by].put(p, id)
+		for _, p := range s.patternsOf(e.key) {
+			x.patterns[e.key].add(p, id)
 		}
 	}
 }
 
-// emptiest is the key whose fullest place is emptiest. What begins with a * would be compared with every entry.
-func (x *Index) emptiest(s *Selector) key {
-	best, least := none, math.MaxInt
-	for _, k := range []key{ids, kinds, zones} {
+// bestKey returns the key of the selector whose largest slot is smallest. A pattern that begins with a * counts as a slot of
+// all selectors, since it would be compared with every server.
+func (x *Index) bestKey(s *Selector) keyField {
+	best, fewest := keyNone, math.MaxInt
+	for _, k := range []keyField{keyID, keyKind, keyZone} {
 		n := 0
-		for _, p := range s.named(k) {
-			n = max(n, x.keys[k].size(p, len(x.held)))
+		for _, p := range s.patternsOf(k) {
+			n = max(n, x.patterns[k].candidates(p, len(x.entries)))
 		}
-		if s.named(k) != nil && n < least {
-			best, least = k, n
+		if s.patternsOf(k) != nil && n < fewest {
+			best, fewest = k, n
 		}
 	}
 	n := 0
 	for _, c := range s.Cells {
-		n = max(n, len(x.cells[c]))
+		n = max(n, len(x.byCell[c]))
 	}
-	if s.Cells != nil && n < least {
-		best = cells
+	if s.Cells != nil && n < fewest {
+		best = keyCell
 	}
 	return best
 }
 
-// Delete takes the selector of an id out.
+// Delete removes the selector of an id, if there is one.
 func (x *Index) Delete(id uint16) {
-	e, ok := x.held[id]
+	e, ok := x.entries[id]
 	if !ok {
 		return
 	}
-	delete(x.held, id)
-	switch e.by {
-	case none:
-		x.rest = without(x.rest, id)
-	case cells:
+	delete(x.entries, id)
+	switch e.key {
+	case keyNone:
+		x.unkeyed = without(x.unkeyed, id)
+	case keyCell:
 		for _, c := range e.Cells {
-			leave(x.cells, c, id)
+			removeID(x.byCell, c, id)
 		}
 	default:
-		for _, p := range e.named(e.by) {
-			x.keys[e.by].drop(p, id)
+		for _, p := range e.patternsOf(e.key) {
+			x.patterns[e.key].remove(p, id)
 		}
 	}
 }
 
-// Of appends the ids of the selectors that pick an entry, in rising order, each once.
+// Of appends the ids of the selectors that match a server to a slice, in increasing order and without duplicates.
 func (x *Index) Of(m *brain.Member, into []uint16) []uint16 {
 	from := len(into)
-	into = x.among(x.rest, m, into)
-	into = x.among(x.cells[m.Cell], m, into)
-	for k, name := range [...]string{ids: m.Server, kinds: m.Kind, zones: m.Zone} {
-		n := &x.keys[k]
-		into = x.among(n.exact[name], m, into)
-		for l := 0; l < len(n.lengths) && l <= len(name); l++ {
-			if n.lengths[l] > 0 {
-				into = x.among(n.heads[name[:l]], m, into)
+	into = x.appendMatches(x.unkeyed, m, into)
+	into = x.appendMatches(x.byCell[m.Cell], m, into)
+	for k, name := range [...]string{keyID: m.Server, keyKind: m.Kind, keyZone: m.Zone} {
+		n := &x.patterns[k]
+		into = x.appendMatches(n.exact[name], m, into)
+		for l := 0; l < len(n.prefixCounts) && l <= len(name); l++ {
+			if n.prefixCounts[l] > 0 {
+				into = x.appendMatches(n.prefixes[name[:l]], m, into)
 			}
 		}
 	}
@@ -137,67 +140,72 @@
 	return into[:from+len(slices.Compact(into[from:]))]
 }
 
-func (x *Index) among(some []uint16, m *brain.Member, into []uint16) []uint16 {
-	for _, id := range some {
-		if e := x.held[id]; e.Matches(m) {
+// appendMatches appends those of the ids whose selectors match a server.
+func (x *Index) appendMatches(ids []uint16, m *brain.Member, into []uint16) []uint16 {
+	for _, id := range ids {
+		if e := x.entries[id]; e.Matches(m) {
 			into = append(into, id)
 		}
 	}
 	return into
 }
 
-func (n *names) size(pattern string, all int) int {
-	head, _, open := strings.Cut(pattern, "*")
+// candidates returns the size of a pattern's slot; all is the number of selectors in the index.
+func (n *patternIndex) candidates(pattern string, all int) int {
+	prefix, _, wildcard := strings.Cut(pattern, "*")
 	switch {
-	case !open:
+	case !wildcard:
 		return len(n.exact[pattern])
-	case head == "":
+	case prefix == "":
 		return all
 	}
-	return len(n.heads[head])
+	return len(n.prefixes[prefix])
 }
 
-func (n *names) put(pattern string, id uint16) {
-	head, _, open := strings.Cut(pattern, "*")
-	if !open {
-		if at := n.exact[pattern]; !slices.Contains(at, id) {
-			n.exact[pattern] = append(at, id)
+// add adds an id to the slot of a pattern, unless it is already there.
+func (n *patternIndex) add(pattern string, id uint16) {
+	prefix, _, wildcard := strings.Cut(pattern, "*")
+	if !wildcard {
+		if ids := n.exact[pattern]; !slices.Contains(ids, id) {
+			n.exact[pattern] = append(ids, id)
 		}
 		return
 	}
-	if at := n.heads[head]; !slices.Contains(at, id) {
-		n.heads[head] = append(at, id)
-		for len(n.lengths) <= len(head) {
-			n.lengths = append(n.lengths, 0)
+	if ids := n.prefixes[prefix]; !slices.Contains(ids, id) {
+		n.prefixes[prefix] = append(ids, id)
+		for len(n.prefixCounts) <= len(prefix) {
+			n.prefixCounts = append(n.prefixCounts, 0)
 		}
-		n.lengths[len(head)]++
+		n.prefixCounts[len(prefix)]++
 	}
 }
 
-func (n *names) drop(pattern string, id uint16) {
-	head, _, open := strings.Cut(pattern, "*")
-	if !open {
-		leave(n.exact, pattern, id)
-	} else if leave(n.heads, head, id) {
-		n.lengths[len(head)]--
+// remove removes an id from the slot of a pattern, if it is there.
+func (n *patternIndex) remove(pattern string, id uint16) {
+	prefix, _, wildcard := strings.Cut(pattern, "*")
+	if !wildcard {
+		removeID(n.exact, pattern, id)
+	} else if removeID(n.prefixes, prefix, id) {
+		n.prefixCounts[len(prefix)]--
 	}
 }
 
-// leave takes an id out of a place, if it is there.
-func leave[K comparable](places map[K][]uint16, at K, id uint16) bool {
-	some := without(places[at], id)
-	if len(some) == len(places[at]) {
+// removeID removes an id from a slot, and an empty slot from the map. It reports whether the id was there.
+func removeID[K comparable](slots map[K][]uint16, key K, id uint16) bool {
+	ids := without(slots[key], id)
+	if len(ids) == len(slots[key]) {
 		return false
 	}
-	if places[at] = some; len(some) == 0 {
-		delete(places, at)
+	if slots[key] = ids; len(ids) == 0 {
+		delete(slots, key)
 	}
 	return true
 }
 
-func without(some []uint16, id uint16) []uint16 {
-	if i := slices.Index(some, id); i >= 0 {
-		return slices.Delete(some, i, i+1)
+// without returns ids without id. It reuses the array of ids.
+func without(ids []uint16, id uint16) []uint16 {
+	if i := slices.Index(ids, id); i >= 0 {
+		return slices.Delete(ids, i, i+1)
 	}
-	return some
+	return ids
 }
--- a/internal/selector/selector.go
+++ b/internal/selector/selector.go
@@ -1,6 +1,6 @@
-// Package selector owns the question which of many groups an entry of the list belongs to: what a group asks for, in plain
-// values, and an index of thousands of such wishes, so that an entry is compared only with those that may take it. It must
-// never do I/O, read a clock, start a goroutine, or know what a group is for.
+// Package selector decides which groups a server of the list belongs to. It has the selector of a group and an index of
+// thousands of selectors, so that a server is compared only with the few that may match. It does no I/O, reads no clock,
+// starts no goroutine, and does not depend on the purpose of the groups.
 package selector
 
 import (
@@ -10,8 +10,8 @@
 	"pewterrudder/brain"
 )
 
-// Selector picks entries by what the list says of them. Each key that is there must fit, by one of its values; with no key
-// every entry is picked. Names may have one * that stands for any run of letters.
+// Selector matches servers by their attributes. Each key that is not nil must match by at least one of its values. Without
+// keys a selector matches every server. A name may contain one *, which matches any sequence of characters.
 type Selector struct {
 	Zones []string
 	Kinds []string
@@ -19,24 +19,25 @@
 	IDs   []string
 }
 
-// Matches says whether an entry is picked.
+// Matches reports whether the selector matches a server.
 func (s Selector) Matches(m *brain.Member) bool {
-	return fits(s.Zones, m.Zone) && fits(s.Kinds, m.Kind) && fits(s.IDs, m.Server) && (s.Cells == nil || slices.Contains(s.Cells, m.Cell))
+	return matchesAny(s.Zones, m.Zone) && matchesAny(s.Kinds, m.Kind) && matchesAny(s.IDs, m.Server) && (s.Cells == nil || slices.Contains(s.Cells, m.Cell))
 }
 
-// Equal says whether two ask for the same in the same words.
+// Equal reports whether two selectors have the same values in the same order.
 func (s Selector) Equal(o Selector) bool {
-	return alike(s.Zones, o.Zones) && alike(s.Kinds, o.Kinds) && alike(s.Cells, o.Cells) && alike(s.IDs, o.IDs)
+	return equalLists(s.Zones, o.Zones) && equalLists(s.Kinds, o.Kinds) && equalLists(s.Cells, o.Cells) && equalLists(s.IDs, o.IDs)
 }
 
-// alike: a key without values fits nothing, and one that is not there everything.
-func alike[T comparable](a, b []T) bool { return (a == nil) == (b == nil) && slices.Equal(a, b) }
+// equalLists compares two keys. Nil and empty differ: a nil key matches everything, an empty one nothing.
+func equalLists[T comparable](a, b []T) bool { return (a == nil) == (b == nil) && slices.Equal(a, b) }
 
-func fits(patterns []string, name string) bool {
+// matchesAny reports whether a name matches one of the patterns, or patterns is nil.
+func matchesAny(patterns []string, name string) bool {
 	for _, p := range patterns {
-		head, tail, open := strings.Cut(p, "*")
-		around := len(name) >= len(head)+len(tail) && strings.HasPrefix(name, head) && strings.HasSuffix(name, tail)
-		if p == name || open && around {
+		prefix, suffix, wildcard := strings.Cut(p, "*")
+		matches := len(name) >= len(prefix)+len(suffix) && strings.HasPrefix(name, prefix) && strings.HasSuffix(name, suffix)
+		if p == name || wildcard && matches {
 			return true
 		}
 	}
