--- a/cmd/simhost/main.go
+++ b/cmd/simhost/main.go
@@ -1,4 +1,4 @@
-// Command simhost answers the simulator's wire on standard input and output with instances of package brain.
+// Command simhost runs instances of package brain for the simulator, with its protocol on standard input and output.
 package main
 
 import (
@@ -14,13 +14,14 @@
 )
 
 func main() {
-	debug.SetGCPercent(400) // many instances in one process: trade memory for collector time
+	debug.SetGCPercent(400) // many instances in one process: trades memory for less garbage collection
 	if err := run(os.Stdin, os.Stdout); err != nil {
 		fmt.Fprintln(os.Stderr, "simhost:", err)
 		os.Exit(1)
 	}
 }
 
+// run answers each line of in until its end.
 func run(in io.Reader, out io.Writer) error {
 	reader := bufio.NewReaderSize(in, 1<<20)
 	host := wire.NewHost()
@@ -46,18 +47,18 @@
 	}
 }
 
-// answer turns a panic of the decisions into the action that ends the day with its text.
+// answer processes one line. A panic of the decision code becomes the reply that ends the simulation with its text.
 func answer(host *wire.Host, line, reply []byte) (out []byte, err error) {
 	defer func() {
 		if p := recover(); p != nil {
 			fmt.Fprintf(os.Stderr, "simhost: panic: %v\n%s", p, debug.Stack())
-			out, err = wire.Die(reply[:0], host.Current(), fmt.Sprint(p)), nil
+			out, err = wire.AppendDie(reply[:0], host.Current(), fmt.Sprint(p)), nil
 		}
 	}()
-	return host.Line(line, reply)
+	return host.HandleLine(line, reply)
 }
 
-// readLine reads one line of any length into buf.
+// readLine appends one line of any length to buf.
 func readLine(r *bufio.Reader, buf []byte) ([]byte, error) {
 	for {
 		part, err := r.ReadSlice('\n')
--- a/cmd/simhost/main_test.go
+++ b/cmd/simhost/main_test.go
@@ -6,7 +6,7 @@
 	"testing"
 )
 
-func TestRunAnswersEachLineAndStopsAtTheEnd(t *testing.T) {
+func TestRunAnswersEachLineUntilEOF(t *testing.T) {
 	var out bytes.Buffer
 	if err := run(strings.NewReader("{\"at_time_ms\":1,\"nodes\":[]}\n{\"at_time_ms\":2,\"nodes\":[]}\n"), &out); err != nil {
 		t.Fatal(err)
@@ -16,7 +16,7 @@
 	}
 }
 
-func TestRunNamesTheBadLineAndWritesNoHalfReply(t *testing.T) {
+func TestRunReportsTheInvalidLineAndWritesNoPartialReply(t *testing.T) {
 	var out bytes.Buffer
 	err := run(strings.NewReader("{\"at_time_ms\":1,\"nodes\":[]}\n{\"at_time_ms\":2,\n"), &out)
 	if err == nil || !strings.Contains(err.Error(), "line 2") {
--- a/internal/wire/wire.go
+++ b/internal/wire/wire.go
@@ -1,5 +1,5 @@
-// Package wire translates the simulator's lines into the events of package brain and its actions back.
-// It takes no decisions.
+// Package wire implements the simulator's protocol: it translates input lines to events of package brain, and actions of
+// package brain to output lines. Each line is a JSON object.
 package wire
 
 import (
@@ -13,7 +13,7 @@
 	"pewterrudder/internal/tenants"
 )
 
-// Batch is one line of input. Fields that the wire does not define are ignored.
+// Batch is one line of input: the events of one time, by instance. Unknown fields are ignored.
 type Batch struct {
 	At    *float64 `json:"at_time_ms"`
 	Nodes []struct {
@@ -22,7 +22,7 @@
 	} `json:"nodes"`
 }
 
-// Item is one event: exactly one field is set.
+// Item is one event. Exactly one field is set.
 type Item struct {
 	Start      *Start      `json:"start"`
 	CrashNow   *struct{}   `json:"crash_now"`
@@ -36,17 +36,19 @@
 	PeerData   *struct{}   `json:"peer_data"`
 }
 
+// Start creates or replaces an instance with a random seed and settings.
 type Start struct {
 	Prng *uint64         `json:"prng"`
 	Conf json.RawMessage `json:"conf"`
 }
 
+// View is an update of the server list.
 type View struct {
 	Scope   string   `json:"scope"`
 	Members []member `json:"members_list"`
 }
 
-// member is a config.Entry under the wire's names.
+// member is a config.Entry with the field names of the protocol.
 type member struct {
 	Server  string  `json:"server"`
 	Address string  `json:"-"`
@@ -58,6 +60,7 @@
 	State   string  `json:"readiness"`
 }
 
+// Inbound is a request of a client.
 type Inbound struct {
 	OpID     string  `json:"op_id"`
 	Class    string  `json:"tier_class"`
@@ -68,6 +71,7 @@
 	Deadline float64 `json:"client_deadline_ms"`
 }
 
+// AttemptEnd is the end of an attempt.
 type AttemptEnd struct {
 	OpID     string    `json:"op_id"`
 	Round    int       `json:"round_no"`
@@ -78,6 +82,7 @@
 	Metrics  []float64 `json:"metrics"`
 }
 
+// Begun says that the answer of an attempt has started to stream.
 type Begun struct {
 	OpID   string  `json:"op_id"`
 	Round  int     `json:"round_no"`
@@ -85,14 +90,17 @@
 	Cost   float64 `json:"cost_time_ms"`
 }
 
+// Lapsed says that the client of a request has gone.
 type Lapsed struct {
 	OpID string `json:"op_id"`
 }
 
+// Wakeup is an expired timer.
 type Wakeup struct {
 	Cookie uint64 `json:"cookie"`
 }
 
+// Health is the result of a probe.
 type Health struct {
 	Ending  string    `json:"ending"`
 	Server  string    `json:"server"`
@@ -100,28 +108,28 @@
 	Metrics []float64 `json:"metrics"`
 }
 
-// Host keeps the instances of one process, each for itself.
+// Host holds the instances of one process. They share no state.
 type Host struct {
 	nodes   map[int]*instance
-	acts    []brain.Action
+	actions []brain.Action
 	current int
 }
 
-// Current is the instance whose events are being handled, for a report on a panic.
+// Current returns the number of the instance whose events are being handled, for the report of a panic.
 func (h *Host) Current() int { return h.current }
 
-// instance is one node with the names of its settings.
+// instance is one node and the names by which the protocol refers to its classes and tenants.
 type instance struct {
 	node    *brain.Node
 	classes map[string]int
 	tenants tenants.Table
 }
 
-// NewHost makes an empty host.
+// NewHost returns a host without instances.
 func NewHost() *Host { return &Host{nodes: map[int]*instance{}} }
 
-// Line answers one line of input, appending the reply and a newline to out.
-func (h *Host) Line(line, out []byte) ([]byte, error) {
+// HandleLine processes one line of input and appends the reply and a newline to out.
+func (h *Host) HandleLine(line, out []byte) ([]byte, error) {
 	var b Batch
 	if err := json.Unmarshal(line, &b); err != nil {
 		return out, fmt.Errorf("batch: %w", err)
@@ -137,13 +145,13 @@
 		if g.I == nil {
 			return out, fmt.Errorf("nodes[%d]: i is missing", k)
 		}
-		h.acts, h.current = h.acts[:0], *g.I
+		h.actions, h.current = h.actions[:0], *g.I
 		for j := range g.Items {
-			if err := h.item(*g.I, now, &g.Items[j]); err != nil {
+			if err := h.handleItem(*g.I, now, &g.Items[j]); err != nil {
 				return out, fmt.Errorf("nodes[%d] (i=%d) items[%d]: %w", k, *g.I, j, err)
 			}
 		}
-		if len(h.acts) == 0 {
+		if len(h.actions) == 0 {
 			continue
 		}
 		if !first {
@@ -153,18 +161,19 @@
 		out = append(out, `{"i":`...)
 		out = strconv.AppendInt(out, int64(*g.I), 10)
 		out = append(out, `,"cmds":[`...)
-		for j := range h.acts {
+		for j := range h.actions {
 			if j > 0 {
 				out = append(out, ',')
 			}
-			out = appendAction(out, now, &h.acts[j])
+			out = appendAction(out, now, &h.actions[j])
 		}
 		out = append(out, "]}"...)
 	}
 	return append(out, "]}\n"...), nil
 }
 
-func (h *Host) item(i int, now time.Duration, it *Item) error {
+// handleItem starts or removes an instance, or passes it an event and collects its actions.
+func (h *Host) handleItem(i int, now time.Duration, it *Item) error {
 	if it.Start != nil {
 		inst, err := newInstance(it.Start)
 		if err != nil {
@@ -175,21 +184,22 @@
 	}
 	if it.CrashNow != nil {
 		delete(h.nodes, i)
-		h.acts = h.acts[:0]
+		h.actions = h.actions[:0]
 		return nil
 	}
 	inst := h.nodes[i]
 	if inst == nil {
 		return fmt.Errorf("event for an instance that was not started")
 	}
-	ev, err := inst.event(it)
+	ev, err := inst.toEvent(it)
 	if err != nil || ev == nil {
 		return err
 	}
-	h.acts = inst.node.Handle(now, ev, h.acts)
+	h.actions = inst.node.Handle(now, ev, h.actions)
 	return nil
 }
 
+// newInstance creates an instance. The error names the missing or invalid setting.
 func newInstance(s *Start) (*instance, error) {
 	if s.Prng == nil {
 		return nil, fmt.Errorf("prng is missing")
@@ -212,8 +222,8 @@
 	return inst, nil
 }
 
-// event translates one item; nil for an event that says nothing to a node.
-func (n *instance) event(it *Item) (brain.Event, error) {
+// toEvent translates an item. The result is nil for items that a node does not use.
+func (n *instance) toEvent(it *Item) (brain.Event, error) {
 	switch {
 	case it.Inbound != nil:
 		e := it.Inbound
@@ -242,19 +252,20 @@
 		o, err := outcome(e.Ending)
 		return &brain.ProbeEnded{Server: e.Server, Outcome: o, Took: config.FromMs(e.Cost), Report: e.Metrics}, err
 	case it.View != nil:
-		return view(it.View)
+		return fleetUpdate(it.View)
 	case it.Begun != nil:
 		e := it.Begun
 		return &brain.StreamBegun{ID: e.OpID, Attempt: e.Round, Server: e.Server, Took: config.FromMs(e.Cost)}, nil
 	case it.Lapsed != nil:
 		return &brain.ClientGone{ID: it.Lapsed.OpID}, nil
 	case it.PeerData != nil:
-		return nil, nil // nodes share nothing
+		return nil, nil // nodes exchange no data
 	}
 	return nil, fmt.Errorf("unknown event")
 }
 
-func view(v *View) (brain.Event, error) {
+// fleetUpdate translates a server list.
+func fleetUpdate(v *View) (brain.Event, error) {
 	u := &brain.FleetUpdate{Members: make([]brain.Member, len(v.Members))}
 	switch v.Scope {
 	case "Partial":
@@ -292,10 +303,12 @@
 	return o, nil
 }
 
+// appendMs appends a duration as a number of milliseconds.
 func appendMs(out []byte, d time.Duration) []byte {
 	return strconv.AppendFloat(out, float64(d)/1e6, 'f', -1, 64)
 }
 
+// appendAction appends an action as a JSON object.
 func appendAction(out []byte, now time.Duration, a *brain.Action) []byte {
 	switch a.Kind {
 	case brain.Send:
@@ -342,8 +355,8 @@
 	return append(out, '"')
 }
 
-// Die is the reply that ends the day: the decision code has failed.
-func Die(out []byte, i int, text string) []byte {
+// AppendDie appends the reply that ends the simulation because the decision code of an instance has failed.
+func AppendDie(out []byte, i int, text string) []byte {
 	out = strconv.AppendInt(append(out, `{"nodes":[{"i":`...), int64(i), 10)
 	out = appendText(append(out, `,"cmds":[{"die":{"reason_text":`...), text)
 	return append(out, "}}]}]}\n"...)
--- a/internal/wire/wire_test.go
+++ b/internal/wire/wire_test.go
@@ -16,18 +16,18 @@
 		`}},{"view":{"scope":"Persisted","members_list":[{"server":"10.0.0.1:80","az":"a","heft":1,"readiness":"Ready","shade":2}]}}]}]}`
 }
 
-func TestARequestGoesOutAndItsEndIsTaken(t *testing.T) {
+func TestRequestIsSentAndItsOutcomeIsHandled(t *testing.T) {
 	h := NewHost()
-	out, err := h.Line([]byte(start(settings)), nil)
+	out, err := h.HandleLine([]byte(start(settings)), nil)
 	if err != nil || string(out) != "{\"nodes\":[]}\n" {
 		t.Fatalf("%s %v", out, err)
 	}
-	out, err = h.Line([]byte(`{"at_time_ms":1001.25,"nodes":[{"i":4,"items":[{"inbound":{"op_id":"00ab","tier_class":"read",`+
+	out, err = h.HandleLine([]byte(`{"at_time_ms":1001.25,"nodes":[{"i":4,"items":[{"inbound":{"op_id":"00ab","tier_class":"read",`+
 		`"client_deadline_ms":1900.5,"hue":3}}]}]}`), nil)
 	if err != nil || !strings.Contains(string(out), `{"deliver":{"op_id":"00ab","server":"10.0.0.1:80"}}`) {
 		t.Fatalf("%s %v", out, err)
 	}
-	out, err = h.Line([]byte(`{"at_time_ms":1003,"nodes":[{"i":4,"items":[{"attempt_end":{"op_id":"00ab","round_no":0,`+
+	out, err = h.HandleLine([]byte(`{"at_time_ms":1003,"nodes":[{"i":4,"items":[{"attempt_end":{"op_id":"00ab","round_no":0,`+
 		`"ending":"shed","server":"10.0.0.1:80","cost_time_ms":1.5}}]}]}`), nil)
 	if err != nil || !strings.Contains(string(out), `{"push_back":{"op_id":"00ab"`) {
 		t.Fatalf("%s %v", out, err)
@@ -35,13 +35,13 @@
 }
 
 func TestEmptyBatchGetsAnEmptyReply(t *testing.T) {
-	out, err := NewHost().Line([]byte(`{"at_time_ms":8412.25,"nodes":[]}`), nil)
+	out, err := NewHost().HandleLine([]byte(`{"at_time_ms":8412.25,"nodes":[]}`), nil)
 	if err != nil || string(out) != "{\"nodes\":[]}\n" {
 		t.Fatalf("%s %v", out, err)
 	}
 }
 
-func TestBadInputIsNamed(t *testing.T) {
+func TestErrorsNameTheInvalidInput(t *testing.T) {
 	for _, c := range []struct{ line, want string }{
 		{`{"at_time_ms":`, "batch"},
 		{`{"nodes":[]}`, "at_time_ms is missing"},
@@ -54,31 +54,31 @@
 		{strings.Replace(start(settings), `"prng":5,`, ``, 1), "prng is missing"},
 		{strings.Replace(start(settings), `"view"`, `"vista"`, 1), "unknown event"},
 	} {
-		if _, err := NewHost().Line([]byte(c.line), nil); err == nil || !strings.Contains(err.Error(), c.want) {
+		if _, err := NewHost().HandleLine([]byte(c.line), nil); err == nil || !strings.Contains(err.Error(), c.want) {
 			t.Errorf("%.60s: error %v, want one naming %q", c.line, err, c.want)
 		}
 	}
 }
 
-func TestInstancesAreThrownAwayWhole(t *testing.T) {
+func TestCrashedInstancesAreDiscarded(t *testing.T) {
 	h := NewHost()
-	h.Line([]byte(start(settings)), nil)
-	if _, err := h.Line([]byte(`{"at_time_ms":1002,"nodes":[{"i":4,"items":[{"crash_now":{}}]}]}`), nil); err != nil {
+	h.HandleLine([]byte(start(settings)), nil)
+	if _, err := h.HandleLine([]byte(`{"at_time_ms":1002,"nodes":[{"i":4,"items":[{"crash_now":{}}]}]}`), nil); err != nil {
 		t.Fatal(err)
 	}
 	if len(h.nodes) != 0 {
-		t.Error("a killed instance is still there")
+		t.Error("a crashed instance is still there")
 	}
-	if _, err := h.Line([]byte(start(settings)), nil); err != nil {
+	if _, err := h.HandleLine([]byte(start(settings)), nil); err != nil {
 		t.Fatal(err)
 	}
 }
 
-func TestTextIsQuoted(t *testing.T) {
+func TestTextIsQuotedAsJSON(t *testing.T) {
 	if got := string(appendText(nil, "a\"b\n")); got != `"a\"b\n"` {
 		t.Error(got)
 	}
-	if got := string(Die(nil, 3, "x")); got != "{\"nodes\":[{\"i\":3,\"cmds\":[{\"die\":{\"reason_text\":\"x\"}}]}]}\n" {
+	if got := string(AppendDie(nil, 3, "x")); got != "{\"nodes\":[{\"i\":3,\"cmds\":[{\"die\":{\"reason_text\":\"x\"}}]}]}\n" {
 		t.Error(got)
 	}
 }
