--- a/brain/arrivals.go
+++ b/brain/arrivals.go
@@ -9,9 +9,9 @@
 // factor of e to the 20th and affects no decision.
 const tenantRetention = 60 * time.Second
 
-// arrivalCounts holds exponentially decaying counts of the arrivals of recently active tenants. Counts decay with the time of
-// the last ranking, like the other smoothed values of a node, and only when they are read or increased. quotaWeight
-// (shedding.go) uses them. The zero value is empty.
+// arrivalCounts holds exponentially decaying counts of the arrivals of recently active tenants. Counts decay with the
+// time of the last ranking, like the other smoothed values of a node, and only when they are read or increased.
+// quotaWeight (shedding.go) uses them. The zero value is empty.
 type arrivalCounts struct {
 	current, previous map[int]arrivalCount // an arrival moves a count to current; previous is dropped as a whole
 	currentSince      time.Duration        // when current was created
--- a/brain/arrivals_test.go
+++ b/brain/arrivals_test.go
@@ -14,7 +14,8 @@
 	ranked time.Duration
 }
 
-// observe updates the counts after the node has handled an event: a request of the tenant, or another event if tenant is -1.
+// observe updates the counts after the node has handled an event: a request of the tenant, or another event if tenant
+// is -1.
 func (p *referenceCounts) observe(n *Node, tenant int) {
 	if tenant >= 0 {
 		p.counts[tenant]++
@@ -37,8 +38,8 @@
 	return 1 - over*(1-n.cfg.OverQuotaWorth)
 }
 
-// Quota weights of random requests must match the reference implementation over minutes: with few and many tenants, at any
-// rate, and when a tenant stops and returns.
+// Quota weights of random requests must match the reference implementation over minutes: with few and many tenants, at
+// any rate, and when a tenant stops and returns.
 func TestQuotaWeightsMatchAllTenantCounts(t *testing.T) {
 	partial := 0
 	for seed := range uint64(12) {
--- a/brain/brain_test.go
+++ b/brain/brain_test.go
@@ -230,7 +230,7 @@
 // server with a slow request in flight would seem as free as one with a fast request.
 func TestOwnLoadIsWeightedByExpectedTime(t *testing.T) {
 	cfg := testSettings()
-	cfg.Classes[put].Aim, cfg.Classes[put].Deadline = 2*time.Second, 4*time.Second // the initial expected time derives from the aim
+	cfg.Classes[put].Aim, cfg.Classes[put].Deadline = 2*time.Second, 4*time.Second // sets the initial mean time
 	b := newTestbed(cfg, members(2))
 	_, slow := b.request(put)
 	_, fast := b.request(read)
--- a/brain/cold_test.go
+++ b/brain/cold_test.go
@@ -5,9 +5,9 @@
 	"time"
 )
 
-// runColdFleet drives a node whose servers have all just started, for a number of half seconds. It sends a read every 20 ms
-// and ends each attempt 60 ms after the send, with the outcome and the reported requests held that end returns. It returns
-// the number of attempts in each half second.
+// runColdFleet drives a node whose servers have all just started, for a number of half seconds. It sends a read every
+// 20 ms and ends each attempt 60 ms after the send, with the outcome and the reported requests held that end returns.
+// It returns the number of attempts in each half second.
 func runColdFleet(b *testbed, half int, end func(n int) (Outcome, float64)) []int {
 	type pending struct {
 		id, server string
@@ -53,8 +53,8 @@
 	return newTestbed(cfg, list)
 }
 
-// After a full restart no node has ever seen a warm server. A node that needs one to learn the capacity of servers refuses
-// all requests until the first server is warm by its age: 8 s here, 17 s after a power loss.
+// After a full restart no node has ever seen a warm server. A node that needs one to learn the capacity of servers
+// refuses all requests until the first server is warm by its age: 8 s here, 17 s after a power loss.
 func TestAllColdFleetIsUsedAtOnce(t *testing.T) {
 	sent := runColdFleet(coldTestbed(), 8, func(int) (Outcome, float64) { return OK, 0.2 })
 	first, late := sent[0]+sent[1]+sent[2]+sent[3], sent[6]+sent[7]
--- a/brain/failures_test.go
+++ b/brain/failures_test.go
@@ -7,11 +7,11 @@
 	"time"
 )
 
-// Failures that discovery does not report, as a node sees them, and the expected behaviour. There is no model of servers;
-// the outcomes are scripted.
+// Failures that discovery does not report, as a node sees them, and the expected behaviour. There is no model of
+// servers; the outcomes are scripted.
 
-// serveReads sends count reads, one every 10 ms. The script returns the time taken, the outcome and the reported requests
-// held of each attempt. The results are the number of attempts at each server and the number of refusals.
+// serveReads sends count reads, one every 10 ms. The script returns the time taken, the outcome and the reported
+// requests held of each attempt. The results are the number of attempts at each server and the number of refusals.
 func (b *testbed) serveReads(count int, script func(server string) (time.Duration, Outcome, float64)) (map[string]int, int) {
 	sent, refused := map[string]int{}, 0
 	type pending struct {
@@ -110,8 +110,8 @@
 	}
 }
 
-// If a late answer is worthless, an attempt that hangs past its aim must be cancelled then. Otherwise it would occupy the
-// server, count as load and keep the client waiting until the deadline.
+// If a late answer is worthless, an attempt that hangs past its aim must be cancelled then. Otherwise it would occupy
+// the server, count as load and keep the client waiting until the deadline.
 func TestOverdueAttemptIsCancelledWhenWorthless(t *testing.T) {
 	cfg := testSettings()
 	cfg.SecondCopies = false
@@ -132,9 +132,9 @@
 	t.Error("not given up after its aim")
 }
 
-// Sometimes a tenth of all attempts fail at every server alike, by corrupted answers or connection resets. When two or three
-// failures in a row caused an ejection, random runs ejected healthy servers for seconds, and the rest of the fleet was
-// overloaded and refused requests.
+// Sometimes a tenth of all attempts fail at every server alike, by corrupted answers or connection resets. When two or
+// three failures in a row caused an ejection, random runs ejected healthy servers for seconds, and the rest of the
+// fleet was overloaded and refused requests.
 func TestUniformTenPercentErrorsRarelyEject(t *testing.T) {
 	b := newTestbed(testSettings(), members(6))
 	rng := rand.New(rand.NewPCG(1, 2))
@@ -155,8 +155,8 @@
 	}
 }
 
-// Half of the servers may lose, refuse or fail every request of one class and be healthy for the other. With one error rate
-// for all classes they were ejected for both, and the rest of the fleet was overloaded and refused requests.
+// Half of the servers may lose, refuse or fail every request of one class and be healthy for the other. With one error
+// rate for all classes they were ejected for both, and the rest of the fleet was overloaded and refused requests.
 func TestServerFailingOneClassStillServesOthers(t *testing.T) {
 	for _, o := range []Outcome{TimedOut, Shed, AppError} {
 		b := newTestbed(testSettings(), members(6))
@@ -512,8 +512,8 @@
 	}
 }
 
-// Reports decay with age: a queue reported a second ago must not outweigh the node's exact knowledge of its own requests in
-// flight at other servers.
+// Reports decay with age: a queue reported a second ago must not outweigh the node's exact knowledge of its own
+// requests in flight at other servers.
 func TestOldReportsYieldToOwnRequests(t *testing.T) {
 	b := newTestbed(testSettings(), members(2))
 	a := b.node.byID["s00"]
@@ -568,8 +568,8 @@
 	}
 }
 
-// However long discovery has been down, it is asked again within 1.5 s: soon after it is back its changes count as known to
-// the node, and drains must be obeyed from then on. The delays are random, so that not all nodes call at once.
+// However long discovery has been down, it is asked again within 1.5 s: soon after it is back its changes count as
+// known to the node, and drains must be obeyed from then on. The delays are random, so that not all nodes call at once.
 func TestDiscoveryIsRetriedWithin1500ms(t *testing.T) {
 	cfg := testSettings()
 	cfg.AskDiscovery = true
@@ -593,8 +593,9 @@
 	}
 }
 
-// A node that starts under full load in front of a large fleet must not rely on its smoothed count of requests in flight:
-// with a sample of the minimum size it would refuse half of the requests of the first second although the fleet is idle.
+// A node that starts under full load in front of a large fleet must not rely on its smoothed count of requests in
+// flight: with a sample of the minimum size it would refuse half of the requests of the first second although the fleet
+// is idle.
 func TestSampleGrowsWithLoad(t *testing.T) {
 	b := newTestbed(testSettings(), members(400))
 	for range 300 { // within 300 ms, none of them answered yet
--- a/brain/manynodes_test.go
+++ b/brain/manynodes_test.go
@@ -95,8 +95,8 @@
 	}
 }
 
-// A cold server gets the share that its warmth allows: at half its capacity half of what a warm one gets, although rule 4
-// permits three times that. With less it would idle while the warm servers are overloaded.
+// A cold server gets the share that its warmth allows: at half its capacity half of what a warm one gets, although rule
+// 4 permits three times that. With less it would idle while the warm servers are overloaded.
 func TestColdServerGetsItsFullWarmthShare(t *testing.T) {
 	cfg := manyNodesSettings()
 	b := newTestbed(cfg, members(11))
--- a/brain/regression.go
+++ b/brain/regression.go
@@ -1,7 +1,7 @@
 package brain
 
-// regression is a linear least-squares fit in which older points have exponentially decaying weights. A prior pulls the line
-// towards proportionality: through the origin and the mean point.
+// regression is a linear least-squares fit in which older points have exponentially decaying weights. A prior pulls the
+// line towards proportionality: through the origin and the mean point.
 type regression struct {
 	points                       float64
 	meanX, meanY, meanXX, meanXY float64 // decayed moments
--- a/brain/retune_test.go
+++ b/brain/retune_test.go
@@ -6,8 +6,8 @@
 	"time"
 )
 
-// While its body arrives, an upload counts neither as load nor as a stall, however long that takes, and gets no second copy.
-// After its last byte it is like any other request: it counts as load and is given up in time.
+// While its body arrives, an upload counts neither as load nor as a stall, however long that takes, and gets no second
+// copy. After its last byte it is like any other request: it counts as load and is given up in time.
 func TestUploadCountsAsLoadFromItsLastByte(t *testing.T) {
 	b := newTestbed(testSettings(), members(2))
 	acts := b.handle(&Request{ID: "u", Class: put, Tenant: -1, Deadline: b.now + 2*time.Second, Upload: true})
@@ -42,8 +42,8 @@
 	}
 }
 
-// Across a change of settings learned state follows the names of the classes, whatever their index. A class that is gone
-// neither keeps a server usable nor sets a limit. Requests in flight end as usual, and the counts return to zero.
+// Across a change of settings learned state follows the names of the classes, whatever their index. A class that is
+// gone neither keeps a server usable nor sets a limit. Requests in flight end as usual, and the counts return to zero.
 func TestRetunedKeepsLearnedState(t *testing.T) {
 	cfg := testSettings()
 	b := newTestbed(cfg, members(4))
--- a/brain/sight.go
+++ b/brain/sight.go
@@ -2,8 +2,8 @@
 
 import "time"
 
-// Burst returns the number of candidates that a pick is drawn from, and whether the detector reports a burst. It has no side
-// effects.
+// Burst returns the number of candidates that a pick is drawn from, and whether the detector reports a burst. It has no
+// side effects.
 func (n *Node) Burst() (k int, on bool) { return n.candidateCount(), n.inBurst }
 
 // ServerSight is a snapshot of a node's state of one server, for monitoring.
@@ -32,8 +32,8 @@
 	return v
 }
 
-// Avoids reports whether the node currently sends a server no requests of any class: it is unknown or not ready, its probes
-// fail, or it is ejected or paused. It has no side effects.
+// Avoids reports whether the node currently sends a server no requests of any class: it is unknown or not ready, its
+// probes fail, or it is ejected or paused. It has no side effects.
 func (n *Node) Avoids(server string) bool {
 	s := n.byID[server]
 	if s == nil || s.State != Ready || s.failedProbes >= maxFailedProbes {
--- a/internal/burst/detector_test.go
+++ b/internal/burst/detector_test.go
@@ -186,8 +186,8 @@
 	return max(0, square/float64(len(intervals))/(mean*mean)*(1+2*rho))
 }
 
-// On random streams, with rate changes of up to a factor of 1000, pauses and simultaneous arrivals, every evaluation must
-// match the reference detector.
+// On random streams, with rate changes of up to a factor of 1000, pauses and simultaneous arrivals, every evaluation
+// must match the reference detector.
 func TestRandomStreamsMatchReferenceDetector(t *testing.T) {
 	begun, ended := 0, 0
 	for seed := range uint64(40) {
--- a/internal/burst/dispersion.go
+++ b/internal/burst/dispersion.go
@@ -10,8 +10,8 @@
 }
 
 // dispersion returns the index of dispersion I = SCV * (1 + 2 * sum of rho_k), where SCV is the squared coefficient of
-// variation of the intervals and rho_k their autocorrelation at lag k, for k from 1 to lags. A Poisson stream has an index of
-// 1. Without variation the index is 0, and negative estimates are returned as 0.
+// variation of the intervals and rho_k their autocorrelation at lag k, for k from 1 to lags. A Poisson stream has an
+// index of 1. Without variation the index is 0, and negative estimates are returned as 0.
 func dispersion(intervals []float64, lags int) float64 {
 	mean := total(intervals) / float64(len(intervals))
 	squares := sumOfSquares(intervals, mean)
--- a/internal/selector/index.go
+++ b/internal/selector/index.go
@@ -8,8 +8,9 @@
 	"pewterrudder/brain"
 )
 
-// Index finds the selectors that match a server. Each selector is indexed by the values of one of its keys, the one whose
-// slots hold the fewest selectors at that time, so that a server is compared with few selectors. The zero value is empty.
+// Index finds the selectors that match a server. Each selector is indexed by the values of one of its keys, the one
+// whose slots hold the fewest selectors at that time, so that a server is compared with few selectors. The zero value
+// is empty.
 type Index struct {
 	entries  map[uint16]entry
 	patterns [3]patternIndex // indexed by keyID, keyKind and keyZone
@@ -78,8 +79,8 @@
 	}
 }
 
-// bestKey returns the key of the selector whose largest slot is smallest. A pattern that begins with a * counts as a slot of
-// all selectors, since it would be compared with every server.
+// bestKey returns the key of the selector whose largest slot is smallest. A pattern that begins with a * counts as a
+// slot of all selectors, since it would be compared with every server.
 func (x *Index) bestKey(s *Selector) keyField {
 	best, fewest := keyNone, math.MaxInt
 	for _, k := range []keyField{keyID, keyKind, keyZone} {
--- a/internal/selector/index_test.go
+++ b/internal/selector/index_test.go
@@ -26,8 +26,8 @@
 	return s
 }
 
-// Under any sequence of Put and Delete, the index finds the same selectors as a linear scan, and an emptied index has no
-// slots left.
+// Under any sequence of Put and Delete, the index finds the same selectors as a linear scan, and an emptied index has
+// no slots left.
 func TestIndexMatchesLinearScan(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		var x Index
@@ -74,8 +74,8 @@
 	})
 }
 
-// A server is compared with few of thousands of selectors, whether they select by kind, by a part of a name, by a cell that
-// all have in common and a kind of their own, or by id.
+// A server is compared with few of thousands of selectors, whether they select by kind, by a part of a name, by a cell
+// that all have in common and a kind of their own, or by id.
 func TestIndexKeepsSlotsSmall(t *testing.T) {
 	for name, selectorFor := range map[string]func(i int) Selector{
 		"kind":          func(i int) Selector { return Selector{Kinds: []string{fmt.Sprint("k", i)}} },
--- a/internal/selector/selector.go
+++ b/internal/selector/selector.go
@@ -1,6 +1,6 @@
 // Package selector decides which groups a server of the list belongs to. It has the selector of a group and an index of
-// thousands of selectors, so that a server is compared only with the few that may match. It does no I/O, reads no clock,
-// starts no goroutine, and does not depend on the purpose of the groups.
+// thousands of selectors, so that a server is compared only with the few that may match. It does no I/O, reads no
+// clock, starts no goroutine, and does not depend on the purpose of the groups.
 package selector
 
 import (
@@ -10,8 +10,8 @@
 	"pewterrudder/brain"
 )
 
-// Selector matches servers by their attributes. Each key that is not nil must match by at least one of its values. Without
-// keys a selector matches every server. A name may contain one *, which matches any sequence of characters.
+// Selector matches servers by their attributes. Each key that is not nil must match by at least one of its values.
+// Without keys a selector matches every server. A name may contain one *, which matches any sequence of characters.
 type Selector struct {
 	Zones []string
 	Kinds []string
--- a/internal/wire/wire.go
+++ b/internal/wire/wire.go
@@ -1,5 +1,5 @@
-// Package wire implements the simulator's protocol: it translates input lines to events of package brain, and actions of
-// package brain to output lines. Each line is a JSON object.
+// Package wire implements the simulator's protocol: it translates input lines to events of package brain, and actions
+// of package brain to output lines. Each line is a JSON object.
 package wire
 
 import (
