--- a/brain/sight.go
+++ b/brain/sight.go
@@ -2,21 +2,21 @@
 
 import "time"
 
-// Burst tells whoever watches a node what its detector holds: how many candidates a pick is drawn from, and whether a burst
-// is on. It changes nothing.
-func (n *Node) Burst() (k int, on bool) { return n.choices(), n.burst }
+// Burst returns the number of candidates that a pick is drawn from, and whether the detector reports a burst. It has no
+// side effects.
+func (n *Node) Burst() (k int, on bool) { return n.candidateCount(), n.inBurst }
 
-// ServerSight is what a node holds of a server at a moment, for whoever watches.
+// ServerSight is a snapshot of a node's state of one server, for monitoring.
 type ServerSight struct {
 	Known    bool
-	Load     float64       // requests held per size, by the last report
-	Reported time.Duration // when that came; 0: never
-	InFlight int           // of this node's own
-	Ejected  time.Duration // for any class, until then; in the past: not
-	Paused   time.Duration // after refusals, likewise
+	Load     float64       // requests held per size, from the last report
+	Reported time.Duration // when that report arrived; 0: never
+	InFlight int           // this node's attempts
+	Ejected  time.Duration // latest end of an ejection of any class; in the past: not ejected
+	Paused   time.Duration // likewise for pauses after refusals and timeouts
 }
 
-// Sight tells what is held of a server. It changes nothing.
+// Sight returns the node's state of a server; Known is false if it is not listed. It has no side effects.
 func (n *Node) Sight(server string) ServerSight {
 	s := n.byID[server]
 	if s == nil {
@@ -24,7 +24,7 @@
 	}
 	v := ServerSight{Known: true, InFlight: s.inFlight}
 	if s.hasReport {
-		v.Load, v.Reported = s.reported/s.size, s.reportAt
+		v.Load, v.Reported = s.reportedHeld/s.size, s.reportAt
 	}
 	for i := range s.health {
 		v.Ejected, v.Paused = max(v.Ejected, s.health[i].ejectedUntil), max(v.Paused, s.health[i].pausedUntil)
@@ -32,11 +32,11 @@
 	return v
 }
 
-// Avoids says that a node sends a server nothing of any class now: it does not take work by the list, or is left out for its
-// failures or refusals. It changes nothing.
+// Avoids reports whether the node currently sends a server no requests of any class: it is unknown or not ready, its
+// probes fail, or it is ejected or paused. It has no side effects.
 func (n *Node) Avoids(server string) bool {
 	s := n.byID[server]
-	if s == nil || s.State != Ready || s.failedProbes >= silentProbes {
+	if s == nil || s.State != Ready || s.failedProbes >= maxFailedProbes {
 		return true
 	}
 	for i := range s.health {
