--- a/internal/router/selection/backend.go
+++ b/internal/router/selection/backend.go
@@ -9,38 +9,39 @@
 	"pewterrudder/internal/router/prefixcache"
 )
 
-// backend is a service with its instances.
+// backend holds a service's configuration, its instances and what this router has learned of it.
 type backend struct {
-	config      BackendConfig
-	targets     []*target
-	pace        balance.PaceLearner
-	firstByteMs average // time to the first byte
-	missing     average // prompt tokens to read per request
-	promptMs    average // time for which an instance holds a request that is no stream
-	tokenMs     average // time for a token of an answer, of those that the request allows
-	isMixed     bool    // it has no stream set
-	streams     streamSet
-	popular     popularity
-	requestedAt time.Time
-	replicas    map[commonprefix.Key]int // instances that shall keep each common prefix
-	places      []commonprefix.Place     // as agreed, with the instances that hold them now
+	config         BackendConfig
+	targets        []*target
+	performance    balance.PaceLearner
+	firstByteMs    average // time to first byte
+	uncachedTokens average // prompt tokens to prefill, per request
+	nonStreamMs    average // total time of a request that is not a stream
+	outputTokenMs  average // answer time, divided by the output tokens that the request allows
+	isMixed        bool    // streams are not separated: there is no stream set
+	streamSet      streamSet
+	popularity     popularity
+	lastRequestAt  time.Time
+	replicas       map[commonprefix.Key]int // number of instances that should cache each common prefix
+	places         []commonprefix.Place     // places agreed among the routers, each with its current instance
 }
 
-// meanStep is the weight of one sample in an average, once there are enough of them.
-const meanStep = 0.02
+// minSampleWeight is the weight of a new sample in an average once 1/minSampleWeight samples have been seen.
+const minSampleWeight = 0.02
 
-// average is a mean that forgets slowly. The zero value has no samples.
+// average is the plain mean of the first samples and an exponentially weighted moving average after that. The zero
+// value has no samples.
 type average struct {
 	count float64
 	value float64
 }
 
-func (a *average) add(sample float64) {
+func (a *average) addSample(sample float64) {
 	a.count++
-	a.value += max(meanStep, 1/a.count) * (sample - a.value)
+	a.value += max(minSampleWeight, 1/a.count) * (sample - a.value)
 }
 
-// SetInstances takes over a new table of instances. What was learned of an instance stays with its id.
+// SetInstances replaces the instances. An instance whose id was known before keeps its learned state.
 func (s *Selector) SetInstances(snapshot *instances.Snapshot) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
@@ -48,7 +49,7 @@
 	s.rebuild()
 }
 
-// SetBackends takes over what the operator's configuration says of the backends. Only these get requests.
+// SetBackends replaces the configured backends, by name. Other backends are sent no requests.
 func (s *Selector) SetBackends(configs map[string]BackendConfig) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
@@ -56,57 +57,61 @@
 	s.rebuild()
 }
 
-// rebuild puts the instances under the configured backends. A backend keeps what it has learned under its name.
+// rebuild assigns the instances to the configured backends. A backend keeps its learned state by its name.
 func (s *Selector) rebuild() {
 	previous, previousTargets := s.backends, s.byID
 	s.backends = make(map[string]*backend, len(s.configs))
 	s.byID = make(map[string]*target, len(previousTargets))
 	s.byHash = make(map[uint64]*target, len(previousTargets))
-	s.engines = 0
+	s.engineInstances = 0
 	for name, config := range s.configs {
-		known := previous[name]
-		if known == nil {
-			known = &backend{popular: newPopularity(), isMixed: s.options.Mixed}
+		b := previous[name]
+		if b == nil {
+			b = &backend{popularity: newPopularity(), isMixed: s.options.Mixed}
 		}
-		known.config = config
-		known.targets = nil
-		s.backends[name] = known
+		b.config = config
+		b.targets = nil
+		s.backends[name] = b
 		for _, instance := range s.snapshot.Backend(name) {
-			s.place(known, instance, previousTargets[instance.ID])
+			s.addTarget(b, instance, previousTargets[instance.ID])
 		}
-		known.rankForStreams()
+		b.assignStreamRanks()
 	}
-	s.sizeCaches()
-	s.placeCommon()
+	s.resizeCaches()
+	s.applyCommonPrefixes()
 }
 
-func (s *Selector) place(under *backend, instance *instances.Instance, known *target) {
-	if known == nil || known.backend != under {
-		known = newTarget(instance.ID)
+// addTarget adds an instance to its backend. t is the instance's previous state, nil for a new one; it is replaced if
+// it belonged to another backend.
+func (s *Selector) addTarget(b *backend, instance *instances.Instance, t *target) {
+	if t == nil || t.backend != b {
+		t = newTarget(instance.ID)
 	}
-	known.instance, known.backend = instance, under
-	s.byID[instance.ID] = known
-	s.byHash[known.hash] = known
-	if under.config.HasEngine {
-		s.engines++
+	t.instance, t.backend = instance, b
+	s.byID[instance.ID] = t
+	s.byHash[t.hash] = t
+	if b.config.HasEngine {
+		s.engineInstances++
 	}
-	under.targets = append(under.targets, known)
+	b.targets = append(b.targets, t)
 }
 
-// sizeCaches gives each instance's estimate what its running requests leave of the capacity.
-func (s *Selector) sizeCaches() {
+// resizeCaches sets the capacity of all cache estimates. When there are new ones, it fills them from the recent
+// sightings.
+func (s *Selector) resizeCaches() {
 	routers := s.routers()
 	anyNew := false
-	for _, known := range s.byID {
-		anyNew = anyNew || known.cache == nil
-		known.sizeCache(routers)
+	for _, t := range s.byID {
+		anyNew = anyNew || t.cache == nil
+		t.resizeCache(routers)
 	}
-	if anyNew && s.fleetUse != nil {
-		s.heard(s.fleetUse.options.Recent(s.options.Clock()))
+	if anyNew && s.recentBlocks != nil {
+		s.applySightings(s.recentBlocks.options.Recent(s.options.Clock()))
 	}
 }
 
-func (t *target) sizeCache(routers int) {
+// resizeCache sets the capacity of the cache estimate to what running requests leave of the KV cache.
+func (t *target) resizeCache(routers int) {
 	config := &t.backend.config
 	if !config.HasEngine || config.KVCapacity <= 0 {
 		t.cache = nil
--- a/internal/router/selection/candidates.go
+++ b/internal/router/selection/candidates.go
@@ -7,48 +7,49 @@
 	"pewterrudder/internal/router/protocol"
 )
 
-// candidates are the ready instances of the best standing. Instances in doubt are candidates too where they would be
-// more than half: then the fault is likely elsewhere.
-func (s *Selector) candidates(from *backend, request *Request) []*target {
-	var count [standingNever + 1]int
-	open, standings := s.scratch.targets[:0], s.scratch.standings[:0]
-	for _, known := range from.targets {
-		if known.isOpenTo(request) {
-			found := known.standing(request.Now)
-			count[found]++
-			open, standings = append(open, known), append(standings, found)
+// candidates returns the eligible instances with the best health status present. Suspect instances are included if they
+// outnumber the usable ones: then the fault is likely elsewhere. The result is valid until the next call.
+func (s *Selector) candidates(b *backend, request *Request) []*target {
+	var count [statusWrongInstance + 1]int
+	eligible, statuses := s.scratch.targets[:0], s.scratch.statuses[:0]
+	for _, t := range b.targets {
+		if t.accepts(request) {
+			status := t.healthStatus(request.Now)
+			count[status]++
+			eligible, statuses = append(eligible, t), append(statuses, status)
 		}
 	}
-	s.scratch.targets, s.scratch.standings = open, standings
-	worst := worstCandidate(&count)
-	candidates := open[:0]
-	for i, known := range open {
-		if standings[i] <= worst {
-			candidates = append(candidates, known)
+	s.scratch.targets, s.scratch.statuses = eligible, statuses
+	worst := worstAcceptableStatus(&count)
+	candidates := eligible[:0]
+	for i, t := range eligible {
+		if statuses[i] <= worst {
+			candidates = append(candidates, t)
 		}
 	}
 	return candidates
 }
 
-// worstCandidate is the worst standing that is good enough, given how many instances there are of each.
-func worstCandidate(count *[standingNever + 1]int) standing {
-	if count[standingSuspect] > count[standingUsable] {
-		return standingSuspect
+// worstAcceptableStatus returns the worst status of a candidate, given the number of eligible instances by status.
+func worstAcceptableStatus(count *[statusWrongInstance + 1]int) healthStatus {
+	if count[statusSuspect] > count[statusUsable] {
+		return statusSuspect
 	}
-	worst := standingUsable
-	for worst < standingUnreachable && count[worst] == 0 {
+	worst := statusUsable
+	for worst < statusUnreachable && count[worst] == 0 {
 		worst++
 	}
 	return worst
 }
 
-// isOpenTo tells whether the request may be sent to the instance at all.
-func (t *target) isOpenTo(request *Request) bool {
-	return t.instance.Ready() && serves(t.instance, request.Model) && !slices.Contains(request.Excluded, t.instance.ID)
+// accepts reports whether the request may be sent to the instance at all, whatever its health.
+func (t *target) accepts(request *Request) bool {
+	return t.instance.Ready() && servesModel(t.instance, request.Model) && !slices.Contains(request.Excluded, t.instance.ID)
 }
 
-// serves tells whether an instance serves a model. One that names no models serves all.
-func serves(instance *instances.Instance, model string) bool {
+// servesModel reports whether an instance serves a model or LoRA. An instance that lists no models serves all, and an
+// empty model matches every instance.
+func servesModel(instance *instances.Instance, model string) bool {
 	if model == "" || len(instance.Models) == 0 {
 		return true
 	}
--- a/internal/router/selection/choose.go
+++ b/internal/router/selection/choose.go
@@ -7,144 +7,147 @@
 	"pewterrudder/internal/router/prefixcache"
 )
 
-// The way of one pick: the candidates are the ready instances of the best standing; each gets a load figure; the pick is uniform
-// among the K candidates with the lowest figures, and K follows from the burst detector, from what the request is, and from where
-// its prefix is kept.
+// How an instance is picked: the candidates are the ready instances with the best health status; each is given a cost;
+// the pick is uniform among the K candidates with the lowest costs. K depends on the burst detector, on the kind of
+// request, and on which instances cache its prefix.
 
-// scratch is memory that one choice leaves for the next.
+// scratch holds slices that are reused from one pick to the next.
 type scratch struct {
-	targets   []*target
-	standings []standing
-	missing   []int
-	figures   []float64
-	homes     []home
+	targets        []*target
+	statuses       []healthStatus
+	uncachedTokens []int
+	costs          []float64
+	homes          []home
 }
 
-// choice is what one pick goes by.
-type choice struct {
-	from        *backend
-	request     *Request
-	modelHash   uint64
-	pace        balance.Pace
-	waitTime    time.Duration // for a first byte
-	serviceTime time.Duration // for which a request holds its slot
-	outputMs    float64       // time that the answer is expected to take from its first token on
-	isStream    bool
-	unknown     meanLoad
-	expected    expectation
-	wasteless   int // candidates that would read nothing that others have read of late
+// pickContext is the input of one pick that does not depend on the candidate.
+type pickContext struct {
+	backend           *backend
+	request           *Request
+	modelHash         uint64
+	performance       balance.Pace
+	waitTime          time.Duration // mean time to first byte
+	serviceTime       time.Duration // mean time for which a request holds a slot
+	outputMs          float64       // expected time from the first token of the answer to its last
+	isStream          bool
+	defaultLoad       meanLoad
+	expected          cacheExpectation
+	withoutDuplicates int // candidates that would not prefill again what another instance prefilled recently
 }
 
-// choose picks the instance for a request, with the prompt tokens that it is expected to read.
-func (s *Selector) choose(from *backend, request *Request) (*target, int) {
-	c := s.newChoice(from, request)
-	candidates := s.candidates(from, request)
+// chooseTarget picks the instance for a request and returns it with the prompt tokens that it is expected to prefill.
+// It returns nil if there is no candidate.
+func (s *Selector) chooseTarget(b *backend, request *Request) (*target, int) {
+	c := s.newPickContext(b, request)
+	candidates := s.candidates(b, request)
 	if len(candidates) == 0 {
 		return nil, 0
 	}
-	s.rate(&c, candidates)
-	at := balance.Choose(s.scratch.figures, s.width(&c, len(candidates)), s.random())
-	return candidates[at], s.scratch.missing[at]
+	s.computeCosts(&c, candidates)
+	index := balance.Choose(s.scratch.costs, s.pickWidth(&c, len(candidates)), s.random())
+	return candidates[index], s.scratch.uncachedTokens[index]
 }
 
-func (s *Selector) newChoice(from *backend, request *Request) choice {
-	pace := from.pace.Pace(from.config.HasEngine)
-	from.refreshStreamSet(request.Now, pace)
-	return choice{
-		from:        from,
+func (s *Selector) newPickContext(b *backend, request *Request) pickContext {
+	performance := b.performance.Pace(b.config.HasEngine)
+	b.updateStreamSet(request.Now, performance)
+	return pickContext{
+		backend:     b,
 		request:     request,
 		modelHash:   prefixcache.HashModel(request.Model),
-		pace:        pace,
-		waitTime:    milliseconds(from.firstByteMs.value),
-		serviceTime: milliseconds(pace.ServiceMs),
-		outputMs:    from.outputMs(request),
-		isStream:    from.isStream(request, pace),
-		unknown:     from.meanLoad(),
+		performance: performance,
+		waitTime:    fromMilliseconds(b.firstByteMs.value),
+		serviceTime: fromMilliseconds(performance.ServiceMs),
+		outputMs:    b.outputMs(request),
+		isStream:    b.isStream(request, performance),
+		defaultLoad: b.meanLoad(),
 	}
 }
 
-// rate fills the scratch with the figures of the candidates and the tokens that each would read, and counts the candidates that
-// would read nothing that others have read of late.
-func (s *Selector) rate(c *choice, candidates []*target) {
-	c.expected = s.expectKept(c, candidates)
-	s.scratch.figures, s.scratch.missing = s.scratch.figures[:0], s.scratch.missing[:0]
-	for _, known := range candidates {
-		rated := s.describe(c, known)
-		if rated.MissingShared == 0 {
-			c.wasteless++
+// computeCosts fills the scratch with each candidate's cost and uncached tokens, and sets c.expected and
+// c.withoutDuplicates.
+func (s *Selector) computeCosts(c *pickContext, candidates []*target) {
+	c.expected = s.expectCached(c, candidates)
+	s.scratch.costs, s.scratch.uncachedTokens = s.scratch.costs[:0], s.scratch.uncachedTokens[:0]
+	for _, t := range candidates {
+		candidate := s.balanceCandidate(c, t)
+		if candidate.MissingShared == 0 {
+			c.withoutDuplicates++
 		}
-		s.scratch.figures = append(s.scratch.figures, s.weights.Figure(&rated, c.pace))
-		s.scratch.missing = append(s.scratch.missing, int(rated.MissingTokens))
+		s.scratch.costs = append(s.scratch.costs, s.weights.Figure(&candidate, c.performance))
+		s.scratch.uncachedTokens = append(s.scratch.uncachedTokens, int(candidate.MissingTokens))
 	}
 }
 
-// describe is what is known of an instance for this request.
-func (s *Selector) describe(c *choice, known *target) balance.Candidate {
-	streamShare := c.from.streams.worth * known.streamShare(c.from.streamSpace())
+// balanceCandidate gathers what is known of an instance with regard to this request. An instance whose load is not
+// known counts with the mean load of the others.
+func (s *Selector) balanceCandidate(c *pickContext, t *target) balance.Candidate {
+	streamShare := c.backend.streamSet.separation * t.streamSetShare(c.backend.streamRange())
 	holdMs := c.outputMs * streamShare
-	queued, held := c.unknown.queued, c.unknown.held
-	if known.load.isKnown {
-		queued, held = known.load.at(c.request.Now, c.waitTime, max(c.serviceTime, milliseconds(holdMs)))
+	queued, inFlight := c.defaultLoad.queued, c.defaultLoad.inFlight
+	if t.load.isKnown {
+		queued, inFlight = t.load.estimateAt(c.request.Now, c.waitTime, max(c.serviceTime, fromMilliseconds(holdMs)))
 	}
-	described := balance.Candidate{
-		Queued:        queued + float64(known.own.waiting),
-		Running:       held - queued + float64(known.own.running),
-		Slots:         float64(known.slots()),
+	candidate := balance.Candidate{
+		Queued:        queued + float64(t.own.waiting),
+		Running:       inFlight - queued + float64(t.own.running),
+		Slots:         float64(t.slots()),
 		HoldMs:        holdMs,
-		PendingTokens: queued*c.from.missing.value + float64(known.own.pendingTokens),
+		PendingTokens: queued*c.backend.uncachedTokens.value + float64(t.own.pendingTokens),
 		OutputMs:      c.outputMs,
-		ReadingShare:  c.from.streams.reading * (1 - streamShare),
-		Slowness:      known.slowness,
+		ReadingShare:  c.backend.streamSet.prefillShare * (1 - streamShare),
+		Slowness:      t.slowness,
 		RequestKB:     float64(c.request.Bytes) / 1000,
-		OtherZone:     s.options.Zone != "" && known.instance.Zone != s.options.Zone,
+		OtherZone:     s.options.Zone != "" && t.instance.Zone != s.options.Zone,
 	}
-	if known.cache != nil {
-		described.MissingTokens, described.MissingShared = known.missing(c.request, c.modelHash, &c.expected)
+	if t.cache != nil {
+		candidate.MissingTokens, candidate.MissingShared = t.uncachedTokens(c.request, c.modelHash, &c.expected)
 	}
-	return described
+	return candidate
 }
 
-// width is K, the number of least loaded candidates among which the pick is uniform. A stream goes to one of the less loaded half of
-// the stream set. Of requests that share a prefix, a burst widens the pick no further than there are instances that keep the prefix
-// or are presumed to, since another one would read it again; for one that many ask for it is half of these, so that routers
-// that know the same loads do not all take the same instance.
-func (s *Selector) width(c *choice, candidates int) int {
+// pickWidth returns K, the number of least loaded candidates among which the pick is uniform. A stream goes to one of
+// the less loaded half of the instances that streams may use. For requests that share a prefix, a burst widens the pick
+// to no more than the instances that cache the prefix or are presumed to, since another one would prefill it again. For
+// a popular prefix K is half of its homes, so that routers with the same load reports do not all pick the same
+// instance.
+func (s *Selector) pickWidth(c *pickContext, candidates int) int {
 	widths := s.options.Widths
 	if c.isStream {
-		return min(candidates, max(c.from.streamWidth(), widths.Rest))
+		return min(candidates, max(c.backend.streamPickWidth(), widths.Rest))
 	}
-	if !c.from.sharesPrefix(c.request) {
+	if !c.backend.sharesPrefix(c.request) {
 		return widths.K(candidates, s.isBurst, false)
 	}
-	if popular := c.expected.homes.popular; popular > 1 {
-		return max(widths.Rest, popular/2)
+	if byPopularity := c.expected.homes.byPopularity; byPopularity > 1 {
+		return max(widths.Rest, byPopularity/2)
 	}
-	return min(widths.K(candidates, s.isBurst, true), max(widths.Rest, c.wasteless))
+	return min(widths.K(candidates, s.isBurst, true), max(widths.Rest, c.withoutDuplicates))
 }
 
-// sharesPrefix tells whether instances keep parts of the prompt that other requests share.
+// sharesPrefix reports whether instances cache parts of the prompt that other requests may share.
 func (b *backend) sharesPrefix(request *Request) bool {
 	return b.config.HasEngine && len(prefixcache.Shared(request.Prefix)) > 0
 }
 
-// meanLoad is the load that an instance without a figure counts at: the mean of the others.
+// meanLoad is the mean load of the instances whose load is known. It stands for the load of the others.
 type meanLoad struct {
-	queued float64
-	held   float64
+	queued   float64
+	inFlight float64
 }
 
 func (b *backend) meanLoad() meanLoad {
 	var mean meanLoad
 	count := 0.0
-	for _, known := range b.targets {
-		if known.load.isKnown {
+	for _, t := range b.targets {
+		if t.load.isKnown {
 			count++
-			mean.queued += (known.load.meanQueued - mean.queued) / count
-			mean.held += (known.load.meanHeld - mean.held) / count
+			mean.queued += (t.load.meanQueued - mean.queued) / count
+			mean.inFlight += (t.load.meanInFlight - mean.inFlight) / count
 		}
 	}
 	return mean
 }
 
-// since is the time that has passed, 0 for a time that lies ahead.
+// since returns the time that has passed from then to now, 0 if then is later.
 func since(now, then time.Time) time.Duration { return max(0, now.Sub(then)) }
--- a/internal/router/selection/common_test.go
+++ b/internal/router/selection/commonprefixes_test.go
@@ -14,7 +14,8 @@
 
 const commonSeed = 5
 
-// commonSet holds one prefix with the given share of the backend "b", and a place for each instance.
+// commonSet returns a set with one prefix, which has the given share of the traffic of backend "b", and a place for
+// each instance.
 func commonSet(chain uint64, share int, ids ...string) *commonprefix.Set {
 	request := engineRequest(chain, 0, testStart)
 	shared := prefixcache.Shared(request.Prefix)
@@ -42,8 +43,8 @@
 
 var commonConfig = BackendConfig{HasEngine: true, KVCapacity: 1_000_000, Slots: testSlots}
 
-// homeOf is where a router that has sent nothing yet sends a prefix.
-func homeOf(t *testing.T, set *commonprefix.Set, chain uint64, ids ...string) string {
+// selectedHome returns the id of the instance to which a router that has sent no requests yet sends a prefix.
+func selectedHome(t *testing.T, set *commonprefix.Set, chain uint64, ids ...string) string {
 	t.Helper()
 	s := newTestSelector(commonConfig, ids...)
 	if set != nil {
@@ -52,13 +53,13 @@
 	return mustSelect(t, s, engineRequest(chain, 1, testStart)).Instance().ID
 }
 
-func TestAReplacementTakesOverThePrefixesOfItsPlaceAndNoOthers(t *testing.T) {
+func TestReplacementInheritsOnlyThePrefixesOfItsPlace(t *testing.T) {
 	ids := instanceIDs(12)
 	set := commonSet(0, 1, ids...)
 	replaced := append([]string{"new"}, ids[1:]...)
 	moved := 0
 	for chain := range uint64(300) {
-		before, after := homeOf(t, set, chain, ids...), homeOf(t, set, chain, replaced...)
+		before, after := selectedHome(t, set, chain, ids...), selectedHome(t, set, chain, replaced...)
 		if before == ids[0] {
 			moved++
 			assert.Equal(t, after, "new")
@@ -69,31 +70,31 @@
 	assert.Assert(t, moved > 0)
 }
 
-func TestAnInstanceWithoutAPlaceIsNoHome(t *testing.T) {
+func TestInstanceWithoutPlaceIsNotAHome(t *testing.T) {
 	ids := instanceIDs(4)
 	set := commonSet(0, 1, ids...)
 	for chain := range uint64(100) {
-		assert.Equal(t, homeOf(t, set, chain, append(ids, "new")...), homeOf(t, set, chain, ids...))
+		assert.Equal(t, selectedHome(t, set, chain, append(ids, "new")...), selectedHome(t, set, chain, ids...))
 	}
 }
 
-func TestAgreedReplicasArePresumedToKeepThePrefix(t *testing.T) {
+func TestAgreedReplicasArePresumedToCacheThePrefix(t *testing.T) {
 	ids := instanceIDs(8)
 	s := newTestSelector(commonConfig, ids...)
 	set := commonSet(1, commonprefix.ShareUnits/4, ids...)
 	s.SetCommonPrefixes(set)
 	request := engineRequest(1, 1, testStart)
-	from := s.backends["b"]
-	c := s.newChoice(from, &request)
-	found := s.homesOf(&c, from.targets)
-	kept := map[bool]int{}
-	for _, known := range from.targets {
-		kept[found.keeps(known)]++
+	b := s.backends["b"]
+	c := s.newPickContext(b, &request)
+	homes := s.rankHomes(&c, b.targets)
+	cached := map[bool]int{}
+	for _, candidate := range b.targets {
+		cached[homes.contains(candidate)]++
 	}
-	assert.DeepEqual(t, kept, map[bool]int{true: 2, false: 6})
+	assert.DeepEqual(t, cached, map[bool]int{true: 2, false: 6})
 	assert.Equal(t, len(s.CommonHomes(set.Prefixes[0])), 2)
 	for _, id := range s.CommonHomes(set.Prefixes[0]) {
-		assert.Assert(t, found.keeps(s.byID[id]))
+		assert.Assert(t, homes.contains(s.byID[id]))
 	}
 }
 
@@ -115,11 +116,11 @@
 	assert.Assert(t, uses["a"].TokensReadAgain > 0)
 }
 
-func TestAnEmptySetChangesNoPick(t *testing.T) {
+func TestEmptySetChangesNoPick(t *testing.T) {
 	ids := instanceIDs(5)
 	for chain := range uint64(50) {
 		empty := &commonprefix.Set{Version: 1, Seed: commonSeed}
-		assert.Equal(t, homeOf(t, empty, chain, ids...), homeOf(t, nil, chain, ids...))
+		assert.Equal(t, selectedHome(t, empty, chain, ids...), selectedHome(t, nil, chain, ids...))
 	}
 }
 
@@ -143,20 +144,20 @@
 	}
 }
 
-func TestABurstIsWidenedToTheInstancesThatKeepThePrefix(t *testing.T) {
+func TestBurstWidthIsLimitedToInstancesThatCacheThePrefix(t *testing.T) {
 	ids := instanceIDs(8)
 	s := New(Options{Detector: constantDetector{burst: true}})
 	s.SetBackends(map[string]BackendConfig{"b": commonConfig})
 	s.SetInstances(testSnapshot(ids...))
-	from := s.backends["b"]
+	b := s.backends["b"]
 	widthOf := func(request Request) int {
 		s.noteArrival(&request)
 		s.isBurst = true
-		c := s.newChoice(from, &request)
-		s.rate(&c, from.targets)
-		return s.width(&c, len(from.targets))
+		c := s.newPickContext(b, &request)
+		s.computeCosts(&c, b.targets)
+		return s.pickWidth(&c, len(b.targets))
 	}
-	assert.Equal(t, widthOf(engineRequest(1, 1, testStart)), 1, "without an agreement")
+	assert.Equal(t, widthOf(engineRequest(1, 1, testStart)), 1, "without an agreed set")
 	s.SetCommonPrefixes(commonSet(1, commonprefix.ShareUnits/2, ids...))
 	assert.Equal(t, widthOf(engineRequest(1, 1, testStart)), 2)
 	assert.Equal(t, widthOf(engineRequest(2, 1, testStart)), 1, "a prefix that is not common")
--- a/internal/router/selection/commonuse.go
+++ b/internal/router/selection/commonuse.go
@@ -8,33 +8,34 @@
 	"pewterrudder/internal/router/prefixcache"
 )
 
-// maxCommonUse bounds the tenants whose use of common prefixes is counted.
-const maxCommonUse = 512
+// maxCommonUseTenants limits the tenants whose use of common prefixes is counted.
+const maxCommonUseTenants = 512
 
 // CommonUse counts a tenant's requests that carried a common prefix.
 type CommonUse struct {
 	Requests        uint64
-	Hits            uint64 // sent to an instance that this router had sent the prefix to before
-	TokensReadAgain uint64 // of the prefix, on the others
+	Hits            uint64 // sent to an instance that is estimated to cache the prefix
+	TokensReadAgain uint64 // tokens of the prefix that the other requests had to prefill
 }
 
-// noteCommon counts a pick for a request with a common prefix.
-func (s *Selector) noteCommon(from *backend, chosen *target, request *Request) {
-	if chosen.cache == nil || len(from.replicas) == 0 {
+// countCommonUse counts a pick if its request begins with a common prefix. It is called before the pick is entered into
+// the cache estimate.
+func (s *Selector) countCommonUse(b *backend, chosen *target, request *Request) {
+	if chosen.cache == nil || len(b.replicas) == 0 {
 		return
 	}
 	shared := prefixcache.Shared(request.Prefix)
-	if !from.isCommon(s.common.Seed, request, shared) {
+	if !b.isCommon(s.commonPrefixes.Seed, request, shared) {
 		return
 	}
-	use := s.commonUseOf(request.Tenant)
+	use := s.commonUseFor(request.Tenant)
 	if use == nil {
 		return
 	}
 	use.Requests++
-	missing := chosen.cache.Missing(prefixcache.HashModel(request.Model), shared)
-	use.TokensReadAgain += uint64(missing)
-	if missing == 0 {
+	uncached := chosen.cache.Missing(prefixcache.HashModel(request.Model), shared)
+	use.TokensReadAgain += uint64(uncached)
+	if uncached == 0 {
 		use.Hits++
 	}
 }
@@ -44,16 +45,17 @@
 	return found
 }
 
-func (s *Selector) commonUseOf(tenant string) *CommonUse {
+// commonUseFor finds or adds a tenant's counts. It returns nil if there are too many tenants.
+func (s *Selector) commonUseFor(tenant string) *CommonUse {
 	use := s.commonUse[tenant]
-	if use == nil && len(s.commonUse) < maxCommonUse {
+	if use == nil && len(s.commonUse) < maxCommonUseTenants {
 		use = &CommonUse{}
 		s.commonUse[tenant] = use
 	}
 	return use
 }
 
-// CommonUses returns the counts by tenant.
+// CommonUses returns the use of common prefixes by tenant.
 func (s *Selector) CommonUses() map[string]CommonUse {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
@@ -64,24 +66,24 @@
 	return uses
 }
 
-// CommonHomes lists the ids of the instances that shall keep a common prefix, the first in rank first.
+// CommonHomes lists the ids of the instances that should cache a common prefix, best ranked first.
 func (s *Selector) CommonHomes(common commonprefix.Common) []string {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
-	from := s.backends[common.Backend]
-	if from == nil {
+	b := s.backends[common.Backend]
+	if b == nil {
 		return nil
 	}
 	var ranked []home
-	for _, known := range from.targets {
-		if known.instance.Ready() && known.isHome {
-			weight := known.homeWeight(common.Home)
-			ranked = insertHome(ranked, max(1, from.replicas[common.Key]), home{target: known, weight: weight})
+	for _, t := range b.targets {
+		if t.instance.Ready() && t.canBeHome {
+			score := t.homeScore(common.Home)
+			ranked = insertHome(ranked, max(1, b.replicas[common.Key]), home{target: t, score: score})
 		}
 	}
 	ids := make([]string, 0, len(ranked))
-	for _, found := range ranked {
-		ids = append(ids, found.target.instance.ID)
+	for _, entry := range ranked {
+		ids = append(ids, entry.target.instance.ID)
 	}
 	return slices.Clip(ids)
 }
--- a/internal/router/selection/expectation.go
+++ b/internal/router/selection/expectation.go
@@ -2,41 +2,45 @@
 
 import "pewterrudder/internal/router/prefixcache"
 
-// expectation is what is expected of all candidates' caches for one request, beside what this router sent to each.
-type expectation struct {
-	homes homes
-	// used counts the leading shared blocks that some instance has read of late: reading them again at another is waste.
+// cacheExpectation describes what the candidates' caches hold of one request's prompt, apart from what this router's
+// own requests have put there.
+type cacheExpectation struct {
+	homes homes // instances presumed to cache all shared blocks
+	// used counts the leading shared blocks that some instance has prefilled recently: to prefill them again on another
+	// is duplicate work.
 	used int
-	// common counts the leading shared blocks that each instance has, or soon will have, since so many requests begin with them.
-	common int
+	// frequent counts the leading shared blocks that each instance has cached or soon will have, since so many requests
+	// begin with them.
+	frequent int
 }
 
-// expectKept goes by what the other routers tell. Where they tell nothing, all shared blocks count as read, at their homes.
-func (s *Selector) expectKept(c *choice, candidates []*target) expectation {
+// expectCached goes by the sightings of the other routers. Without these, all shared blocks are presumed to be cached
+// by their homes.
+func (s *Selector) expectCached(c *pickContext, candidates []*target) cacheExpectation {
 	shared, now := prefixcache.Shared(c.request.Prefix), c.request.Now
-	if s.fleetUse.isKnown(now) {
-		return expectation{
-			used:   s.fleetUse.depth(now, c.modelHash, shared),
-			common: s.fleetUse.common(now, c.modelHash, shared),
+	if s.recentBlocks.isCurrent(now) {
+		return cacheExpectation{
+			used:     s.recentBlocks.usedDepth(now, c.modelHash, shared),
+			frequent: s.recentBlocks.frequentDepth(now, c.modelHash, shared),
 		}
 	}
-	return expectation{homes: s.homesOf(c, candidates), used: len(shared)}
+	return cacheExpectation{homes: s.rankHomes(c, candidates), used: len(shared)}
 }
 
-// missing estimates the prompt tokens that the instance would read for a request, and how many of them others have read of
-// late. A home is presumed to keep all shared blocks.
-func (t *target) missing(request *Request, modelHash uint64, expected *expectation) (total, again float64) {
-	kept := max(expected.common, t.cache.Kept(modelHash, request.Prefix))
+// uncachedTokens estimates the prompt tokens that the instance would have to prefill for a request, and how many of
+// them duplicate a recent prefill on another instance. A home is presumed to cache all shared blocks.
+func (t *target) uncachedTokens(request *Request, modelHash uint64, expected *cacheExpectation) (total, duplicate float64) {
+	cached := max(expected.frequent, t.cache.Kept(modelHash, request.Prefix))
 	sharedBlocks := prefixcache.Shared(request.Prefix)
-	from := min(kept, len(sharedBlocks))
-	if expected.homes.keeps(t) {
-		from = len(sharedBlocks)
+	firstUncached := min(cached, len(sharedBlocks))
+	if expected.homes.contains(t) {
+		firstUncached = len(sharedBlocks)
 	}
-	shared := prefixcache.Tokens(sharedBlocks[from:])
-	waste := prefixcache.Tokens(sharedBlocks[from:max(from, expected.used)])
-	last := request.PromptTokens - prefixcache.Tokens(sharedBlocks)
-	if kept == len(request.Prefix) && kept > 0 {
-		last = request.PromptTokens - prefixcache.Tokens(request.Prefix)
+	uncachedShared := prefixcache.Tokens(sharedBlocks[firstUncached:])
+	duplicateTokens := prefixcache.Tokens(sharedBlocks[firstUncached:max(firstUncached, expected.used)])
+	other := request.PromptTokens - prefixcache.Tokens(sharedBlocks)
+	if cached == len(request.Prefix) && cached > 0 {
+		other = request.PromptTokens - prefixcache.Tokens(request.Prefix)
 	}
-	return float64(shared + max(0, last)), float64(waste)
+	return float64(uncachedShared + max(0, other)), float64(duplicateTokens)
 }
--- a/internal/router/selection/health.go
+++ b/internal/router/selection/health.go
@@ -3,123 +3,125 @@
 import "time"
 
 const (
-	firstPause    = 300 * time.Millisecond // after an unreachable instance's first failure, doubled at each further
-	longestPause  = 3 * time.Second
-	fullPause     = 150 * time.Millisecond // after a rejection
-	errorStep     = 0.15                   // weight of one outcome in an instance's error share
-	ejectionFloor = 0.5                    // error share below which none is ejected
-	ejectionRatio = 2.5                    // times the mean error share of the others
-	firstEjection = time.Second            // doubled at each relapse
-	longEjection  = 8 * time.Second
-	stallFloor    = 250 * time.Millisecond // shortest silence that counts as one
-	stallRatio    = 6                      // times the mean wait for a first byte
-	unknownStall  = time.Second            // before that mean is known
-	maxDoublings  = 5
+	initialBackoff       = 300 * time.Millisecond // after a first failure to connect; doubles with each further one
+	maxBackoff           = 3 * time.Second
+	fullBackoff          = 150 * time.Millisecond // after a rejection
+	errorSampleWeight    = 0.15                   // weight of one outcome in an instance's error rate
+	minEjectionErrorRate = 0.5                    // error rate below which no instance is ejected
+	ejectionErrorRatio   = 2.5                    // an ejected instance's error rate is at least this multiple of the others' mean
+	initialEjection      = time.Second            // doubles with each further ejection
+	maxEjection          = 8 * time.Second
+	minStallTime         = 250 * time.Millisecond // least stall time
+	stallTimeRatio       = 6                      // stall time as a multiple of the mean time to first byte
+	defaultStallTime     = time.Second            // stall time before that mean is known
+	maxDoublings         = 5                      // of a backoff or an ejection
 )
 
-// health is this router's own evidence of an instance's failures.
+// health is this router's own evidence of an instance's failures. It is not shared with other routers.
 type health struct {
-	wrongInstance    bool // another incarnation answers at its address
+	wrongInstance    bool // another incarnation answered at its address
 	unreachableUntil time.Time
 	ejectedUntil     time.Time
 	fullUntil        time.Time
-	pauses           int
+	backoffs         int
 	ejections        int
-	errorShare       float64
-	onTrial          bool      // back from a pause and not proven yet: one request at a time
-	aliveAt          time.Time // of its last answer, or when it was sent a request after a rest
+	errorRate        float64
+	isHalfOpen       bool      // unproven since its last backoff: it is sent one request at a time
+	lastAliveAt      time.Time // time of its last answer, or of the request that ended an idle period
 }
 
-// standing ranks instances by what the evidence says; a higher one is sent requests only where no lower one is left.
-type standing int
+// healthStatus ranks instances by their health. An instance of a higher status is sent requests only if there is none
+// of a lower status.
+type healthStatus int
 
 const (
-	standingUsable standing = iota
-	standingSuspect
-	standingFull
-	standingUnreachable
-	standingNever
+	statusUsable        healthStatus = iota
+	statusSuspect                    // ejected or stalled
+	statusFull                       // rejected a request recently
+	statusUnreachable                // backing off, or half-open with a request waiting
+	statusWrongInstance              // never picked
 )
 
-func (t *target) standing(now time.Time) standing {
+func (t *target) healthStatus(now time.Time) healthStatus {
 	h := &t.health
 	switch {
 	case h.wrongInstance:
-		return standingNever
+		return statusWrongInstance
 	case now.Before(h.unreachableUntil):
-		return standingUnreachable
-	case h.onTrial && t.own.waiting > 0:
-		return standingUnreachable
+		return statusUnreachable
+	case h.isHalfOpen && t.own.waiting > 0:
+		return statusUnreachable
 	case now.Before(h.fullUntil):
-		return standingFull
-	case now.Before(h.ejectedUntil), t.stalled(now):
-		return standingSuspect
+		return statusFull
+	case now.Before(h.ejectedUntil), t.isStalled(now):
+		return statusSuspect
 	}
-	return standingUsable
+	return statusUsable
 }
 
-// stalled tells that requests wait there and no sign of life has come for long.
-func (t *target) stalled(now time.Time) bool {
-	return t.own.waiting > 0 && now.Sub(t.health.aliveAt) > t.backend.stallTime()
+// isStalled reports whether requests are waiting at the instance and it has shown no sign of life for the stall time.
+func (t *target) isStalled(now time.Time) bool {
+	return t.own.waiting > 0 && now.Sub(t.health.lastAliveAt) > t.backend.stallTime()
 }
 
-// stallTime is the silence after which an instance with requests under way is in doubt.
+// stallTime returns the silence after which an instance with waiting requests is suspect.
 func (b *backend) stallTime() time.Duration {
-	if b.firstByteMs.count < 1/meanStep {
-		return unknownStall
+	if b.firstByteMs.count < 1/minSampleWeight {
+		return defaultStallTime
 	}
-	return max(stallFloor, milliseconds(stallRatio*b.firstByteMs.value))
+	return max(minStallTime, fromMilliseconds(stallTimeRatio*b.firstByteMs.value))
 }
 
-func milliseconds(ms float64) time.Duration { return time.Duration(ms * float64(time.Millisecond)) }
+func fromMilliseconds(ms float64) time.Duration { return time.Duration(ms * float64(time.Millisecond)) }
 
-// alive notes a sign of life.
-func (h *health) alive(now time.Time) {
-	h.aliveAt = now
+// noteAlive records a sign of life, which ends a backoff and resets its length.
+func (h *health) noteAlive(now time.Time) {
+	h.lastAliveAt = now
 	h.unreachableUntil = time.Time{}
-	h.pauses = 0
-	h.onTrial = false
+	h.backoffs = 0
+	h.isHalfOpen = false
 }
 
-// pause leaves an unreachable instance out for a while that grows from one failure to the next. What failed together
-// counts once.
-func (h *health) pause(now time.Time) {
+// backOff marks the instance as unreachable for a time that doubles with each failure, up to maxBackoff. Failures
+// during a backoff do not count, so that requests that fail together count once.
+func (h *health) backOff(now time.Time) {
 	if now.Before(h.unreachableUntil) {
 		return
 	}
-	h.unreachableUntil = now.Add(min(firstPause<<min(h.pauses, maxDoublings), longestPause))
-	h.pauses++
-	h.onTrial = true
+	h.unreachableUntil = now.Add(min(initialBackoff<<min(h.backoffs, maxDoublings), maxBackoff))
+	h.backoffs++
+	h.isHalfOpen = true
 }
 
-// noteError enters a failed or successful outcome and ejects the instance where its errors stand out.
-func (t *target) noteError(now time.Time, failed bool) {
+// updateErrorRate adds an outcome to the error rate. A failure ejects the instance for a while if its error rate stands
+// out from the other instances'.
+func (t *target) updateErrorRate(now time.Time, failed bool) {
 	h := &t.health
 	sample := 0.0
 	if failed {
 		sample = 1
 	}
-	h.errorShare += errorStep * (sample - h.errorShare)
+	h.errorRate += errorSampleWeight * (sample - h.errorRate)
 	if !failed {
-		if h.errorShare < ejectionFloor/4 {
+		if h.errorRate < minEjectionErrorRate/4 {
 			h.ejections = 0
 		}
 		return
 	}
-	if h.errorShare < ejectionFloor || h.errorShare < ejectionRatio*t.backend.errorShareBeside(t) {
+	if h.errorRate < minEjectionErrorRate || h.errorRate < ejectionErrorRatio*t.backend.meanErrorRateExcept(t) {
 		return
 	}
-	h.ejectedUntil = now.Add(min(firstEjection<<min(h.ejections, maxDoublings), longEjection))
+	h.ejectedUntil = now.Add(min(initialEjection<<min(h.ejections, maxDoublings), maxEjection))
 	h.ejections++
-	h.errorShare = 0
+	h.errorRate = 0
 }
 
-// errorShareBeside is the mean error share of the backend's other instances.
-func (b *backend) errorShareBeside(without *target) float64 {
+// meanErrorRateExcept returns the mean error rate of the backend's other instances, 0 if there are none.
+func (b *backend) meanErrorRateExcept(excluded *target) float64 {
 	sum, count := 0.0, 0
 	for _, other := range b.targets {
-		if other != without {
-			sum += other.health.errorShare
+		if other != excluded {
+			sum += other.health.errorRate
 			count++
 		}
 	}
--- a/internal/router/selection/home.go
+++ b/internal/router/selection/home.go
@@ -7,69 +7,69 @@
 	"pewterrudder/internal/router/prefixcache"
 )
 
-// home is an instance that all routers presume to keep a prompt's shared blocks.
+// home is an instance that all routers presume to cache a prompt's shared blocks, and its rank among the candidates.
 type home struct {
 	target *target
-	weight float64
+	score  float64 // higher ranks first
 }
 
-// homes are the instances that all routers presume to keep a prompt's shared blocks, without any request from here, because all
-// routers send such prompts to them.
+// homes are the instances that all routers presume to cache a prompt's shared blocks, because all routers send such
+// prompts to them. The presumption holds even if this router has sent them none.
 type homes struct {
-	ranked  []home
-	popular int // homes that the prefix has because many ask for it; at least 1
+	ranked       []home
+	byPopularity int // number of homes that the popularity of the prefix asks for, at least 1
 }
 
-func (h *homes) keeps(known *target) bool {
-	return slices.ContainsFunc(h.ranked, func(home home) bool { return home.target == known })
+func (h *homes) contains(t *target) bool {
+	return slices.ContainsFunc(h.ranked, func(home home) bool { return home.target == t })
 }
 
-// homesOf ranks the candidates for the request's last shared block. A prefix has one home, unless many ask for it or the routers
-// agreed on more.
-func (s *Selector) homesOf(c *choice, candidates []*target) homes {
+// rankHomes ranks the candidates as homes of the request's last shared block and returns the best. A prefix has one
+// home, unless it is popular or the routers agreed on more replicas.
+func (s *Selector) rankHomes(c *pickContext, candidates []*target) homes {
 	key, ok := prefixcache.HomeKey(c.modelHash, c.request.Prefix)
 	if !ok || s.options.NoHomes {
 		return homes{}
 	}
-	popular := c.from.popular.homes(c.request.Now, key, len(candidates))
-	replicas := max(popular, s.replicas(c.from, c.request))
+	byPopularity := c.backend.popularity.homeCount(c.request.Now, key, len(candidates))
+	replicas := max(byPopularity, s.replicas(c.backend, c.request))
 	ranked := s.scratch.homes[:0]
-	for _, known := range candidates {
-		if known.isHome {
-			ranked = insertHome(ranked, replicas, home{target: known, weight: known.homeWeight(key)})
+	for _, t := range candidates {
+		if t.canBeHome {
+			ranked = insertHome(ranked, replicas, home{target: t, score: t.homeScore(key)})
 		}
 	}
 	s.scratch.homes = ranked
-	return homes{ranked: ranked, popular: popular}
+	return homes{ranked: ranked, byPopularity: byPopularity}
 }
 
-// homeWeight ranks the instance as a home by weighted rendezvous hashing: its chance to be the first is in proportion to its share
-// of homes, and few homes move when the share of one instance changes.
-func (t *target) homeWeight(key prefixcache.Key) float64 {
+// homeScore ranks the instance as a home of a key by weighted rendezvous hashing: its chance to rank first is
+// proportional to its homeShare, and few homes move when one instance's share changes.
+func (t *target) homeScore(key prefixcache.Key) float64 {
 	uniform := (float64(prefixcache.HomeWeight(t.homeHash, key)>>uniformShift) + 0.5) / (1 << uniformBits)
 	return t.homeShare() / -math.Log(uniform)
 }
 
 const (
-	uniformBits  = 53 // what a float64 holds of a hash
+	uniformBits  = 53 // bits of a hash that a float64 can hold
 	uniformShift = 64 - uniformBits
 )
 
-// insertHome puts an instance in its place among at most so many.
-func insertHome(ranked []home, places int, found home) []home {
-	at := len(ranked)
-	if at == places {
-		at--
-		if found.weight <= ranked[at].weight {
+// insertHome inserts a home into a list that is sorted by descending score and keeps the best ones, at most limit.
+func insertHome(ranked []home, limit int, added home) []home {
+	position := len(ranked)
+	if position == limit {
+		position--
+		if added.score <= ranked[position].score {
 			return ranked
 		}
 	} else {
-		ranked = append(ranked, found)
+		ranked = append(ranked, added)
 	}
-	for at > 0 && found.weight > ranked[at-1].weight {
-		ranked[at] = ranked[at-1]
-		at--
+	for position > 0 && added.score > ranked[position-1].score {
+		ranked[position] = ranked[position-1]
+		position--
 	}
-	ranked[at] = found
+	ranked[position] = added
 	return ranked
 }
--- a/internal/router/selection/load.go
+++ b/internal/router/selection/load.go
@@ -9,14 +9,14 @@
 	"pewterrudder/internal/router/protocol"
 )
 
-// Load is what an answer tells of its instance in the load header.
+// Load is the instance's own load as given in the load header of an answer.
 type Load struct {
 	Running int
 	Waiting int
 	Slots   int
 }
 
-// ParseLoad reads the value of the load header: requests running, requests waiting and slots, joined by commas.
+// ParseLoad parses the value of the load header: running requests, waiting requests and slots, separated by commas.
 func ParseLoad(value string) (Load, bool) {
 	var numbers [3]int
 	rest := value
@@ -35,80 +35,83 @@
 	return Load{Running: numbers[0], Waiting: numbers[1], Slots: numbers[2]}, true
 }
 
-// loadMemory is the time over which the mean of an instance's load forgets.
-const loadMemory = 3 * time.Second
+// loadMeanTimeConstant is the time constant of the moving average of an instance's load.
+const loadMeanTimeConstant = 3 * time.Second
 
-// loadEstimate holds the requests of other routers at an instance, as the last figure told them, and their mean. An old
-// figure gives way to the mean: what was a queue then need not be one now.
+// loadEstimate holds the number of requests that other routers have at an instance, as last reported, and its moving
+// average. As the report ages, the estimate moves from it to the average, since a queue seen then need not exist now.
 type loadEstimate struct {
-	isKnown    bool
-	asOf       time.Time
-	queued     float64
-	held       float64
-	meanQueued float64
-	meanHeld   float64
-	slots      int
-	isTold     bool // by answers
-	kvUsed     int64
+	isKnown       bool // a load was reported
+	updatedAt     time.Time
+	queued        float64
+	inFlight      float64
+	meanQueued    float64
+	meanInFlight  float64
+	slots         int
+	isFromAnswers bool // answers carry the load header
+	kvUsed        int64
 }
 
-// take enters a new figure, less this router's own requests.
-func (l *loadEstimate) take(now time.Time, queued, held float64) {
-	queued, held = max(0, queued), max(0, held)
+// update records a new report, from which this router's own requests have been subtracted.
+func (l *loadEstimate) update(now time.Time, queued, inFlight float64) {
+	queued, inFlight = max(0, queued), max(0, inFlight)
 	if !l.isKnown {
 		l.isKnown = true
-		l.meanQueued, l.meanHeld = queued, held
+		l.meanQueued, l.meanInFlight = queued, inFlight
 	} else {
-		share := 1 - decay(now.Sub(l.asOf), loadMemory)
+		share := 1 - decay(now.Sub(l.updatedAt), loadMeanTimeConstant)
 		l.meanQueued += share * (queued - l.meanQueued)
-		l.meanHeld += share * (held - l.meanHeld)
+		l.meanInFlight += share * (inFlight - l.meanInFlight)
 	}
-	l.queued, l.held, l.asOf = queued, held, now
+	l.queued, l.inFlight, l.updatedAt = queued, inFlight, now
 }
 
-// at is the estimate for a moment after the figure. Queues last about as long as the wait for a first byte, requests
-// under way about as long as a whole request.
-func (l *loadEstimate) at(now time.Time, waitTime, serviceTime time.Duration) (queued, held float64) {
-	age := now.Sub(l.asOf)
+// estimateAt extrapolates the load to a time after the report. The deviation of the queue from its mean decays over the
+// mean time to first byte, that of the requests in flight over the mean service time.
+func (l *loadEstimate) estimateAt(now time.Time, waitTime, serviceTime time.Duration) (queued, inFlight float64) {
+	age := now.Sub(l.updatedAt)
 	queued = l.meanQueued + decay(age, waitTime)*(l.queued-l.meanQueued)
-	held = l.meanHeld + decay(age, serviceTime)*(l.held-l.meanHeld)
-	return queued, max(held, queued)
+	inFlight = l.meanInFlight + decay(age, serviceTime)*(l.inFlight-l.meanInFlight)
+	return queued, max(inFlight, queued)
 }
 
-// fadedAfter is the number of time constants after which nothing remains that counts.
-const fadedAfter = 10
+// negligibleAfter is the number of time constants after which decay returns 0.
+const negligibleAfter = 10
 
-// decay is the share that remains after a time of something that fades with a time constant.
-func decay(age, constant time.Duration) float64 {
+// decay returns the share that remains at an age in an exponential decay with the given time constant.
+func decay(age, timeConstant time.Duration) float64 {
 	if age <= 0 {
 		return 1
 	}
-	if age > fadedAfter*constant {
+	if age > negligibleAfter*timeConstant {
 		return 0
 	}
-	return math.Exp(-float64(age) / float64(constant))
+	return math.Exp(-float64(age) / float64(timeConstant))
 }
 
-// takeReport enters a polled report, which lags.
-func (t *target) takeReport(now time.Time, report *protocol.Report) {
-	t.own.advance(now)
-	queued := float64(report.Queued) - t.own.seenWaiting
-	held := float64(report.Queued+report.Running) - t.own.seenHeld
-	t.load.take(now, queued, held)
+// applyReport records a polled report. Reports lag, so that this router's own requests are subtracted as of a while
+// ago.
+func (t *target) applyReport(now time.Time, report *protocol.Report) {
+	t.own.advanceLagged(now)
+	queued := float64(report.Queued) - t.own.laggedWaiting
+	inFlight := float64(report.Queued+report.Running) - t.own.laggedInFlight
+	t.load.update(now, queued, inFlight)
 	t.load.kvUsed = report.KVUsed
 }
 
-// takeLoad enters the load that an answer told, which is as young as the answer.
-func (t *target) takeLoad(now time.Time, load Load) {
+// applyLoad records the load that an answer carried. It is current, so that this router's own requests are subtracted
+// as they are now.
+func (t *target) applyLoad(now time.Time, load Load) {
 	queued := float64(load.Waiting - t.own.waiting)
-	held := float64(load.Waiting + load.Running - t.own.waiting - t.own.running)
-	t.load.take(now, queued, held)
+	inFlight := float64(load.Waiting + load.Running - t.own.waiting - t.own.running)
+	t.load.update(now, queued, inFlight)
 	t.load.slots = load.Slots
-	t.load.isTold = true
+	t.load.isFromAnswers = true
 	t.health.fullUntil = time.Time{}
 }
 
-// slots that the instance works on at once.
+// slots returns the number of requests that the instance runs at once: as its answers say, or its heartbeats, or the
+// configuration; at least 1.
 func (t *target) slots() int {
 	if t.load.slots > 0 {
 		return t.load.slots
--- a/internal/router/selection/pick.go
+++ b/internal/router/selection/pick.go
@@ -7,129 +7,131 @@
 	"pewterrudder/internal/router/prefixcache"
 )
 
-// Result is how an attempt ended.
+// Result tells how an attempt ended.
 type Result uint8
 
 // The results.
 const (
 	Succeeded     Result = iota
 	Rejected             // the instance was full
-	Failed               // it answered an error or broke off
-	Unreachable          // no connection could be had
-	Abandoned            // the client left
-	WrongInstance        // another incarnation answered
+	Failed               // the instance answered with an error or broke off
+	Unreachable          // no connection could be established
+	Abandoned            // the client disconnected
+	WrongInstance        // another incarnation of the instance answered
 )
 
-// Outcome is what an attempt showed. A zero FirstByte or Total is unknown.
+// Outcome is the result of an attempt with its times, measured from when it was sent. A zero FirstByte or Total is
+// unknown.
 type Outcome struct {
 	Result    Result
 	FirstByte time.Duration
 	Total     time.Duration
-	Load      *Load // told by an answer whose load was not reported yet
+	Load      *Load // load header of the answer, unless given to ReportLoad already; nil: none
 }
 
-// Pick is an attempt under way at an instance.
+// Pick is an attempt in flight at an instance.
 type Pick struct {
-	selector      *Selector
-	target        *target
-	instance      *instances.Instance // as it was when it was picked
-	sentAt        time.Time
-	missing       int // prompt tokens expected to be read
-	outputTokens  int // of the answer at the most
-	isStream      bool
-	hasFirst      bool
-	firstByteTook time.Duration
-	isDone        bool
+	selector       *Selector
+	target         *target
+	instance       *instances.Instance // as of the time of the pick
+	sentAt         time.Time
+	uncachedTokens int // prompt tokens that the instance was expected to prefill
+	outputTokens   int // most tokens that the answer may have
+	isStream       bool
+	hasFirstByte   bool
+	firstByteTime  time.Duration
+	isDone         bool
 }
 
-// Instance is the one that was picked. What is heard of it later does not change it.
+// Instance returns the picked instance as it was at the time of the pick; later updates do not change it.
 func (p *Pick) Instance() *instances.Instance { return p.instance }
 
-// start enters a pick into the instance's counts.
-func (s *Selector) start(to *target, request *Request, missing int) *Pick {
-	own := &to.own
-	own.advance(request.Now)
+// startPick counts a new attempt at an instance and enters its prompt into the cache estimates.
+func (s *Selector) startPick(t *target, request *Request, uncachedTokens int) *Pick {
+	own := &t.own
+	own.advanceLagged(request.Now)
 	if own.waiting == 0 {
-		to.health.aliveAt = request.Now
+		t.health.lastAliveAt = request.Now
 	}
 	own.waiting++
-	own.pendingTokens += missing
-	to.backend.pace.Prompted(float64(request.PromptTokens))
-	if to.cache != nil {
+	own.pendingTokens += uncachedTokens
+	t.backend.performance.Prompted(float64(request.PromptTokens))
+	if t.cache != nil {
 		modelHash := prefixcache.HashModel(request.Model)
-		to.cache.Used(modelHash, request.Prefix)
-		s.fleetUse.note(request.Now, to, modelHash, prefixcache.Shared(request.Prefix))
+		t.cache.Used(modelHash, request.Prefix)
+		s.recentBlocks.record(request.Now, t, modelHash, prefixcache.Shared(request.Prefix))
 	}
 	return &Pick{
-		selector: s, target: to, instance: to.instance, sentAt: request.Now,
-		missing: missing, outputTokens: request.OutputTokens,
-		isStream: to.backend.isStream(request, to.backend.pace.Pace(to.backend.config.HasEngine)),
+		selector: s, target: t, instance: t.instance, sentAt: request.Now,
+		uncachedTokens: uncachedTokens, outputTokens: request.OutputTokens,
+		isStream: t.backend.isStream(request, t.backend.performance.Pace(t.backend.config.HasEngine)),
 	}
 }
 
-// ReportLoad enters the load that the attempt's answer told.
+// ReportLoad records the load header of the attempt's answer.
 func (p *Pick) ReportLoad(now time.Time, load Load) {
 	p.selector.mutex.Lock()
 	defer p.selector.mutex.Unlock()
-	p.target.health.alive(now)
-	p.target.takeLoad(now, load)
+	p.target.health.noteAlive(now)
+	p.target.applyLoad(now, load)
 }
 
-// FirstByte notes that the attempt's answer has begun.
+// FirstByte records that the first byte of the attempt's answer has arrived.
 func (p *Pick) FirstByte(now time.Time) {
 	p.selector.mutex.Lock()
 	defer p.selector.mutex.Unlock()
-	p.firstByte(now, now.Sub(p.sentAt))
+	p.recordFirstByte(now, now.Sub(p.sentAt))
 }
 
-func (p *Pick) firstByte(now time.Time, took time.Duration) {
-	if p.hasFirst || p.isDone {
+func (p *Pick) recordFirstByte(now time.Time, took time.Duration) {
+	if p.hasFirstByte || p.isDone {
 		return
 	}
-	p.leaveWaiting(now)
+	p.removeWaiting(now)
 	p.target.own.running++
-	p.hasFirst = true
-	p.firstByteTook = took
-	p.target.health.alive(now)
-	p.learnFirstByte(took)
+	p.hasFirstByte = true
+	p.firstByteTime = took
+	p.target.health.noteAlive(now)
+	p.learnFirstByteTime(took)
 }
 
-func (p *Pick) learnFirstByte(took time.Duration) {
-	ms := inMilliseconds(took)
-	from := p.target.backend
-	if from.config.HasEngine {
-		from.pace.Read(float64(p.missing), ms)
-		from.missing.add(float64(p.missing))
+func (p *Pick) learnFirstByteTime(took time.Duration) {
+	ms := toMilliseconds(took)
+	b := p.target.backend
+	if b.config.HasEngine {
+		b.performance.Read(float64(p.uncachedTokens), ms)
+		b.uncachedTokens.addSample(float64(p.uncachedTokens))
 	}
-	from.firstByteMs.add(ms)
-	p.target.noteTime(ms, from.firstByteMs.value)
+	b.firstByteMs.addSample(ms)
+	p.target.updateSlowness(ms, b.firstByteMs.value)
 }
 
-func (p *Pick) leaveWaiting(now time.Time) {
+func (p *Pick) removeWaiting(now time.Time) {
 	own := &p.target.own
-	own.advance(now)
+	own.advanceLagged(now)
 	own.waiting--
-	own.pendingTokens -= p.missing
+	own.pendingTokens -= p.uncachedTokens
 }
 
-// Done ends the attempt. Further calls have no effect.
+// Done ends the attempt and records its outcome. Further calls have no effect.
 func (p *Pick) Done(now time.Time, outcome Outcome) {
 	p.selector.mutex.Lock()
 	defer p.selector.mutex.Unlock()
 	if p.isDone {
 		return
 	}
-	if outcome.Result == Succeeded && !p.hasFirst {
-		p.firstByte(now, p.timeToFirstByte(now, outcome))
+	if outcome.Result == Succeeded && !p.hasFirstByte {
+		p.recordFirstByte(now, p.timeToFirstByte(now, outcome))
 	}
-	p.leave(now)
+	p.removeInFlight(now)
 	p.isDone = true
-	p.judge(now, outcome)
+	p.recordOutcome(now, outcome)
 	if outcome.Load != nil {
-		p.target.takeLoad(now, *outcome.Load)
+		p.target.applyLoad(now, *outcome.Load)
 	}
 }
 
+// timeToFirstByte returns the measured time to first byte, or the time since the attempt was sent if none was measured.
 func (p *Pick) timeToFirstByte(now time.Time, outcome Outcome) time.Duration {
 	if outcome.FirstByte > 0 {
 		return outcome.FirstByte
@@ -137,65 +139,66 @@
 	return now.Sub(p.sentAt)
 }
 
-func (p *Pick) leave(now time.Time) {
-	if !p.hasFirst {
-		p.leaveWaiting(now)
+func (p *Pick) removeInFlight(now time.Time) {
+	if !p.hasFirstByte {
+		p.removeWaiting(now)
 		return
 	}
-	p.target.own.advance(now)
+	p.target.own.advanceLagged(now)
 	p.target.own.running--
 }
 
-// judge draws the conclusions from the attempt's end.
-func (p *Pick) judge(now time.Time, outcome Outcome) {
-	to := p.target
+// recordOutcome updates the instance's health and the learned times.
+func (p *Pick) recordOutcome(now time.Time, outcome Outcome) {
+	t := p.target
 	switch outcome.Result {
 	case Succeeded:
-		to.health.alive(now)
-		to.noteError(now, false)
-		p.learnTotal(now, outcome)
-	case Rejected: // no sign of life in itself: the bound of this router's own connections rejects too
-		to.health.fullUntil = now.Add(fullPause)
+		t.health.noteAlive(now)
+		t.updateErrorRate(now, false)
+		p.learnServiceTime(now, outcome)
+	case Rejected: // not a sign of life: this router's own connection limit rejects too
+		t.health.fullUntil = now.Add(fullBackoff)
 	case Failed:
-		to.noteError(now, true)
-		p.judgeSilence(now)
+		t.updateErrorRate(now, true)
+		p.backOffIfSilent(now)
 	case Abandoned:
-		p.judgeSilence(now)
+		p.backOffIfSilent(now)
 	case Unreachable:
-		to.health.pause(now)
+		t.health.backOff(now)
 	case WrongInstance:
-		to.health.wrongInstance = true
+		t.health.wrongInstance = true
 	}
 }
 
-// judgeSilence pauses an instance that gave no sign of life during an attempt that lasted long enough for one.
-func (p *Pick) judgeSilence(now time.Time) {
-	to := p.target
-	isSilent := !p.hasFirst && !to.health.aliveAt.After(p.sentAt)
-	if isSilent && now.Sub(p.sentAt) > to.backend.stallTime() {
-		to.health.pause(now)
+// backOffIfSilent backs off from an instance that gave no sign of life during an attempt longer than the stall time.
+func (p *Pick) backOffIfSilent(now time.Time) {
+	t := p.target
+	isSilent := !p.hasFirstByte && !t.health.lastAliveAt.After(p.sentAt)
+	if isSilent && now.Sub(p.sentAt) > t.backend.stallTime() {
+		t.health.backOff(now)
 	}
 }
 
-// learnTotal learns for how long the request held its slot: an engine gives one with the first token.
-func (p *Pick) learnTotal(now time.Time, outcome Outcome) {
+// learnServiceTime learns how long the request held its slot. An engine assigns a slot with the first token, others at
+// once.
+func (p *Pick) learnServiceTime(now time.Time, outcome Outcome) {
 	total := outcome.Total
 	if total <= 0 {
 		total = now.Sub(p.sentAt)
 	}
-	from := p.target.backend
-	if !from.config.HasEngine {
-		from.pace.Served(inMilliseconds(total))
+	b := p.target.backend
+	if !b.config.HasEngine {
+		b.performance.Served(toMilliseconds(total))
 		return
 	}
-	answer := inMilliseconds(max(0, total-p.firstByteTook))
-	from.pace.Served(answer)
+	answer := toMilliseconds(max(0, total-p.firstByteTime))
+	b.performance.Served(answer)
 	if p.outputTokens > 0 {
-		from.tokenMs.add(answer / float64(p.outputTokens))
+		b.outputTokenMs.addSample(answer / float64(p.outputTokens))
 	}
 	if !p.isStream {
-		from.promptMs.add(inMilliseconds(total))
+		b.nonStreamMs.addSample(toMilliseconds(total))
 	}
 }
 
-func inMilliseconds(span time.Duration) float64 { return float64(span) / float64(time.Millisecond) }
+func toMilliseconds(span time.Duration) float64 { return float64(span) / float64(time.Millisecond) }
--- a/internal/router/selection/pick_test.go
+++ b/internal/router/selection/pick_test.go
@@ -9,8 +9,9 @@
 	"pewterrudder/internal/router/instances"
 )
 
-// An attempt reads its instance while heartbeats bring new tables; it stays with what it was picked for.
-func TestAPickKeepsItsInstance(t *testing.T) {
+// TestPickKeepsItsInstance guards against a data race: an attempt reads its instance while heartbeats replace the
+// instances. A pick keeps the instance as it was at the time of the pick.
+func TestPickKeepsItsInstance(t *testing.T) {
 	s := newTestSelector(BackendConfig{}, "a")
 	pick := mustSelect(t, s, Request{Backend: "b", Now: testStart})
 	moved := testInstance("a")
--- a/internal/router/selection/poll.go
+++ b/internal/router/selection/poll.go
@@ -8,41 +8,42 @@
 )
 
 const (
-	ticksPerWindow = 10
-	activeWindows  = 3 // windows for which a backend is polled after its last request
-	toldWindows    = 3 // windows for which a figure that an answer told stays fresh
-	sharedWindows  = 4 // windows without a figure after which a router polls an instance that another one is to poll
-	maxPollBackoff = 60 * time.Second
-	pollTimeout    = 800 * time.Millisecond
-	// maxReportsPerSecond bounds the reports that each router is told, where one router polls an instance for all: what they cost
-	// a router grows with the instances, and its traffic does not.
+	ticksPerInterval       = 10
+	activeIntervals        = 3 // refresh intervals for which a backend is polled after its last request
+	answerFreshIntervals   = 3 // refresh intervals for which a load from an answer stays fresh
+	assignedFreshIntervals = 4 // refresh intervals after which a router polls an instance that is assigned to another router
+	maxPollBackoff         = 60 * time.Second
+	pollTimeout            = 800 * time.Millisecond
+	// maxReportsPerSecond limits the reports that each router receives where one router polls an instance for all:
+	// their cost to a router grows with the number of instances, while its traffic does not.
 	maxReportsPerSecond = 300
 )
 
-// window is D, or longer where the routers share the polling of so many engines that their reports would be too many.
-func (s *Selector) window() time.Duration {
+// refreshInterval returns D, or a longer interval if the routers share the polling of so many engines that their
+// reports would exceed maxReportsPerSecond.
+func (s *Selector) refreshInterval() time.Duration {
 	if s.options.Assigned == nil {
-		return s.options.Window
+		return s.options.RefreshInterval
 	}
-	return max(s.options.Window, time.Duration(s.engines)*time.Second/maxReportsPerSecond)
+	return max(s.options.RefreshInterval, time.Duration(s.engineInstances)*time.Second/maxReportsPerSecond)
 }
 
-// pollState is the schedule of an instance's reports.
+// pollState is the schedule of an instance's polls.
 type pollState struct {
-	isUnderWay bool
-	nextAt     time.Time
-	failures   int
+	inProgress bool
+	nextAt     time.Time // zero: no poll scheduled yet
+	failures   int       // in a row
 }
 
-// Run polls reports until the context ends. Only engines give reports. Where routers share the polling, each polls the
-// instances that are assigned to it, whether or not it sends requests there. Otherwise only instances of backends that get
-// requests from here are polled, and only while no answer tells their load.
+// Run polls instances for load reports until the context ends. Only engines give reports. Instances that are assigned
+// to this router are polled whether or not it sends them requests. Others are polled only if their backend got requests
+// from this router recently, and only while no fresh load is known from answers or from other routers.
 func (s *Selector) Run(ctx context.Context) {
 	if s.options.Poll == nil {
 		<-ctx.Done()
 		return
 	}
-	ticker := time.NewTicker(s.options.Window / ticksPerWindow)
+	ticker := time.NewTicker(s.options.RefreshInterval / ticksPerInterval)
 	defer ticker.Stop()
 	for {
 		select {
@@ -55,123 +56,123 @@
 }
 
 func (s *Selector) pollDue(ctx context.Context) {
-	for _, due := range s.takeDue(s.options.Clock()) {
-		go s.poll(ctx, due)
+	for _, t := range s.claimDue(s.options.Clock()) {
+		go s.poll(ctx, t)
 	}
 }
 
-// takeDue marks the instances whose reports are due as being polled.
-func (s *Selector) takeDue(now time.Time) (due []*target) {
+// claimDue returns the instances that are due for a poll and marks them as being polled.
+func (s *Selector) claimDue(now time.Time) (due []*target) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
-	for _, from := range s.backends {
-		if !from.config.HasEngine {
+	for _, b := range s.backends {
+		if !b.config.HasEngine {
 			continue
 		}
-		isActive := since(now, from.requestedAt) <= activeWindows*s.window()
-		for _, known := range from.targets {
-			if (isActive || s.isAssigned(known)) && s.isDue(known, now) {
-				known.polling.isUnderWay = true
-				due = append(due, known)
+		isActive := since(now, b.lastRequestAt) <= activeIntervals*s.refreshInterval()
+		for _, t := range b.targets {
+			if (isActive || s.isAssigned(t)) && s.isDue(t, now) {
+				t.polling.inProgress = true
+				due = append(due, t)
 			}
 		}
 	}
 	return due
 }
 
-func (s *Selector) isDue(known *target, now time.Time) bool {
-	schedule := &known.polling
-	if schedule.isUnderWay || !known.instance.Ready() || now.Before(schedule.nextAt) {
+func (s *Selector) isDue(t *target, now time.Time) bool {
+	schedule := &t.polling
+	if schedule.inProgress || !t.instance.Ready() || now.Before(schedule.nextAt) {
 		return false
 	}
-	if known.load.isKnown && !s.isAssigned(known) && since(now, known.load.asOf) < s.freshFor(known) {
+	if t.load.isKnown && !s.isAssigned(t) && since(now, t.load.updatedAt) < s.maxLoadAge(t) {
 		return false
 	}
 	if schedule.nextAt.IsZero() {
-		schedule.nextAt = s.firstPollAt(known, now)
+		schedule.nextAt = s.firstPollAt(t, now)
 		return false
 	}
 	return true
 }
 
-// firstPollAt spreads an instance's polls over the window. Instances that this router polls for all are polled together, so that
-// their reports go out in one message.
-func (s *Selector) firstPollAt(known *target, now time.Time) time.Time {
-	if s.isAssigned(known) {
-		return s.nextRound(now)
+// firstPollAt returns a random time within the interval, to spread the polls. Instances that are assigned to this
+// router are polled together, so that their reports go out in one message.
+func (s *Selector) firstPollAt(t *target, now time.Time) time.Time {
+	if s.isAssigned(t) {
+		return s.nextPollRound(now)
 	}
-	return now.Add(time.Duration(s.random() % uint64(s.options.Window)))
+	return now.Add(time.Duration(s.random() % uint64(s.options.RefreshInterval)))
 }
 
-// nextRound is when the assigned instances are polled next.
-func (s *Selector) nextRound(now time.Time) time.Time {
-	window := s.window()
-	passed := now.Sub(s.created) / window
-	return s.created.Add((passed + 1) * window)
+// nextPollRound returns the time at which the assigned instances are polled next.
+func (s *Selector) nextPollRound(now time.Time) time.Time {
+	interval := s.refreshInterval()
+	passed := now.Sub(s.created) / interval
+	return s.created.Add((passed + 1) * interval)
 }
 
-// isAssigned tells whether this router polls the instance for all.
-func (s *Selector) isAssigned(known *target) bool {
-	return s.options.Assigned != nil && s.options.Assigned(known.instance)
+// isAssigned reports whether this router polls the instance for all routers.
+func (s *Selector) isAssigned(t *target) bool {
+	return s.options.Assigned != nil && s.options.Assigned(t.instance)
 }
 
-// freshFor is the age at which an instance's figure is asked for again. Where answers tell the load, they refresh it with
-// the traffic that needs it, and a report is for what has long got none.
-func (s *Selector) freshFor(known *target) time.Duration {
+// maxLoadAge returns the age from which on an instance's load is polled again. Where answers carry the load, traffic
+// refreshes it, and only instances that have been idle for a while need a poll.
+func (s *Selector) maxLoadAge(t *target) time.Duration {
 	if s.options.Assigned != nil {
-		return sharedWindows * s.window()
+		return assignedFreshIntervals * s.refreshInterval()
 	}
-	if known.load.isTold {
-		return toldWindows * s.options.Window
+	if t.load.isFromAnswers {
+		return answerFreshIntervals * s.options.RefreshInterval
 	}
-	return s.options.Window
+	return s.options.RefreshInterval
 }
 
-func (s *Selector) poll(ctx context.Context, known *target) {
+func (s *Selector) poll(ctx context.Context, t *target) {
 	s.mutex.Lock()
-	instance := known.instance
+	instance := t.instance
 	s.mutex.Unlock()
-	limited, cancel := context.WithTimeout(ctx, pollTimeout)
+	pollCtx, cancel := context.WithTimeout(ctx, pollTimeout)
 	defer cancel()
-	report, err := s.options.Poll(limited, instance)
+	report, err := s.options.Poll(pollCtx, instance)
 	if err == nil && s.options.Share != nil && s.options.Assigned(instance) {
 		s.options.Share(instance.ID, report)
 	}
 	now := s.options.Clock()
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
-	schedule := &known.polling
-	schedule.isUnderWay = false
+	schedule := &t.polling
+	schedule.inProgress = false
 	if err != nil {
 		schedule.failures++
-		backoff := s.options.Window << min(schedule.failures, maxDoublings+1)
+		backoff := s.options.RefreshInterval << min(schedule.failures, maxDoublings+1)
 		schedule.nextAt = now.Add(min(backoff, maxPollBackoff))
 		return
 	}
 	schedule.failures = 0
-	schedule.nextAt = now.Add(s.options.Window)
-	if s.isAssigned(known) {
-		schedule.nextAt = s.nextRound(now)
+	schedule.nextAt = now.Add(s.options.RefreshInterval)
+	if s.isAssigned(t) {
+		schedule.nextAt = s.nextPollRound(now)
 	}
-	s.enterReport(known, now, report)
+	s.recordReport(t, now, report)
 }
 
-// TakeReport enters a report that another router has polled.
+// TakeReport records a report that another router has polled. It ignores unknown instances.
 func (s *Selector) TakeReport(id string, report *protocol.Report) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
-	known := s.byID[id]
-	if known == nil {
+	t := s.byID[id]
+	if t == nil {
 		return
 	}
 	now := s.options.Clock()
-	known.polling.failures = 0
-	s.enterReport(known, now, report)
+	t.polling.failures = 0
+	s.recordReport(t, now, report)
 }
 
-// enterReport takes the figures of a report. The lock is held.
-func (s *Selector) enterReport(known *target, now time.Time, report *protocol.Report) {
-	known.health.fullUntil = time.Time{}
-	known.takeReport(now, report)
-	known.sizeCache(s.routers())
+// recordReport applies a report to an instance. The caller holds the mutex.
+func (s *Selector) recordReport(t *target, now time.Time, report *protocol.Report) {
+	t.health.fullUntil = time.Time{}
+	t.applyReport(now, report)
+	t.resizeCache(s.routers())
 }
--- a/internal/router/selection/poll_test.go
+++ b/internal/router/selection/poll_test.go
@@ -14,7 +14,7 @@
 	"pewterrudder/internal/router/protocol"
 )
 
-// pollCounter counts the reports asked for, by instance.
+// pollCounter records the times at which each instance was polled. A poll returns a report and err.
 type pollCounter struct {
 	mutex sync.Mutex
 	times map[string][]time.Time
@@ -37,11 +37,11 @@
 	return len(c.times[id])
 }
 
-// inBubble runs a selector with polling in virtual time.
-func inBubble(t *testing.T, counter *pollCounter, body func(s *Selector)) {
+// runPolling runs a polling selector in virtual time for as long as body takes.
+func runPolling(t *testing.T, counter *pollCounter, body func(s *Selector)) {
 	synctest.Test(t, func(t *testing.T) {
 		s := New(Options{Poll: counter.poll})
-		s.SetBackends(map[string]BackendConfig{"b": engine})
+		s.SetBackends(map[string]BackendConfig{"b": engineConfig})
 		s.SetInstances(testSnapshot("a", "c"))
 		ctx, cancel := context.WithCancel(t.Context())
 		var group sync.WaitGroup
@@ -52,36 +52,36 @@
 	})
 }
 
-// loadOf copies an instance's load while reports may come.
+// loadOf returns a copy of an instance's load. It may be called while polls are running.
 func loadOf(s *Selector, id string) loadEstimate {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	return s.byID[id].load
 }
 
-// request sends a request every 100 ms for a while; each ends at once.
-func request(t *testing.T, s *Selector, length time.Duration) {
+// sendRequests sends a request every 100 ms for the given time; each ends at once.
+func sendRequests(t *testing.T, s *Selector, length time.Duration) {
 	for range int(length / (100 * time.Millisecond)) {
 		mustSelect(t, s, Request{Backend: "b", Now: time.Now()}).Done(time.Now(), Outcome{Result: Abandoned})
 		time.Sleep(100 * time.Millisecond) // virtual
 	}
 }
 
-func TestNoTrafficNoReports(t *testing.T) {
+func TestIdleBackendIsNotPolled(t *testing.T) {
 	counter := &pollCounter{}
-	inBubble(t, counter, func(s *Selector) {
+	runPolling(t, counter, func(s *Selector) {
 		time.Sleep(time.Minute)
 		assert.Equal(t, counter.count("a")+counter.count("c"), 0)
-		request(t, s, time.Second)
+		sendRequests(t, s, time.Second)
 		time.Sleep(time.Minute)
-		assert.Assert(t, counter.count("a") >= 1 && counter.count("a") <= activeWindows+2)
+		assert.Assert(t, counter.count("a") >= 1 && counter.count("a") <= activeIntervals+2)
 	})
 }
 
-func TestReportsComeEachWindow(t *testing.T) {
+func TestReportsArePolledEveryInterval(t *testing.T) {
 	counter := &pollCounter{}
-	inBubble(t, counter, func(s *Selector) {
-		request(t, s, 20*time.Second)
+	runPolling(t, counter, func(s *Selector) {
+		sendRequests(t, s, 20*time.Second)
 		for _, id := range []string{"a", "c"} {
 			assert.Assert(t, counter.count(id) >= 16 && counter.count(id) <= 20, "%d", counter.count(id))
 		}
@@ -90,10 +90,10 @@
 	})
 }
 
-func TestAnswersThatTellTheLoadSpareReports(t *testing.T) {
+func TestLoadHeadersReducePolling(t *testing.T) {
 	counter := &pollCounter{}
-	inBubble(t, counter, func(s *Selector) {
-		for range 20 { // each instance tells its load every two windows
+	runPolling(t, counter, func(s *Selector) {
+		for range 20 { // each instance reports its load every two refresh intervals
 			for _, id := range []string{"a", "c"} {
 				pick := sendTo(t, s, id, time.Now())
 				pick.ReportLoad(time.Now(), Load{Running: 1, Slots: 8})
@@ -105,16 +105,16 @@
 	})
 }
 
-func TestFailedReportsAreAskedForSeldom(t *testing.T) {
+func TestFailedPollsBackOff(t *testing.T) {
 	counter := &pollCounter{err: errors.New("no report")}
-	inBubble(t, counter, func(s *Selector) {
-		request(t, s, 60*time.Second)
+	runPolling(t, counter, func(s *Selector) {
+		sendRequests(t, s, 60*time.Second)
 		assert.Assert(t, counter.count("a") >= 3 && counter.count("a") <= 7, "%d", counter.count("a"))
 		assert.Assert(t, !loadOf(s, "a").isKnown)
 	})
 }
 
-func TestRunWithoutPollEnds(t *testing.T) {
+func TestRunWithoutPollStopsWithContext(t *testing.T) {
 	ctx, cancel := context.WithCancel(t.Context())
 	cancel()
 	New(Options{}).Run(ctx)
@@ -134,21 +134,21 @@
 				shared[id]++
 			},
 		})
-		s.SetBackends(map[string]BackendConfig{"b": engine})
+		s.SetBackends(map[string]BackendConfig{"b": engineConfig})
 		s.SetInstances(testSnapshot("a", "c"))
 		ctx, cancel := context.WithCancel(t.Context())
 		var group sync.WaitGroup
 		group.Go(func() { s.Run(ctx) })
-		time.Sleep(10 * DefaultWindow) // virtual
+		time.Sleep(10 * DefaultRefreshInterval) // virtual
 		assert.Assert(t, counter.count("a") >= 8, "%d", counter.count("a"))
 		assert.Equal(t, counter.count("c"), 0)
-		request(t, s, 2*DefaultWindow)
-		assert.Assert(t, counter.count("c") > 0, "an instance without any figure is polled by whoever sends there")
+		sendRequests(t, s, 2*DefaultRefreshInterval)
+		assert.Assert(t, counter.count("c") > 0, "an unassigned instance of unknown load is polled while in use")
 		before := counter.count("c")
 		s.TakeReport("c", &protocol.Report{Queued: 7, Running: 2})
 		assert.Equal(t, loadOf(s, "c").queued, 7.0)
-		request(t, s, 2*DefaultWindow)
-		assert.Equal(t, counter.count("c"), before, "another router's report counts as this one's own")
+		sendRequests(t, s, 2*DefaultRefreshInterval)
+		assert.Equal(t, counter.count("c"), before, "a report from another router replaces a poll")
 		cancel()
 		group.Wait()
 	})
@@ -163,14 +163,14 @@
 			Poll:     counter.poll,
 			Assigned: func(*instances.Instance) bool { return true },
 		})
-		s.SetBackends(map[string]BackendConfig{"b": engine})
+		s.SetBackends(map[string]BackendConfig{"b": engineConfig})
 		s.SetInstances(testSnapshot("a", "c"))
 		ctx, cancel := context.WithCancel(t.Context())
 		var group sync.WaitGroup
 		group.Go(func() { s.Run(ctx) })
-		time.Sleep(3 * DefaultWindow / 2) // virtual
+		time.Sleep(3 * DefaultRefreshInterval / 2) // virtual
 		s.SetInstances(testSnapshot("a", "c", "d"))
-		time.Sleep(5 * DefaultWindow) // virtual
+		time.Sleep(5 * DefaultRefreshInterval) // virtual
 		cancel()
 		group.Wait()
 	})
@@ -181,29 +181,30 @@
 	assert.DeepEqual(t, later[len(later)-len(late):], late)
 }
 
-// TestReportsOfManyInstancesComeLessOften keeps what all routers are told within its bound.
-func TestReportsOfManyInstancesComeLessOften(t *testing.T) {
+// TestRefreshIntervalGrowsWithInstances checks that all routers together are sent at most maxReportsPerSecond reports
+// each.
+func TestRefreshIntervalGrowsWithInstances(t *testing.T) {
 	cases := []struct {
 		instances int
 		want      time.Duration
-	}{{2, DefaultWindow}, {maxReportsPerSecond, DefaultWindow}, {10 * maxReportsPerSecond, 10 * time.Second}}
+	}{{2, DefaultRefreshInterval}, {maxReportsPerSecond, DefaultRefreshInterval}, {10 * maxReportsPerSecond, 10 * time.Second}}
 	for _, c := range cases {
 		s := New(Options{Assigned: func(*instances.Instance) bool { return true }})
-		s.SetBackends(map[string]BackendConfig{"b": engine, "plain": {Slots: 1}})
+		s.SetBackends(map[string]BackendConfig{"b": engineConfig, "plain": {Slots: 1}})
 		s.SetInstances(testSnapshot(instanceIDs(c.instances)...))
-		assert.Equal(t, s.window(), c.want, "%d instances", c.instances)
+		assert.Equal(t, s.refreshInterval(), c.want, "%d instances", c.instances)
 	}
 	alone := New(Options{})
-	alone.SetBackends(map[string]BackendConfig{"b": engine})
+	alone.SetBackends(map[string]BackendConfig{"b": engineConfig})
 	alone.SetInstances(testSnapshot(instanceIDs(10 * maxReportsPerSecond)...))
-	assert.Equal(t, alone.window(), DefaultWindow, "a router that polls for itself asks only where it sends")
+	assert.Equal(t, alone.refreshInterval(), DefaultRefreshInterval, "unlimited where each router polls for itself")
 }
 
 func TestOnlyEnginesArePolled(t *testing.T) {
 	counter := &pollCounter{}
-	inBubble(t, counter, func(s *Selector) {
+	runPolling(t, counter, func(s *Selector) {
 		s.SetBackends(map[string]BackendConfig{"b": {Slots: 4}})
-		request(t, s, 5*DefaultWindow)
+		sendRequests(t, s, 5*DefaultRefreshInterval)
 		assert.Equal(t, counter.count("a")+counter.count("c"), 0)
 	})
 }
--- a/internal/router/selection/selection.go
+++ b/internal/router/selection/selection.go
@@ -1,7 +1,7 @@
-// Package selection picks the model instance for each request of a router: uniformly among the K least loaded ones. It
-// keeps, for each instance, the load that it last told, the requests that this router has under way there, an estimate
-// of the prompt prefixes that it keeps, and this router's own evidence of its failures. A polling loop refreshes the
-// load figures of instances whose answers do not tell them.
+// Package selection picks the model instance for each request of a router: uniformly among the K least loaded ones. For
+// each instance it keeps the last reported load, the requests that this router has in flight there, an estimate of the
+// prompt prefixes in its cache, and this router's own evidence of its failures. A polling loop refreshes the load of
+// instances whose answers do not carry it.
 package selection
 
 import (
@@ -20,88 +20,88 @@
 	"pewterrudder/internal/router/protocol"
 )
 
-// ErrNoInstance says that a backend has no instance that a request may be sent to.
+// ErrNoInstance is returned if a backend has no instance that the request may be sent to, or is not configured.
 var ErrNoInstance = errors.New("no instance can take the request")
 
-// DefaultWindow is D, the period at which load figures are refreshed.
-const DefaultWindow = time.Second
+// DefaultRefreshInterval is the default of D, the interval at which loads are refreshed.
+const DefaultRefreshInterval = time.Second
 
-// PollFunc asks an instance for its report.
+// PollFunc fetches an instance's load report.
 type PollFunc func(ctx context.Context, instance *instances.Instance) (*protocol.Report, error)
 
-// Options of a Selector. Only Zone is needed; the zero values of the others stand for the defaults.
+// Options configure a Selector. All but Zone may be zero, which stands for the default.
 type Options struct {
-	Zone     string
-	Log      logrus.FieldLogger
-	Window   time.Duration    // D
-	Widths   balance.Widths   // ths and thl
-	Weights  *balance.Weights // of the load figure
-	NoHomes  bool             // no instance is presumed to keep shared blocks
-	Mixed    bool             // streams and prompts share all instances alike: there is no stream set
-	Detector Detector         // of bursts; nil: the one of internal/burst
-	Poll     PollFunc         // nil: no polling
-	// Assigned tells whether this router polls an instance for all routers; nil: each router polls for itself.
+	Zone            string
+	Log             logrus.FieldLogger
+	RefreshInterval time.Duration    // D; 0: DefaultRefreshInterval
+	Widths          balance.Widths   // K at rest and in bursts; zero: balance.DefaultWidths
+	Weights         *balance.Weights // of the cost; nil: balance.DefaultWeights
+	NoHomes         bool             // no instance is presumed to cache shared blocks
+	Mixed           bool             // streams are not separated from prompts: there is no stream set
+	Detector        Detector         // detects bursts; nil: internal/burst
+	Poll            PollFunc         // nil: no polling
+	// Assigned reports whether this router polls an instance for all routers. If nil, each router polls for itself.
 	Assigned func(instance *instances.Instance) bool
-	// Share hands on the report of an assigned instance.
+	// Share sends the report of an assigned instance to the other routers. It is not called if nil.
 	Share     func(id string, report *protocol.Report)
-	Sightings *SightingOptions // nil: routers don't tell each other where shared blocks are sent
-	Routers   func() int       // routers that share the instances, this one included
-	Random    func() uint64    // nil: seeded from the system
-	Clock     func() time.Time // of the polling loop; nil: time.Now
+	Sightings *SightingOptions // nil: routers do not tell each other where they send shared blocks
+	Routers   func() int       // number of routers that share the instances, this one included; nil: 1
+	Random    func() uint64    // nil: a generator with a random seed
+	Clock     func() time.Time // used by the polling loop; nil: time.Now
 }
 
-// BackendConfig is what the operator's configuration says of a backend.
+// BackendConfig is the operator's configuration of a backend.
 type BackendConfig struct {
-	Slots      int
-	KVCapacity int64
-	HasEngine  bool
+	Slots      int   // requests that an instance runs at once, unless the instance says otherwise
+	KVCapacity int64 // tokens that an instance's KV cache holds
+	HasEngine  bool  // instances are batching inference engines, which cache prefixes and give load reports
 	MaxConns   int
 }
 
-// Request is what a pick depends on.
+// Request is the input of Select.
 type Request struct {
 	Tenant       string // empty: none
 	Backend      string
 	Model        string
 	PromptTokens int
-	OutputTokens int
-	Bytes        int // of the body, as far as known
+	OutputTokens int // most tokens that the answer may have
+	Bytes        int // size of the body as far as known
 	Prefix       []prefixcache.Block
-	Excluded     []string // ids of instances that this request was tried at
+	Excluded     []string // ids of the instances of earlier attempts; not empty: a retry
 	Now          time.Time
 }
 
-// Selector picks instances. Its methods may be called from any goroutine.
+// Selector picks instances. It is safe for concurrent use.
 type Selector struct {
 	options Options
 	weights balance.Weights
 	random  func() uint64
-	created time.Time // rounds of polls are counted from here
+	created time.Time // start of the first poll round
 
-	mutex       sync.Mutex
-	started     time.Time // of the first arrival; the detector's origin of time
-	arrivedAt   time.Duration
-	evaluatedAt time.Duration
-	isBurst     bool
-	backends    map[string]*backend
-	byID        map[string]*target
-	byHash      map[uint64]*target
-	engines     int       // instances that give reports
-	fleetUse    *fleetUse // nil: routers don't tell each other
-	snapshot    *instances.Snapshot
-	configs     map[string]BackendConfig
-	common      *commonprefix.Set // nil: none agreed
-	commonUse   map[string]*CommonUse
-	scratch     scratch
+	mutex           sync.Mutex
+	firstArrival    time.Time // the detector's times are relative to it
+	lastArrival     time.Duration
+	lastEvaluation  time.Duration
+	isBurst         bool
+	backends        map[string]*backend
+	byID            map[string]*target
+	byHash          map[uint64]*target
+	engineInstances int           // number of instances that give load reports
+	recentBlocks    *recentBlocks // nil: routers do not exchange sightings
+	snapshot        *instances.Snapshot
+	configs         map[string]BackendConfig
+	commonPrefixes  *commonprefix.Set // nil: no set agreed on
+	commonUse       map[string]*CommonUse
+	scratch         scratch
 }
 
-// New makes a selector that knows no instances yet.
+// New returns a selector without instances.
 func New(options Options) *Selector {
 	if options.Log == nil {
 		options.Log = logrus.StandardLogger()
 	}
-	if options.Window <= 0 {
-		options.Window = DefaultWindow
+	if options.RefreshInterval <= 0 {
+		options.RefreshInterval = DefaultRefreshInterval
 	}
 	if options.Widths == (balance.Widths{}) {
 		options.Widths = balance.DefaultWidths
@@ -124,55 +124,55 @@
 		random = rand.NewPCG(rand.Uint64(), rand.Uint64()).Uint64
 	}
 	return &Selector{
-		options:   options,
-		weights:   weights,
-		random:    random,
-		created:   options.Clock(),
-		backends:  map[string]*backend{},
-		byID:      map[string]*target{},
-		byHash:    map[uint64]*target{},
-		fleetUse:  newFleetUse(options.Sightings),
-		snapshot:  &instances.Snapshot{},
-		configs:   map[string]BackendConfig{},
-		commonUse: map[string]*CommonUse{},
+		options:      options,
+		weights:      weights,
+		random:       random,
+		created:      options.Clock(),
+		backends:     map[string]*backend{},
+		byID:         map[string]*target{},
+		byHash:       map[uint64]*target{},
+		recentBlocks: newRecentBlocks(options.Sightings),
+		snapshot:     &instances.Snapshot{},
+		configs:      map[string]BackendConfig{},
+		commonUse:    map[string]*CommonUse{},
 	}
 }
 
-// Select picks an instance for a request. The caller ends the pick with Done, exactly once.
+// Select picks an instance for a request. The caller must end the pick with Done.
 func (s *Selector) Select(request Request) (*Pick, error) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	s.noteArrival(&request)
-	from := s.backends[request.Backend]
-	if from == nil {
+	b := s.backends[request.Backend]
+	if b == nil {
 		return nil, ErrNoInstance
 	}
-	from.requestedAt = request.Now
-	from.popular.note(&request)
-	chosen, missing := s.choose(from, &request)
+	b.lastRequestAt = request.Now
+	b.popularity.record(&request)
+	chosen, uncachedTokens := s.chooseTarget(b, &request)
 	if chosen == nil {
 		return nil, ErrNoInstance
 	}
-	s.noteCommon(from, chosen, &request)
-	return s.start(chosen, &request, missing), nil
+	s.countCommonUse(b, chosen, &request)
+	return s.startPick(chosen, &request, uncachedTokens), nil
 }
 
-// noteArrival feeds the detector. A further attempt of a request is no arrival.
+// noteArrival feeds the burst detector. A retry is not an arrival.
 func (s *Selector) noteArrival(request *Request) {
 	if len(request.Excluded) > 0 {
 		return
 	}
-	if s.started.IsZero() {
-		s.started = request.Now
+	if s.firstArrival.IsZero() {
+		s.firstArrival = request.Now
 	}
-	now := max(s.arrivedAt, request.Now.Sub(s.started)) // callers that race may come out of order
-	s.arrivedAt = now
+	now := max(s.lastArrival, request.Now.Sub(s.firstArrival)) // concurrent callers may arrive out of order
+	s.lastArrival = now
 	s.options.Detector.Arrive(now)
-	if now-s.evaluatedAt >= evaluateEvery {
-		s.evaluatedAt = now
+	if now-s.lastEvaluation >= evaluateInterval {
+		s.lastEvaluation = now
 		s.isBurst = s.options.Detector.Evaluate(now)
 	}
 }
 
-// routers is the number of routers that share the instances.
+// routers returns the number of routers that share the instances, at least 1.
 func (s *Selector) routers() int { return max(1, s.options.Routers()) }
--- a/internal/router/selection/selection_test.go
+++ b/internal/router/selection/selection_test.go
@@ -18,7 +18,7 @@
 
 const testSlots = 8
 
-// newTestSelector has one backend, "b", with the instances named.
+// newTestSelector returns a selector in zone "z" with one backend, "b", and its instances.
 func newTestSelector(config BackendConfig, ids ...string) *Selector {
 	s := New(Options{Zone: "z"})
 	s.SetBackends(map[string]BackendConfig{"b": config})
@@ -38,9 +38,9 @@
 	return instances.NewSnapshot(all)
 }
 
-func after(ms float64) time.Time { return testStart.Add(milliseconds(ms)) }
+func afterMs(ms float64) time.Time { return testStart.Add(fromMilliseconds(ms)) }
 
-// sendTo picks until the instance comes and ends the other picks.
+// sendTo starts a request at the given instance, by excluding all others.
 func sendTo(t *testing.T, s *Selector, id string, now time.Time) *Pick {
 	t.Helper()
 	var excluded []string
@@ -61,8 +61,8 @@
 	return pick
 }
 
-// chosen counts where requests go that end at once.
-func chosen(t *testing.T, s *Selector, now time.Time) map[string]int {
+// countPicks sends 200 requests that end at once and counts them by instance.
+func countPicks(t *testing.T, s *Selector, now time.Time) map[string]int {
 	t.Helper()
 	counts := map[string]int{}
 	for range 200 {
@@ -90,7 +90,7 @@
 	assert.DeepEqual(t, seen, map[string]int{"a": 10, "c": 10, "d": 10})
 }
 
-func TestInstancesThatAreNoCandidates(t *testing.T) {
+func TestIneligibleInstancesAreNotSelected(t *testing.T) {
 	s := newTestSelector(BackendConfig{}, "a")
 	draining, otherModel, good := testInstance("a"), testInstance("c"), testInstance("d")
 	draining.State = protocol.StateDraining
@@ -106,7 +106,7 @@
 	assert.ErrorIs(t, err, ErrNoInstance)
 }
 
-func TestBackendsMayComeBeforeOrAfterInstances(t *testing.T) {
+func TestBackendsCanBeSetAfterInstances(t *testing.T) {
 	s := New(Options{})
 	s.SetInstances(testSnapshot("a"))
 	_, err := s.Select(Request{Backend: "b", Now: testStart})
@@ -115,54 +115,55 @@
 	assert.Equal(t, mustSelect(t, s, Request{Backend: "b", Now: testStart}).Instance().ID, "a")
 }
 
-func TestUnknownLoadCountsAtTheMeanOfTheOthers(t *testing.T) {
+func TestUnknownLoadDefaultsToMean(t *testing.T) {
 	s := newTestSelector(BackendConfig{}, "busy", "idle", "new")
-	s.byID["busy"].takeReport(testStart, &protocol.Report{Running: 6})
-	s.byID["idle"].takeReport(testStart, &protocol.Report{Running: 2})
-	assert.DeepEqual(t, chosen(t, s, testStart), map[string]int{"idle": 200})
+	s.byID["busy"].applyReport(testStart, &protocol.Report{Running: 6})
+	s.byID["idle"].applyReport(testStart, &protocol.Report{Running: 2})
+	assert.DeepEqual(t, countPicks(t, s, testStart), map[string]int{"idle": 200})
 	for range 3 {
 		sendTo(t, s, "idle", testStart)
 	}
-	assert.DeepEqual(t, chosen(t, s, testStart), map[string]int{"new": 200}) // 4, between 5 and 6
+	assert.DeepEqual(t, countPicks(t, s, testStart), map[string]int{"new": 200}) // loads: busy 6, idle 2 + 3, new 4 (the mean)
 	for range 2 {
 		sendTo(t, s, "new", testStart)
 	}
-	assert.DeepEqual(t, chosen(t, s, testStart), map[string]int{"idle": 200}) // 5, below 6 and 6
-	s.byID["new"].takeReport(testStart, &protocol.Report{Running: 0})
-	assert.DeepEqual(t, chosen(t, s, testStart), map[string]int{"new": 200}) // 2 by its first figure
+	assert.DeepEqual(t, countPicks(t, s, testStart), map[string]int{"idle": 200}) // loads: busy 6, idle 2 + 3, new 4 + 2
+	s.byID["new"].applyReport(testStart, &protocol.Report{Running: 0})
+	assert.DeepEqual(t, countPicks(t, s, testStart), map[string]int{"new": 200}) // loads: new 0 + 2 by its first report
 }
 
 func TestReportsDoNotCountOwnRequestsTwice(t *testing.T) {
 	s := newTestSelector(BackendConfig{}, "a", "c")
 	for range 4 {
-		sendTo(t, s, "a", testStart).FirstByte(after(10))
+		sendTo(t, s, "a", testStart).FirstByte(afterMs(10))
 	}
-	// Long after, a report of the four own requests says that nobody else has any there.
-	s.byID["a"].takeReport(after(5000), &protocol.Report{Running: 4})
-	assert.Assert(t, s.byID["a"].load.held < 0.01)
-	// A report that comes soon after a send may not have seen it.
-	sendTo(t, s, "a", after(6000))
-	s.byID["a"].takeReport(after(6010), &protocol.Report{Running: 4})
-	assert.Assert(t, s.byID["a"].load.held < 0.01)
-	// An answer's own word is young.
-	s.byID["a"].takeLoad(after(6020), Load{Running: 6, Waiting: 2, Slots: 16})
-	assert.Equal(t, s.byID["a"].load.held, 3.0)
+	// Much later, a report of four running requests, all of them this router's own, means that other routers have none
+	// there.
+	s.byID["a"].applyReport(afterMs(5000), &protocol.Report{Running: 4})
+	assert.Assert(t, s.byID["a"].load.inFlight < 0.01)
+	// A report that comes soon after a request was sent may not include it.
+	sendTo(t, s, "a", afterMs(6000))
+	s.byID["a"].applyReport(afterMs(6010), &protocol.Report{Running: 4})
+	assert.Assert(t, s.byID["a"].load.inFlight < 0.01)
+	// The load in an answer is current.
+	s.byID["a"].applyLoad(afterMs(6020), Load{Running: 6, Waiting: 2, Slots: 16})
+	assert.Equal(t, s.byID["a"].load.inFlight, 3.0)
 	assert.Equal(t, s.byID["a"].load.queued, 1.0)
 	assert.Equal(t, s.byID["a"].slots(), 16)
 }
 
-func TestOldFigureGivesWayToTheMean(t *testing.T) {
+func TestOldLoadDecaysToMean(t *testing.T) {
 	var load loadEstimate
-	load.take(after(0), 0, 2)
-	load.take(after(100), 8, 12)
+	load.update(afterMs(0), 0, 2)
+	load.update(afterMs(100), 8, 12)
 	wait, service := 20*time.Millisecond, 100*time.Millisecond
-	queued, held := load.at(after(100), wait, service)
+	queued, held := load.estimateAt(afterMs(100), wait, service)
 	assert.Equal(t, queued, 8.0)
 	assert.Equal(t, held, 12.0)
-	queuedSoon, heldSoon := load.at(after(120), wait, service)
+	queuedSoon, heldSoon := load.estimateAt(afterMs(120), wait, service)
 	assert.Assert(t, queuedSoon < queued && heldSoon < held && heldSoon > queuedSoon)
-	queuedLate, heldLate := load.at(after(5000), wait, service)
-	assert.Assert(t, queuedLate-load.meanQueued < 0.001 && heldLate-load.meanHeld < 0.001)
+	queuedLate, heldLate := load.estimateAt(afterMs(5000), wait, service)
+	assert.Assert(t, queuedLate-load.meanQueued < 0.001 && heldLate-load.meanInFlight < 0.001)
 }
 
 func TestParseLoad(t *testing.T) {
@@ -175,20 +176,22 @@
 	}
 }
 
-func TestOwnZoneDecidesBetweenEquals(t *testing.T) {
+func TestOwnZoneBreaksTies(t *testing.T) {
 	s := newTestSelector(BackendConfig{}, "a")
 	near, far := testInstance("near"), testInstance("far")
 	far.Zone = "y"
 	s.SetInstances(instances.NewSnapshot([]*instances.Instance{near, far}))
-	assert.DeepEqual(t, chosen(t, s, testStart), map[string]int{"near": 200})
+	assert.DeepEqual(t, countPicks(t, s, testStart), map[string]int{"near": 200})
 	sendTo(t, s, "near", testStart)
-	assert.DeepEqual(t, chosen(t, s, testStart), map[string]int{"far": 200}) // one request weighs more
+	assert.DeepEqual(t, countPicks(t, s, testStart), map[string]int{"far": 200}) // one request outweighs the zone
 }
 
 var testModel = prefixcache.HashModel("m")
 
-var engine = BackendConfig{Slots: 64, KVCapacity: 1_000_000, HasEngine: true}
+var engineConfig = BackendConfig{Slots: 64, KVCapacity: 1_000_000, HasEngine: true}
 
+// engineRequest returns a request whose prompt has one shared block, with the id chain, and one of its own, with an id
+// made of own.
 func engineRequest(chain, own uint64, now time.Time) Request {
 	prefix := []prefixcache.Block{{ID: chain, Tokens: 4000}, {ID: 1<<32 + own, Tokens: 1000}}
 	return Request{Backend: "b", Model: "m", PromptTokens: 5000, Prefix: prefix, Now: now}
@@ -200,7 +203,7 @@
 	for chain := range uint64(50) {
 		var home string
 		for router := range 3 {
-			s := newTestSelector(engine, ids...)
+			s := newTestSelector(engineConfig, ids...)
 			id := mustSelect(t, s, engineRequest(chain, uint64(router), testStart)).Instance().ID
 			assert.Assert(t, home == "" || home == id)
 			home = id
@@ -210,8 +213,8 @@
 	assert.Equal(t, len(homes), len(ids))
 }
 
-func TestPrefixReturnsToWhereItWasSent(t *testing.T) {
-	s := newTestSelector(engine, "a", "c", "d")
+func TestPrefixIsCachedWhereItWasSent(t *testing.T) {
+	s := newTestSelector(engineConfig, "a", "c", "d")
 	first := mustSelect(t, s, engineRequest(1, 1, testStart))
 	home := first.Instance().ID
 	request := engineRequest(1, 2, testStart)
@@ -219,13 +222,13 @@
 	second := mustSelect(t, s, request).Instance().ID
 	request.Excluded = []string{home, second}
 	third := s.byID[mustSelect(t, s, request).Instance().ID]
-	// The third is neither home, but has read the prefix.
-	_, shared := third.missing(&request, testModel, &expectation{used: allShared})
+	// The third instance is not a home of the prefix, but it has been sent the prefix.
+	_, shared := third.uncachedTokens(&request, testModel, &cacheExpectation{used: sharedBlockCount})
 	assert.Equal(t, shared, 0.0)
 }
 
 func TestHotPrefixSpreads(t *testing.T) {
-	s := newTestSelector(engine, "a", "c", "d", "e")
+	s := newTestSelector(engineConfig, "a", "c", "d", "e")
 	counts := map[string]int{}
 	for own := range uint64(200) {
 		counts[mustSelect(t, s, engineRequest(1, own, testStart)).Instance().ID]++
@@ -236,30 +239,30 @@
 	}
 }
 
-// allShared is the number of shared blocks of an engineRequest.
-const allShared = 1
+// sharedBlockCount is the number of shared blocks of an engineRequest.
+const sharedBlockCount = 1
 
-func TestMissingTokens(t *testing.T) {
-	s := newTestSelector(engine, "a")
+func TestUncachedTokens(t *testing.T) {
+	s := newTestSelector(engineConfig, "a")
 	presumed := homes{ranked: []home{{target: s.byID["a"]}}}
 	request := engineRequest(1, 1, testStart)
-	total, shared := s.byID["a"].missing(&request, testModel, &expectation{used: allShared})
+	total, shared := s.byID["a"].uncachedTokens(&request, testModel, &cacheExpectation{used: sharedBlockCount})
 	assert.Equal(t, total, 5000.0)
 	assert.Equal(t, shared, 4000.0)
-	total, shared = s.byID["a"].missing(&request, testModel, &expectation{used: allShared, homes: presumed})
+	total, shared = s.byID["a"].uncachedTokens(&request, testModel, &cacheExpectation{used: sharedBlockCount, homes: presumed})
 	assert.Equal(t, total, 1000.0)
 	assert.Equal(t, shared, 0.0)
 	mustSelect(t, s, request)
-	total, _ = s.byID["a"].missing(&request, testModel, &expectation{used: allShared})
-	assert.Equal(t, total, 0.0, "the session's own block is kept too")
+	total, _ = s.byID["a"].uncachedTokens(&request, testModel, &cacheExpectation{used: sharedBlockCount})
+	assert.Equal(t, total, 0.0, "the request's own block is cached too")
 	other := engineRequest(1, 2, testStart)
-	total, shared = s.byID["a"].missing(&other, testModel, &expectation{used: allShared})
+	total, shared = s.byID["a"].uncachedTokens(&other, testModel, &cacheExpectation{used: sharedBlockCount})
 	assert.Equal(t, total, 1000.0)
 	assert.Equal(t, shared, 0.0)
 	unread := engineRequest(2, 1, testStart)
-	total, shared = s.byID["a"].missing(&unread, testModel, &expectation{})
+	total, shared = s.byID["a"].uncachedTokens(&unread, testModel, &cacheExpectation{})
 	assert.Equal(t, total, 5000.0)
-	assert.Equal(t, shared, 0.0, "reading what nobody has read of late is no waste")
+	assert.Equal(t, shared, 0.0, "to prefill what no instance has prefilled recently is no duplicate work")
 }
 
 type constantDetector struct{ burst bool }
@@ -276,10 +279,10 @@
 		s.SetBackends(map[string]BackendConfig{"b": {}})
 		s.SetInstances(testSnapshot("a", "c", "d", "e"))
 		for i, id := range []string{"a", "c", "d", "e"} {
-			s.byID[id].takeReport(testStart, &protocol.Report{Running: i})
+			s.byID[id].applyReport(testStart, &protocol.Report{Running: i})
 		}
-		chosen(t, s, testStart) // the detector is not asked before a while
-		assert.Equal(t, len(chosen(t, s, after(300))), c.want)
+		countPicks(t, s, testStart) // the detector is evaluated only after evaluateInterval
+		assert.Equal(t, len(countPicks(t, s, afterMs(300))), c.want)
 	}
 }
 
@@ -288,20 +291,20 @@
 func (d *countingDetector) Arrive(now time.Duration)  { d.arrivals = append(d.arrivals, now) }
 func (*countingDetector) Evaluate(time.Duration) bool { return false }
 
-func TestFurtherAttemptsAreNoArrivals(t *testing.T) {
+func TestRetriesAreNotArrivals(t *testing.T) {
 	detector := &countingDetector{}
 	s := New(Options{Detector: detector})
 	s.SetBackends(map[string]BackendConfig{"b": {}})
 	s.SetInstances(testSnapshot("a", "c"))
 	mustSelect(t, s, Request{Backend: "b", Now: testStart})
-	mustSelect(t, s, Request{Backend: "b", Now: after(10), Excluded: []string{"a"}})
-	mustSelect(t, s, Request{Backend: "b", Now: after(20)})
-	mustSelect(t, s, Request{Backend: "b", Now: after(15)}) // out of order: a caller that lost the race for the mutex
+	mustSelect(t, s, Request{Backend: "b", Now: afterMs(10), Excluded: []string{"a"}})
+	mustSelect(t, s, Request{Backend: "b", Now: afterMs(20)})
+	mustSelect(t, s, Request{Backend: "b", Now: afterMs(15)}) // out of order: a caller that lost the race for the mutex
 	ms := time.Millisecond
 	assert.DeepEqual(t, detector.arrivals, []time.Duration{0, 20 * ms, 20 * ms})
 }
 
-func TestDefaultDetectorSeesABurst(t *testing.T) {
+func TestDefaultDetectorDetectsBurst(t *testing.T) {
 	s := newTestSelector(BackendConfig{}, "a", "c", "d", "e")
 	now := testStart
 	arrive := func(count int, gap time.Duration) {
@@ -316,12 +319,12 @@
 	assert.Assert(t, s.isBurst)
 }
 
-func TestSteadyStreamIsNoBurst(t *testing.T) {
+func TestSteadyArrivalsAreNoBurst(t *testing.T) {
 	s := newTestSelector(BackendConfig{}, "a", "c", "d", "e")
 	rng := rand.New(rand.NewPCG(3, 3))
 	now, evaluated, bursts := testStart, 0, 0
 	for range 5000 {
-		now = now.Add(milliseconds(40 * rng.ExpFloat64()))
+		now = now.Add(fromMilliseconds(40 * rng.ExpFloat64()))
 		mustSelect(t, s, Request{Backend: "b", Now: now}).Done(now, Outcome{Result: Abandoned})
 		evaluated++
 		if s.isBurst {
@@ -331,42 +334,42 @@
 	assert.Assert(t, bursts < evaluated/100, "%d of %d", bursts, evaluated)
 }
 
-func TestNewIDForgetsWhatWasLearned(t *testing.T) {
+func TestNewIDResetsLearnedState(t *testing.T) {
 	s := newTestSelector(BackendConfig{}, "a", "c")
 	sendTo(t, s, "a", testStart).Done(testStart, Outcome{Result: WrongInstance})
 	s.SetInstances(testSnapshot("a", "c"))
-	assert.DeepEqual(t, chosen(t, s, testStart), map[string]int{"c": 200})
+	assert.DeepEqual(t, countPicks(t, s, testStart), map[string]int{"c": 200})
 	s.SetInstances(testSnapshot("a2", "c"))
-	assert.Equal(t, len(chosen(t, s, testStart)), 2)
+	assert.Equal(t, len(countPicks(t, s, testStart)), 2)
 }
 
-func TestPickOfAnInstanceThatLeftEndsQuietly(t *testing.T) {
+func TestPickOfRemovedInstanceCanEnd(t *testing.T) {
 	s := newTestSelector(BackendConfig{}, "a", "c")
 	pick := sendTo(t, s, "a", testStart)
 	s.SetInstances(testSnapshot("c"))
 	s.SetBackends(map[string]BackendConfig{})
-	pick.FirstByte(after(10))
-	pick.ReportLoad(after(10), Load{Running: 1, Slots: 8})
-	pick.Done(after(20), Outcome{Result: Succeeded})
-	pick.Done(after(20), Outcome{Result: Failed})
+	pick.FirstByte(afterMs(10))
+	pick.ReportLoad(afterMs(10), Load{Running: 1, Slots: 8})
+	pick.Done(afterMs(20), Outcome{Result: Succeeded})
+	pick.Done(afterMs(20), Outcome{Result: Failed})
 	assert.Equal(t, pick.target.own.waiting+pick.target.own.running, 0)
 }
 
-// TestOwnCountsFollowThePicks drives a selector at random and compares its counts with the list of picks under way.
-func TestOwnCountsFollowThePicks(t *testing.T) {
+// TestOwnRequestCountsMatchPicks drives a selector at random and compares its counts with the list of picks in flight.
+func TestOwnRequestCountsMatchPicks(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		s := New(Options{Zone: "z"})
-		s.SetBackends(map[string]BackendConfig{"b": engine})
+		s.SetBackends(map[string]BackendConfig{"b": engineConfig})
 		now := testStart
 		s.SetInstances(testSnapshot("a", "c", "d"))
 		var waiting, running []*Pick
-		draw := func(t *rapid.T, from *[]*Pick) *Pick {
-			if len(*from) == 0 {
+		draw := func(t *rapid.T, picks *[]*Pick) *Pick {
+			if len(*picks) == 0 {
 				t.Skip("no pick")
 			}
-			at := rapid.IntRange(0, len(*from)-1).Draw(t, "pick")
-			pick := (*from)[at]
-			*from = append((*from)[:at:at], (*from)[at+1:]...)
+			index := rapid.IntRange(0, len(*picks)-1).Draw(t, "pick")
+			pick := (*picks)[index]
+			*picks = append((*picks)[:index:index], (*picks)[index+1:]...)
 			return pick
 		}
 		results := rapid.SampledFrom([]Result{Succeeded, Rejected, Failed, Unreachable, Abandoned, WrongInstance})
@@ -403,27 +406,27 @@
 				pick.FirstByte(now)
 			},
 			"load": func(t *rapid.T) {
-				s.byID[rapid.SampledFrom([]string{"a", "c", "d"}).Draw(t, "id")].takeLoad(now, Load{Running: 3, Waiting: 1, Slots: 8})
+				s.byID[rapid.SampledFrom([]string{"a", "c", "d"}).Draw(t, "id")].applyLoad(now, Load{Running: 3, Waiting: 1, Slots: 8})
 			},
-			"time":    func(t *rapid.T) { now = now.Add(milliseconds(rapid.Float64Range(0, 2000).Draw(t, "ms"))) },
+			"time":    func(t *rapid.T) { now = now.Add(fromMilliseconds(rapid.Float64Range(0, 2000).Draw(t, "ms"))) },
 			"replace": func(t *rapid.T) { s.SetInstances(testSnapshot("a", "c", "d")) },
 			"": func(t *rapid.T) {
-				for id, known := range s.byID {
+				for id, member := range s.byID {
 					counts := ownRequests{}
 					for _, pick := range waiting {
-						if pick.target == known {
+						if pick.target == member {
 							counts.waiting++
-							counts.pendingTokens += pick.missing
+							counts.pendingTokens += pick.uncachedTokens
 						}
 					}
 					for _, pick := range running {
-						if pick.target == known {
+						if pick.target == member {
 							counts.running++
 						}
 					}
-					assert.Equal(t, known.own.waiting, counts.waiting, id)
-					assert.Equal(t, known.own.running, counts.running, id)
-					assert.Equal(t, known.own.pendingTokens, counts.pendingTokens, id)
+					assert.Equal(t, member.own.waiting, counts.waiting, id)
+					assert.Equal(t, member.own.running, counts.running, id)
+					assert.Equal(t, member.own.pendingTokens, counts.pendingTokens, id)
 				}
 			},
 		})
@@ -432,7 +435,7 @@
 
 func BenchmarkSelect(b *testing.B) {
 	s := New(Options{Zone: "z"})
-	s.SetBackends(map[string]BackendConfig{"b": engine})
+	s.SetBackends(map[string]BackendConfig{"b": engineConfig})
 	var ids []string
 	for i := range 48 {
 		ids = append(ids, fmt.Sprintf("i-%d", i))
--- a/internal/router/selection/sightings.go
+++ b/internal/router/selection/sightings.go
@@ -7,117 +7,122 @@
 	"pewterrudder/internal/router/sightings"
 )
 
-// SightingOptions join the selector to the routers' exchange of where shared blocks are sent.
+// SightingOptions connect the selector to the exchange of sightings, by which routers tell each other which instances
+// they send shared blocks to.
 type SightingOptions struct {
-	// Announce tells the other routers of a sighting.
+	// Announce sends a sighting to the other routers.
 	Announce func(sighting sightings.Sighting)
-	// Alive tells whether this router hears what the others send.
+	// Alive reports whether this router receives the sightings of the others.
 	Alive func(now time.Time) bool
-	// Recent lists what was sighted of late, also at instances that this router did not know then.
+	// Recent lists the recent sightings, including those of instances that this router did not know at the time.
 	Recent func(now time.Time) []sightings.Sighting
-	// Again is the time within which reading a block again counts as waste.
+	// Again is the time within which a second prefill of a block counts as duplicate work.
 	Again time.Duration
 }
 
 const (
-	// usedPeriod is the share of Again for which a block counts as used at the least, and twice that at the most.
-	usedPeriod = 0.7
-	// toldPeriod is the same for sightings that the others need not hear of again: soon enough to keep them fresh.
-	toldPeriod = 0.25
-	// commonUses is how often this router sends a block within Again, at the least, where it counts as common.
-	commonUses = 4
-	// maxRecentBlocks bounds the blocks and the sightings that are remembered.
+	// usedPeriodShare is the share of Again for which a block counts as used at least; it counts for at most twice
+	// that.
+	usedPeriodShare = 0.7
+	// announcedPeriodShare is the same for sightings that need not be announced again. It is short enough for the other
+	// routers' entries to stay fresh.
+	announcedPeriodShare = 0.25
+	// minFrequentUses is how often this router must have sent a block within Again for it to count as frequent.
+	minFrequentUses = 4
+	// maxRecentBlocks limits the blocks and the sightings that are remembered.
 	maxRecentBlocks = 1 << 16
 )
 
-// place is a block at an instance.
-type place struct {
-	instance uint64
+// blockLocation is a block on an instance.
+type blockLocation struct {
+	instance uint64 // hash of its id
 	block    prefixcache.Key
 }
 
-// fleetUse is what is known of the shared blocks that any router has sent anywhere of late.
-type fleetUse struct {
-	options SightingOptions
-	used    *sightings.Recent[prefixcache.Key]
-	own     *sightings.Recent[prefixcache.Key] // those of this router alone
-	told    *sightings.Recent[place]
+// recentBlocks tracks the shared blocks that any router has recently sent to any instance. The methods isCurrent and
+// record may be called on nil, which tracks nothing.
+type recentBlocks struct {
+	options      SightingOptions
+	byAnyRouter  *sightings.Recent[prefixcache.Key]
+	byThisRouter *sightings.Recent[prefixcache.Key] // sent by this router alone
+	announced    *sightings.Recent[blockLocation]   // by any router
 }
 
-func newFleetUse(options *SightingOptions) *fleetUse {
+func newRecentBlocks(options *SightingOptions) *recentBlocks {
 	if options == nil {
 		return nil
 	}
 	period := func(share float64) time.Duration { return time.Duration(share * float64(options.Again)) }
-	return &fleetUse{
-		options: *options,
-		used:    sightings.NewRecent[prefixcache.Key](period(usedPeriod), maxRecentBlocks),
-		own:     sightings.NewRecent[prefixcache.Key](period(usedPeriod), maxRecentBlocks),
-		told:    sightings.NewRecent[place](period(toldPeriod), maxRecentBlocks),
+	return &recentBlocks{
+		options:      *options,
+		byAnyRouter:  sightings.NewRecent[prefixcache.Key](period(usedPeriodShare), maxRecentBlocks),
+		byThisRouter: sightings.NewRecent[prefixcache.Key](period(usedPeriodShare), maxRecentBlocks),
+		announced:    sightings.NewRecent[blockLocation](period(announcedPeriodShare), maxRecentBlocks),
 	}
 }
 
-// isKnown tells whether this router knows what the others send. If not, it goes by the homes of prefixes.
-func (f *fleetUse) isKnown(now time.Time) bool { return f != nil && f.options.Alive(now) }
+// isCurrent reports whether this router knows what the others send. If not, it goes by the homes of prefixes.
+func (r *recentBlocks) isCurrent(now time.Time) bool { return r != nil && r.options.Alive(now) }
 
-// common counts the leading blocks that are used so often that every instance may as well read them: it will soon be asked for them
-// anyway.
-func (f *fleetUse) common(now time.Time, modelHash uint64, blocks []prefixcache.Block) int {
+// frequentDepth counts the leading blocks that this router sends so often that every instance may as well prefill them:
+// requests with them will soon reach each instance anyway.
+func (r *recentBlocks) frequentDepth(now time.Time, modelHash uint64, blocks []prefixcache.Block) int {
 	for i, block := range blocks {
-		if f.own.Count(now, prefixcache.KeyOf(modelHash, block.ID)) < commonUses {
+		if r.byThisRouter.Count(now, prefixcache.KeyOf(modelHash, block.ID)) < minFrequentUses {
 			return i
 		}
 	}
 	return len(blocks)
 }
 
-// depth counts the leading blocks that some router has sent somewhere of late.
-func (f *fleetUse) depth(now time.Time, modelHash uint64, blocks []prefixcache.Block) int {
+// usedDepth counts the leading blocks that some router has recently sent to some instance.
+func (r *recentBlocks) usedDepth(now time.Time, modelHash uint64, blocks []prefixcache.Block) int {
 	for i, block := range blocks {
-		if !f.used.Has(now, prefixcache.KeyOf(modelHash, block.ID)) {
+		if !r.byAnyRouter.Has(now, prefixcache.KeyOf(modelHash, block.ID)) {
 			return i
 		}
 	}
 	return len(blocks)
 }
 
-// note enters the shared blocks of a request that is sent to an instance, and tells the others what is news.
-func (f *fleetUse) note(now time.Time, to *target, modelHash uint64, blocks []prefixcache.Block) {
-	if f == nil {
+// record enters the shared blocks of a request that is sent to an instance, and announces those that were not announced
+// recently.
+func (r *recentBlocks) record(now time.Time, t *target, modelHash uint64, blocks []prefixcache.Block) {
+	if r == nil {
 		return
 	}
 	for _, block := range blocks {
 		key := prefixcache.KeyOf(modelHash, block.ID)
-		f.used.Add(now, key)
-		f.own.Add(now, key)
-		at := place{to.hash, key}
-		if f.told.Has(now, at) {
+		r.byAnyRouter.Add(now, key)
+		r.byThisRouter.Add(now, key)
+		location := blockLocation{t.hash, key}
+		if r.announced.Has(now, location) {
 			continue
 		}
-		f.told.Add(now, at)
-		f.options.Announce(sightings.Sighting{Instance: to.hash, Block: key, Tokens: block.Tokens})
+		r.announced.Add(now, location)
+		r.options.Announce(sightings.Sighting{Instance: t.hash, Block: key, Tokens: block.Tokens})
 	}
 }
 
-// TakeSightings enters what other routers have sent.
+// TakeSightings records the sightings of other routers.
 func (s *Selector) TakeSightings(now time.Time, list []sightings.Sighting) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
-	if s.fleetUse == nil {
+	if s.recentBlocks == nil {
 		return
 	}
 	for _, sighting := range list {
-		s.fleetUse.used.Add(now, sighting.Block)
-		s.fleetUse.told.Add(now, place{sighting.Instance, sighting.Block})
+		s.recentBlocks.byAnyRouter.Add(now, sighting.Block)
+		s.recentBlocks.announced.Add(now, blockLocation{sighting.Instance, sighting.Block})
 	}
-	s.heard(list)
+	s.applySightings(list)
 }
 
-// heard enters sightings into the estimates of the instances' caches.
-func (s *Selector) heard(list []sightings.Sighting) {
+// applySightings enters sightings into the instances' cache estimates. It skips unknown instances.
+func (s *Selector) applySightings(list []sightings.Sighting) {
 	for _, sighting := range list {
-		if known := s.byHash[sighting.Instance]; known != nil && known.cache != nil {
-			known.cache.Heard(sighting.Block, sighting.Tokens)
+		if t := s.byHash[sighting.Instance]; t != nil && t.cache != nil {
+			t.cache.Heard(sighting.Block, sighting.Tokens)
 		}
 	}
 }
--- a/internal/router/selection/sightings_test.go
+++ b/internal/router/selection/sightings_test.go
@@ -11,27 +11,27 @@
 	"pewterrudder/internal/router/sightings"
 )
 
-const testAgain = 4 * time.Second
+const testDuplicateWindow = 4 * time.Second
 
-// sightingTrial is a selector in zone "z" that hears what other routers tell.
-type sightingTrial struct {
+// sightingFixture is a selector in zone "z" that exchanges sightings.
+type sightingFixture struct {
 	selector  *Selector
 	announced []sightings.Sighting
-	alive     bool
+	alive     bool // sightings of other routers arrive
 }
 
-// newSightingTrial has the instances named; those in capitals are in another zone.
-func newSightingTrial(ids ...string) *sightingTrial {
-	trial := &sightingTrial{alive: true}
-	trial.selector = New(Options{Zone: "z", Sightings: &SightingOptions{
-		Announce: func(sighting sightings.Sighting) { trial.announced = append(trial.announced, sighting) },
-		Alive:    func(time.Time) bool { return trial.alive },
-		Recent:   func(time.Time) []sightings.Sighting { return trial.announced },
-		Again:    testAgain,
+// newSightingFixture returns a selector with the given instances; those with a capital letter are in another zone.
+func newSightingFixture(ids ...string) *sightingFixture {
+	fixture := &sightingFixture{alive: true}
+	fixture.selector = New(Options{Zone: "z", Sightings: &SightingOptions{
+		Announce: func(sighting sightings.Sighting) { fixture.announced = append(fixture.announced, sighting) },
+		Alive:    func(time.Time) bool { return fixture.alive },
+		Recent:   func(time.Time) []sightings.Sighting { return fixture.announced },
+		Again:    testDuplicateWindow,
 	}})
-	trial.selector.SetBackends(map[string]BackendConfig{"b": engine})
-	trial.selector.SetInstances(zonedSnapshot(ids...))
-	return trial
+	fixture.selector.SetBackends(map[string]BackendConfig{"b": engineConfig})
+	fixture.selector.SetInstances(zonedSnapshot(ids...))
+	return fixture
 }
 
 func zonedSnapshot(ids ...string) *instances.Snapshot {
@@ -46,8 +46,8 @@
 	return instances.NewSnapshot(all)
 }
 
-// sent is where a request of a chain goes. It ends at once.
-func (s *sightingTrial) sent(t *testing.T, chain, own uint64, now time.Time) string {
+// send sends a request that ends at once and returns the id of its instance.
+func (s *sightingFixture) send(t *testing.T, chain, own uint64, now time.Time) string {
 	t.Helper()
 	pick := mustSelect(t, s.selector, engineRequest(chain, own, now))
 	pick.Done(now, Outcome{Result: Abandoned})
@@ -62,68 +62,71 @@
 	}
 }
 
-func TestABlockThatWasReadElsewhereIsSentThere(t *testing.T) {
-	trial := newSightingTrial("a", "c", "X", "Y")
+func TestBlockIsSentToTheInstanceThatCachesIt(t *testing.T) {
+	fixture := newSightingFixture("a", "c", "X", "Y")
 	for chain := range uint64(20) {
-		trial.selector.TakeSightings(testStart, []sightings.Sighting{sightingAt("Y", chain)})
-		assert.Equal(t, trial.sent(t, chain, chain, testStart), "Y")
+		fixture.selector.TakeSightings(testStart, []sightings.Sighting{sightingAt("Y", chain)})
+		assert.Equal(t, fixture.send(t, chain, chain, testStart), "Y")
 	}
 }
 
-func TestABlockThatNobodyHasReadStaysInItsZone(t *testing.T) {
-	trial := newSightingTrial("a", "c", "X", "Y", "Z")
+func TestUnseenBlockStaysInOwnZone(t *testing.T) {
+	fixture := newSightingFixture("a", "c", "X", "Y", "Z")
 	counts := map[string]int{}
 	for chain := range uint64(50) {
-		counts[trial.sent(t, chain, chain, testStart)]++
+		counts[fixture.send(t, chain, chain, testStart)]++
 	}
 	assert.Equal(t, counts["a"]+counts["c"], 50)
 }
 
-// TestAnOldSightingIsWeighedAgainstTheWay lets the time for reading decide: reading again after so long is no waste.
-func TestAnOldSightingIsWeighedAgainstTheWay(t *testing.T) {
-	trial := newSightingTrial("a", "Y")
-	trial.selector.TakeSightings(testStart, []sightings.Sighting{sightingAt("Y", 1)})
-	request := engineRequest(1, 1, testStart.Add(2*testAgain))
+// TestOldSightingDoesNotOutweighZoneCost checks that a sighting older than Again no longer draws a large request to
+// another zone: a second prefill after that time is no duplicate work.
+func TestOldSightingDoesNotOutweighZoneCost(t *testing.T) {
+	fixture := newSightingFixture("a", "Y")
+	fixture.selector.TakeSightings(testStart, []sightings.Sighting{sightingAt("Y", 1)})
+	request := engineRequest(1, 1, testStart.Add(2*testDuplicateWindow))
 	request.Bytes = 1 << 20
-	assert.Equal(t, mustSelect(t, trial.selector, request).Instance().ID, "a")
-	request.Now = testStart.Add(testAgain / 2)
-	fresh := newSightingTrial("a", "Y")
+	assert.Equal(t, mustSelect(t, fixture.selector, request).Instance().ID, "a")
+	request.Now = testStart.Add(testDuplicateWindow / 2)
+	fresh := newSightingFixture("a", "Y")
 	fresh.selector.TakeSightings(testStart, []sightings.Sighting{sightingAt("Y", 1)})
 	request.Bytes = 0
 	assert.Equal(t, mustSelect(t, fresh.selector, request).Instance().ID, "Y")
 }
 
-func TestWhereNothingIsHeardBlocksGoToTheirHomes(t *testing.T) {
-	trial := newSightingTrial("a", "c", "X", "Y", "Z")
-	trial.alive = false
-	plain := newTestSelector(engine)
-	plain.SetInstances(zonedSnapshot("a", "c", "X", "Y", "Z"))
+func TestBlocksGoToTheirHomesWithoutSightings(t *testing.T) {
+	fixture := newSightingFixture("a", "c", "X", "Y", "Z")
+	fixture.alive = false
+	withoutSightings := newTestSelector(engineConfig)
+	withoutSightings.SetInstances(zonedSnapshot("a", "c", "X", "Y", "Z"))
 	for chain := range uint64(20) {
-		home := mustSelect(t, plain, engineRequest(chain, chain, testStart))
+		home := mustSelect(t, withoutSightings, engineRequest(chain, chain, testStart))
 		home.Done(testStart, Outcome{Result: Abandoned})
-		assert.Equal(t, trial.sent(t, chain, chain, testStart), home.Instance().ID)
+		assert.Equal(t, fixture.send(t, chain, chain, testStart), home.Instance().ID)
 	}
 }
 
-// TestSightingsAreToldOnceInAWhile tells of the shared block alone, and again only when the others would soon forget it.
-func TestSightingsAreToldOnceInAWhile(t *testing.T) {
-	trial := newSightingTrial("a")
-	trial.sent(t, 1, 1, testStart)
-	trial.sent(t, 1, 2, testStart)
-	assert.DeepEqual(t, trial.announced, []sightings.Sighting{sightingAt("a", 1)})
-	trial.sent(t, 1, 3, testStart.Add(testAgain/2))
-	assert.Equal(t, len(trial.announced), 2)
-	trial.selector.TakeSightings(testStart, []sightings.Sighting{sightingAt("a", 2)})
-	trial.sent(t, 2, 1, testStart)
-	assert.Equal(t, len(trial.announced), 2, "others know already")
+// TestSightingsAreAnnouncedOncePerPeriod checks that only the shared block is announced, and again only when the others
+// would soon forget it.
+func TestSightingsAreAnnouncedOncePerPeriod(t *testing.T) {
+	fixture := newSightingFixture("a")
+	fixture.send(t, 1, 1, testStart)
+	fixture.send(t, 1, 2, testStart)
+	assert.DeepEqual(t, fixture.announced, []sightings.Sighting{sightingAt("a", 1)})
+	fixture.send(t, 1, 3, testStart.Add(testDuplicateWindow/2))
+	assert.Equal(t, len(fixture.announced), 2)
+	fixture.selector.TakeSightings(testStart, []sightings.Sighting{sightingAt("a", 2)})
+	fixture.send(t, 2, 1, testStart)
+	assert.Equal(t, len(fixture.announced), 2, "the other routers know it already")
 }
 
-// TestABlockThatAllUseSpreadsOverAll does not gather the requests that begin with it at the instance that read it first.
-func TestABlockThatAllUseSpreadsOverAll(t *testing.T) {
-	trial := newSightingTrial("a", "c", "d", "e")
+// TestFrequentBlockSpreadsOverAllInstances checks that requests with a frequent block do not pile up on the instance
+// that prefilled it first.
+func TestFrequentBlockSpreadsOverAllInstances(t *testing.T) {
+	fixture := newSightingFixture("a", "c", "d", "e")
 	counts := map[string]int{}
 	for own := range uint64(40) {
-		pick := mustSelect(t, trial.selector, engineRequest(1, own, testStart))
+		pick := mustSelect(t, fixture.selector, engineRequest(1, own, testStart))
 		counts[pick.Instance().ID]++
 	}
 	assert.Equal(t, len(counts), 4)
@@ -132,22 +135,23 @@
 	}
 }
 
-func TestABurstIsWidenedToTheInstancesThatReadTheBlock(t *testing.T) {
-	trial := newSightingTrial("a", "c", "d", "e")
-	s := trial.selector
+func TestBurstStaysOnInstancesThatCacheTheBlock(t *testing.T) {
+	fixture := newSightingFixture("a", "c", "d", "e")
+	s := fixture.selector
 	s.options.Detector = constantDetector{burst: true}
 	s.isBurst = true
 	for chain := range uint64(30) {
 		s.TakeSightings(testStart, []sightings.Sighting{sightingAt("c", chain)})
-		assert.Equal(t, trial.sent(t, chain, chain, testStart), "c")
+		assert.Equal(t, fixture.send(t, chain, chain, testStart), "c")
 	}
 }
 
-// TestSightingsOfAnInstanceThatIsHeardOfLater: a router that starts hears of sightings before it hears of instances.
-func TestSightingsOfAnInstanceThatIsHeardOfLater(t *testing.T) {
-	trial := newSightingTrial("a")
-	trial.announced = []sightings.Sighting{sightingAt("Y", 1)}
-	trial.selector.TakeSightings(testStart, trial.announced)
-	trial.selector.SetInstances(zonedSnapshot("a", "Y"))
-	assert.Equal(t, trial.sent(t, 1, 1, testStart), "Y")
+// TestSightingsApplyToInstancesAddedLater covers a router that starts: it learns of sightings before it learns of the
+// instances.
+func TestSightingsApplyToInstancesAddedLater(t *testing.T) {
+	fixture := newSightingFixture("a")
+	fixture.announced = []sightings.Sighting{sightingAt("Y", 1)}
+	fixture.selector.TakeSightings(testStart, fixture.announced)
+	fixture.selector.SetInstances(zonedSnapshot("a", "Y"))
+	assert.Equal(t, fixture.send(t, 1, 1, testStart), "Y")
 }
--- a/internal/router/selection/target.go
+++ b/internal/router/selection/target.go
@@ -7,74 +7,74 @@
 	"pewterrudder/internal/router/prefixcache"
 )
 
-// target is one incarnation of an instance, as this router sees it.
+// target is one incarnation of an instance with this router's knowledge of it.
 type target struct {
-	instance *instances.Instance
-	backend  *backend
-	hash     uint64
-	homeHash uint64             // by which prefixes are ranked
-	isHome   bool               // it has a rank for prefixes
-	cache    *prefixcache.Cache // nil: the backend keeps no prefixes
-	load     loadEstimate
-	health   health
-	own      ownRequests
-	slowness float64 // its time for a request against the backend's mean
-	polling  pollState
-	// streamRank is its place in the rank by which streams prefer the backend's instances.
+	instance  *instances.Instance
+	backend   *backend
+	hash      uint64             // of the instance's id
+	homeHash  uint64             // by which it ranks as a home of prefixes
+	canBeHome bool               // it takes part in the ranking of homes
+	cache     *prefixcache.Cache // nil: the backend caches no prefixes
+	load      loadEstimate
+	health    health
+	own       ownRequests
+	slowness  float64 // time to first byte relative to the backend's mean
+	polling   pollState
+	// streamRank is the position in the order in which streams prefer the backend's instances, from 0.
 	streamRank int
 }
 
-// streamShare is how far the instance belongs to a stream set of the given size: 1 wholly, 0 not at all.
-func (t *target) streamShare(size float64) float64 {
+// streamSetShare returns the degree to which the instance belongs to a stream set of the given size, from 0 to 1.
+func (t *target) streamSetShare(size float64) float64 {
 	return min(1, max(0, size-float64(t.streamRank)))
 }
 
-// homeShare is its share of the homes of prefixes against that of an instance outside of the stream set.
+// homeShare returns the instance's expected number of homes, relative to an instance outside of the stream set.
 func (t *target) homeShare() float64 {
-	streams := &t.backend.streams
-	return 1 - (1-streamSetHomes)*streams.worth*t.streamShare(streams.size)
+	set := &t.backend.streamSet
+	return 1 - (1-streamSetHomeShare)*set.separation*t.streamSetShare(set.size)
 }
 
 func newTarget(id string) *target {
 	hash := prefixcache.HashModel(id)
-	return &target{hash: hash, homeHash: hash, isHome: true, slowness: 1}
+	return &target{hash: hash, homeHash: hash, canBeHome: true, slowness: 1}
 }
 
 const (
-	slownessStep = 0.05
-	minSlowness  = 0.5
-	maxSlowness  = 4
+	slownessSampleWeight = 0.05
+	minSlowness          = 0.5
+	maxSlowness          = 4
 )
 
-// noteTime compares the time of a request with the backend's mean.
-func (t *target) noteTime(timeMs, meanMs float64) {
+// updateSlowness adds a request's time, relative to the backend's mean, to the slowness.
+func (t *target) updateSlowness(timeMs, meanMs float64) {
 	if meanMs <= 0 {
 		return
 	}
 	ratio := min(max(timeMs/meanMs, minSlowness/2), 2*maxSlowness)
-	t.slowness += slownessStep * (ratio - t.slowness)
+	t.slowness += slownessSampleWeight * (ratio - t.slowness)
 	t.slowness = min(max(t.slowness, minSlowness), maxSlowness)
 }
 
-// ownRequests counts the requests that this router has under way at an instance.
+// ownRequests counts the requests that this router has in flight at an instance.
 type ownRequests struct {
-	waiting       int // without a first byte yet
-	running       int
-	pendingTokens int // prompt tokens of the waiting ones that had to be read
-	// The same counts as a report sees them that lags behind.
-	seenWaiting float64
-	seenHeld    float64
-	seenAt      time.Time
+	waiting       int // before their first byte
+	running       int // after their first byte
+	pendingTokens int // uncached prompt tokens of the waiting requests
+	// The same counts, low-pass filtered by reportLag, as a delayed report sees them.
+	laggedWaiting  float64
+	laggedInFlight float64
+	laggedAt       time.Time
 }
 
-// reportLag is the time by which a polled report may be older than its arrival; pages of instances speak of some
-// hundred milliseconds.
+// reportLag is the age that a polled report may have when it arrives. The status pages of instances give a delay of
+// some hundred milliseconds.
 const reportLag = 300 * time.Millisecond
 
-// advance moves the lagging counts towards the present ones. It comes before each change of the counts.
-func (o *ownRequests) advance(now time.Time) {
-	share := 1 - decay(now.Sub(o.seenAt), reportLag)
-	o.seenWaiting += share * (float64(o.waiting) - o.seenWaiting)
-	o.seenHeld += share * (float64(o.waiting+o.running) - o.seenHeld)
-	o.seenAt = now
+// advanceLagged moves the lagged counts towards the current ones. It must be called before each change of the counts.
+func (o *ownRequests) advanceLagged(now time.Time) {
+	share := 1 - decay(now.Sub(o.laggedAt), reportLag)
+	o.laggedWaiting += share * (float64(o.waiting) - o.laggedWaiting)
+	o.laggedInFlight += share * (float64(o.waiting+o.running) - o.laggedInFlight)
+	o.laggedAt = now
 }
