--- a/internal/router/balance/choose.go
+++ b/internal/router/balance/choose.go
@@ -1,27 +1,27 @@
-// Package balance holds the design's pick, uniform among the K least loaded candidates, and the load figure that it
-// ranks by. The package is pure.
+// Package balance picks an instance uniformly among the K least loaded candidates, and computes the cost by which they
+// are ranked. It has no state of its own, no clock and no I/O.
 package balance
 
 import "math"
 
-// Widths are the numbers of candidates that the pick is uniform among: at rest and during a burst.
+// Widths set K, the number of candidates among which the pick is uniform, at rest and during a burst.
 type Widths struct {
-	Rest        int     // ths
-	BurstShare  float64 // thl as a share of the candidates, rounded up
-	PrefixBurst int     // thl of requests that share a prefix: each further instance would read it again
+	Rest        int     // K outside of bursts; the design's ths
+	BurstShare  float64 // K in a burst (the design's thl) as a share of the candidates, rounded up
+	PrefixBurst int     // K in a burst for requests that share a prefix, which each further instance would prefill again
 }
 
-// DefaultWidths are the ones in service: the design's, but for shared prefixes, where half of the instances were found
-// to cost more in reading again than they gain.
+// DefaultWidths are the widths used in production. They are the design's, except for shared prefixes: there K of half
+// the instances costs more in duplicate prefill than it gains.
 var DefaultWidths = Widths{Rest: 1, BurstShare: 0.5, PrefixBurst: 2}
 
-// K is the number of least loaded candidates among which the pick is uniform.
+// K returns the number of least loaded candidates among which the pick is uniform, from 1 to candidates.
 func (w Widths) K(candidates int, burst, sharesPrefix bool) int {
-	wide := w.Rest
+	width := w.Rest
 	if burst {
-		wide = max(wide, w.burstWidth(candidates, sharesPrefix))
+		width = max(width, w.burstWidth(candidates, sharesPrefix))
 	}
-	return max(1, min(wide, candidates))
+	return max(1, min(width, candidates))
 }
 
 func (w Widths) burstWidth(candidates int, sharesPrefix bool) int {
@@ -31,54 +31,54 @@
 	return int(math.Ceil(w.BurstShare * float64(candidates)))
 }
 
-// Choose returns the index of one of the k lowest figures, each with the same chance, or -1 without figures. Equal
-// figures rank at random. Both decisions follow from the random number.
-func Choose(figures []float64, k int, random uint64) int {
-	if len(figures) == 0 {
+// Choose returns the index of one of the k lowest costs, each with the same probability, or -1 if there are no costs.
+// Ties are broken at random. The result is a function of the arguments.
+func Choose(costs []float64, k int, random uint64) int {
+	if len(costs) == 0 {
 		return -1
 	}
-	k = max(1, min(k, len(figures)))
-	var buffer [bufferedWidth]ranked
-	least := buffer[:0]
+	k = max(1, min(k, len(costs)))
+	var buffer [stackBufferWidth]ranked
+	lowest := buffer[:0]
 	tieSeed := mix(random)
-	for i, figure := range figures {
-		least = insert(least, k, ranked{figure: figure, tie: mix(tieSeed + uint64(i)), index: i})
+	for i, cost := range costs {
+		lowest = insert(lowest, k, ranked{cost: cost, tie: mix(tieSeed + uint64(i)), index: i})
 	}
-	return least[random%uint64(k)].index
+	return lowest[random%uint64(k)].index
 }
 
-// bufferedWidth is the widest pick that needs no memory of its own.
-const bufferedWidth = 32
+// stackBufferWidth is the largest k for which Choose does not allocate.
+const stackBufferWidth = 32
 
 type ranked struct {
-	figure float64
-	tie    uint64
-	index  int
+	cost  float64
+	tie   uint64
+	index int
 }
 
 func (r ranked) before(other ranked) bool {
-	if r.figure != other.figure {
-		return r.figure < other.figure
+	if r.cost != other.cost {
+		return r.cost < other.cost
 	}
 	return r.tie < other.tie
 }
 
-// insert puts a candidate in its place among the at most k least ones.
-func insert(least []ranked, k int, candidate ranked) []ranked {
-	if len(least) == k {
-		if !candidate.before(least[k-1]) {
-			return least
+// insert inserts a candidate into the sorted list of the k lowest ones, which it keeps at most k long.
+func insert(lowest []ranked, k int, candidate ranked) []ranked {
+	if len(lowest) == k {
+		if !candidate.before(lowest[k-1]) {
+			return lowest
 		}
-		least = least[:k-1]
+		lowest = lowest[:k-1]
 	}
-	at := len(least)
-	least = append(least, candidate)
-	for at > 0 && candidate.before(least[at-1]) {
-		least[at] = least[at-1]
-		at--
+	position := len(lowest)
+	lowest = append(lowest, candidate)
+	for position > 0 && candidate.before(lowest[position-1]) {
+		lowest[position] = lowest[position-1]
+		position--
 	}
-	least[at] = candidate
-	return least
+	lowest[position] = candidate
+	return lowest
 }
 
 // mix is the finalizer of SplitMix64.
--- a/internal/router/balance/choose_test.go
+++ b/internal/router/balance/choose_test.go
@@ -23,43 +23,43 @@
 		assert.Equal(t, widths.K(c.candidates, c.burst, c.sharesPrefix), c.want, "%+v", c)
 	}
 	assert.Equal(t, Widths{Rest: 3}.K(2, false, false), 2)
-	assert.Equal(t, Widths{Rest: 3, BurstShare: 0.1}.K(12, true, false), 3, "a burst never narrows the pick")
+	assert.Equal(t, Widths{Rest: 3, BurstShare: 0.1}.K(12, true, false), 3, "a burst never reduces K")
 }
 
-func TestChooseWithoutFigures(t *testing.T) { assert.Equal(t, Choose(nil, 1, 0), -1) }
+func TestChooseWithoutCandidates(t *testing.T) { assert.Equal(t, Choose(nil, 1, 0), -1) }
 
-// TestChooseIsUniformAmongTheLeast goes through consecutive random numbers: each of the K least must come for exactly one
-// number in K, and no other ever.
-func TestChooseIsUniformAmongTheLeast(t *testing.T) {
+// TestChooseIsUniformAmongTheLowest passes consecutive random numbers: each of the k lowest costs must be chosen for
+// exactly one in k of them, and no other cost ever.
+func TestChooseIsUniformAmongTheLowest(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		figures := rapid.SliceOfNDistinct(rapid.Float64Range(0, 1e6), 1, 48, rapid.ID[float64]).Draw(t, "figures")
-		k := rapid.IntRange(1, len(figures)).Draw(t, "k")
+		costs := rapid.SliceOfNDistinct(rapid.Float64Range(0, 1e6), 1, 48, rapid.ID[float64]).Draw(t, "figures")
+		k := rapid.IntRange(1, len(costs)).Draw(t, "k")
 		first := rapid.Uint64Range(0, 1<<60).Draw(t, "random") / uint64(k) * uint64(k)
-		counts := make([]int, len(figures))
+		counts := make([]int, len(costs))
 		const rounds = 3
 		for random := range uint64(rounds * k) {
-			counts[Choose(figures, k, first+random)]++
+			counts[Choose(costs, k, first+random)]++
 		}
-		sorted := slices.Sorted(slices.Values(figures))
-		for i, figure := range figures {
+		sorted := slices.Sorted(slices.Values(costs))
+		for i, cost := range costs {
 			want := 0
-			if figure <= sorted[k-1] {
+			if cost <= sorted[k-1] {
 				want = rounds
 			}
-			assert.Equal(t, counts[i], want, "figure %v among %v, k %d", figure, sorted, k)
+			assert.Equal(t, counts[i], want, "cost %v among %v, k %d", cost, sorted, k)
 		}
 	})
 }
 
-func TestEqualFiguresRankAtRandom(t *testing.T) {
-	figures := []float64{5, 1, 1, 7, 1, 1}
-	counts := make([]int, len(figures))
+func TestTiesAreBrokenAtRandom(t *testing.T) {
+	costs := []float64{5, 1, 1, 7, 1, 1}
+	counts := make([]int, len(costs))
 	const rounds = 8000
 	for random := range uint64(rounds) {
-		counts[Choose(figures, 2, random)]++
+		counts[Choose(costs, 2, random)]++
 	}
 	for i, count := range counts {
-		if figures[i] > 1 {
+		if costs[i] > 1 {
 			assert.Equal(t, count, 0)
 			continue
 		}
@@ -68,13 +68,13 @@
 }
 
 func BenchmarkChoose(b *testing.B) {
-	figures := make([]float64, 48)
-	for i := range figures {
-		figures[i] = float64(mix(uint64(i)) % 1000)
+	costs := make([]float64, 48)
+	for i := range costs {
+		costs[i] = float64(mix(uint64(i)) % 1000)
 	}
 	random := uint64(0)
 	for b.Loop() {
 		random++
-		Choose(figures, 1, random)
+		Choose(costs, 1, random)
 	}
 }
--- a/internal/router/selection/backend.go
+++ b/internal/router/selection/backend.go
@@ -13,7 +13,7 @@
 type backend struct {
 	config         BackendConfig
 	targets        []*target
-	performance    balance.PaceLearner
+	performance    balance.PerformanceEstimator
 	firstByteMs    average // time to first byte
 	uncachedTokens average // prompt tokens to prefill, per request
 	nonStreamMs    average // total time of a request that is not a stream
--- a/internal/router/selection/choose.go
+++ b/internal/router/selection/choose.go
@@ -25,7 +25,7 @@
 	backend           *backend
 	request           *Request
 	modelHash         uint64
-	performance       balance.Pace
+	performance       balance.Performance
 	waitTime          time.Duration // mean time to first byte
 	serviceTime       time.Duration // mean time for which a request holds a slot
 	outputMs          float64       // expected time from the first token of the answer to its last
@@ -49,7 +49,7 @@
 }
 
 func (s *Selector) newPickContext(b *backend, request *Request) pickContext {
-	performance := b.performance.Pace(b.config.HasEngine)
+	performance := b.performance.Performance(b.config.HasEngine)
 	b.updateStreamSet(request.Now, performance)
 	return pickContext{
 		backend:     b,
@@ -71,11 +71,11 @@
 	s.scratch.costs, s.scratch.uncachedTokens = s.scratch.costs[:0], s.scratch.uncachedTokens[:0]
 	for _, t := range candidates {
 		candidate := s.balanceCandidate(c, t)
-		if candidate.MissingShared == 0 {
+		if candidate.DuplicateTokens == 0 {
 			c.withoutDuplicates++
 		}
-		s.scratch.costs = append(s.scratch.costs, s.weights.Figure(&candidate, c.performance))
-		s.scratch.uncachedTokens = append(s.scratch.uncachedTokens, int(candidate.MissingTokens))
+		s.scratch.costs = append(s.scratch.costs, s.weights.Cost(&candidate, c.performance))
+		s.scratch.uncachedTokens = append(s.scratch.uncachedTokens, int(candidate.UncachedTokens))
 	}
 }
 
@@ -95,13 +95,13 @@
 		HoldMs:        holdMs,
 		PendingTokens: queued*c.backend.uncachedTokens.value + float64(t.own.pendingTokens),
 		OutputMs:      c.outputMs,
-		ReadingShare:  c.backend.streamSet.prefillShare * (1 - streamShare),
+		PrefillShare:  c.backend.streamSet.prefillShare * (1 - streamShare),
 		Slowness:      t.slowness,
 		RequestKB:     float64(c.request.Bytes) / 1000,
 		OtherZone:     s.options.Zone != "" && t.instance.Zone != s.options.Zone,
 	}
 	if t.cache != nil {
-		candidate.MissingTokens, candidate.MissingShared = t.uncachedTokens(c.request, c.modelHash, &c.expected)
+		candidate.UncachedTokens, candidate.DuplicateTokens = t.uncachedTokens(c.request, c.modelHash, &c.expected)
 	}
 	return candidate
 }
--- a/internal/router/selection/pick.go
+++ b/internal/router/selection/pick.go
@@ -55,7 +55,7 @@
 	}
 	own.waiting++
 	own.pendingTokens += uncachedTokens
-	t.backend.performance.Prompted(float64(request.PromptTokens))
+	t.backend.performance.ObservePrompt(float64(request.PromptTokens))
 	if t.cache != nil {
 		modelHash := prefixcache.HashModel(request.Model)
 		t.cache.Used(modelHash, request.Prefix)
@@ -64,7 +64,7 @@
 	return &Pick{
 		selector: s, target: t, instance: t.instance, sentAt: request.Now,
 		uncachedTokens: uncachedTokens, outputTokens: request.OutputTokens,
-		isStream: t.backend.isStream(request, t.backend.performance.Pace(t.backend.config.HasEngine)),
+		isStream: t.backend.isStream(request, t.backend.performance.Performance(t.backend.config.HasEngine)),
 	}
 }
 
@@ -99,7 +99,7 @@
 	ms := toMilliseconds(took)
 	b := p.target.backend
 	if b.config.HasEngine {
-		b.performance.Read(float64(p.uncachedTokens), ms)
+		b.performance.ObservePrefill(float64(p.uncachedTokens), ms)
 		b.uncachedTokens.addSample(float64(p.uncachedTokens))
 	}
 	b.firstByteMs.addSample(ms)
@@ -188,11 +188,11 @@
 	}
 	b := p.target.backend
 	if !b.config.HasEngine {
-		b.performance.Served(toMilliseconds(total))
+		b.performance.ObserveService(toMilliseconds(total))
 		return
 	}
 	answer := toMilliseconds(max(0, total-p.firstByteTime))
-	b.performance.Served(answer)
+	b.performance.ObserveService(answer)
 	if p.outputTokens > 0 {
 		b.outputTokenMs.addSample(answer / float64(p.outputTokens))
 	}
--- a/internal/router/selection/streamset.go
+++ b/internal/router/selection/streamset.go
@@ -79,13 +79,13 @@
 }
 
 // updateStreamSet recomputes the set from the current loads, at most once per streamSetInterval.
-func (b *backend) updateStreamSet(now time.Time, pace balance.Pace) {
+func (b *backend) updateStreamSet(now time.Time, performance balance.Performance) {
 	if !b.hasStreamSet() || now.Sub(b.streamSet.updatedAt) < streamSetInterval {
 		return
 	}
 	b.streamSet.updatedAt = now
 	loads := b.sumInFlight()
-	prefillLoad := b.prefillLoad(&loads, pace)
+	prefillLoad := b.prefillLoad(&loads, performance)
 	b.streamSet.prefillShare = min(1, prefillLoad/max(1, loads.instances-b.streamSet.size))
 	b.streamSet.separation = min(1, max(0, (b.streamSet.prefillShare-separationMinShare)/(separationFullShare-separationMinShare)))
 	wanted := loads.streamCount() / max(1, streamSlotShare*loads.meanSlots()) * (1 + streamSetHeadroom)
@@ -96,13 +96,13 @@
 // prefillLoad estimates the prefill work outside of the set as the number of instances that it would keep busy all the
 // time. By Little's law the rate of prompts follows from the requests in flight on the upper half, which are prompts,
 // and their mean time in flight; each takes the mean time of a prefill.
-func (b *backend) prefillLoad(loads *loadSums, pace balance.Pace) float64 {
-	if pace.TokensPerMs <= 0 || b.nonStreamMs.value <= 0 || loads.upperCount == 0 {
+func (b *backend) prefillLoad(loads *loadSums, performance balance.Performance) float64 {
+	if performance.PrefillTokensPerMs <= 0 || b.nonStreamMs.value <= 0 || loads.upperCount == 0 {
 		return 0
 	}
 	perMs := loads.upperInFlight / loads.upperCount / b.nonStreamMs.value
 	outside := loads.instances - b.streamSet.size*(1-streamSetHomeShare)
-	return perMs * outside * b.uncachedTokens.value / pace.TokensPerMs
+	return perMs * outside * b.uncachedTokens.value / performance.PrefillTokensPerMs
 }
 
 // loadSums are the loads of a backend's instances, summed over the lower half by rank, where the streams are, and the
@@ -150,11 +150,11 @@
 }
 
 // isStream reports whether a request counts as a stream: its answer is expected to take much longer than its prompt.
-func (b *backend) isStream(request *Request, pace balance.Pace) bool {
-	if !b.hasStreamSet() || pace.TokensPerMs <= 0 {
+func (b *backend) isStream(request *Request, performance balance.Performance) bool {
+	if !b.hasStreamSet() || performance.PrefillTokensPerMs <= 0 {
 		return false
 	}
-	return b.outputMs(request) > streamTimeRatio*float64(request.PromptTokens)/pace.TokensPerMs
+	return b.outputMs(request) > streamTimeRatio*float64(request.PromptTokens)/performance.PrefillTokensPerMs
 }
 
 // outputMs returns the expected time from the first token of the answer to its last.
--- a/internal/router/selection/streamset_test.go
+++ b/internal/router/selection/streamset_test.go
@@ -13,7 +13,7 @@
 	"pewterrudder/internal/router/prefixcache"
 )
 
-var testPerformance = balance.Pace{TokensPerMs: 300, ServiceMs: 100}
+var testPerformance = balance.Performance{PrefillTokensPerMs: 300, ServiceMs: 100}
 
 // backendWithLoads returns a backend whose instances, by rank, have the given numbers of requests in flight. A prompt
 // is in flight for 50 ms and takes 10 ms to prefill.
@@ -98,7 +98,7 @@
 			b := backendWithLoads(fleetLoads(48, 12, prompts, 6)...)
 			for i := range 50 {
 				now := testStart.Add(time.Duration(i+1) * streamSetInterval)
-				b.updateStreamSet(now, balance.Pace{TokensPerMs: tokensPerMs, ServiceMs: 100})
+				b.updateStreamSet(now, balance.Performance{PrefillTokensPerMs: tokensPerMs, ServiceMs: 100})
 			}
 			assert.Assert(t, b.streamSet.separation > 0.9, "%v", b.streamSet.separation)
 			sizes = append(sizes, b.streamSet.size)
