--- a/internal/router/balance/choose_test.go
+++ b/internal/router/balance/choose_test.go
@@ -32,7 +32,7 @@
 // exactly one in k of them, and no other cost ever.
 func TestChooseIsUniformAmongTheLowest(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		costs := rapid.SliceOfNDistinct(rapid.Float64Range(0, 1e6), 1, 48, rapid.ID[float64]).Draw(t, "figures")
+		costs := rapid.SliceOfNDistinct(rapid.Float64Range(0, 1e6), 1, 48, rapid.ID[float64]).Draw(t, "costs")
 		k := rapid.IntRange(1, len(costs)).Draw(t, "k")
 		first := rapid.Uint64Range(0, 1<<60).Draw(t, "random") / uint64(k) * uint64(k)
 		counts := make([]int, len(costs))
--- a/internal/router/balance/cost_test.go
+++ b/internal/router/balance/cost_test.go
@@ -12,8 +12,8 @@
 	plainPerformance  = Performance{ServiceMs: 20}
 )
 
-func costOf(candidate Candidate, pace Performance) float64 {
-	return DefaultWeights.Cost(&candidate, pace)
+func costOf(candidate Candidate, performance Performance) float64 {
+	return DefaultWeights.Cost(&candidate, performance)
 }
 
 func TestCostOfPlainInstances(t *testing.T) {
@@ -54,7 +54,7 @@
 			Slowness: rapid.Float64Range(0.5, 4).Draw(t, "slowness"),
 		}
 		base.DuplicateTokens = base.UncachedTokens / 2
-		performance := rapid.SampledFrom([]Performance{enginePerformance, plainPerformance}).Draw(t, "pace")
+		performance := rapid.SampledFrom([]Performance{enginePerformance, plainPerformance}).Draw(t, "performance")
 		more := rapid.Float64Range(0, 100).Draw(t, "more")
 		for _, raise := range []func(*Candidate){
 			func(c *Candidate) { c.Queued += more },
--- a/internal/router/routing/items.go
+++ b/internal/router/routing/items.go
@@ -6,25 +6,25 @@
 	"pewterrudder/internal/router/document"
 )
 
-// Backend is one service of a table; it does not change.
+// Backend is a service that requests are routed to. It is immutable.
 type Backend struct {
 	Name           string
 	HealthPath     string
-	MaxConnections int // of all callers together; 0: not given
-	ColdPerSecond  float64
+	MaxConnections int     // limit for all clients of the service together; 0: not set
+	ColdPerSecond  float64 // as configured in cold_per_s
 	Protocol       string
 	TLS            bool
-	Engine         *document.Engine // nil: not given
+	Engine         *document.Engine // nil: not set
 }
 
-// Tenant is one tenant of a table; it does not change.
+// Tenant is a customer that is identified by its API keys. It is immutable.
 type Tenant struct {
 	Name          string
-	Priority      int  // 0 is the most urgent
-	CountsTokens  bool // the quota is counted in tokens, otherwise in requests
-	PlainTokens   float64
-	RatePerSecond float64 // 0: no limit
-	Burst         float64
+	Priority      int     // 0 is the most urgent
+	CountsTokens  bool    // the unit of the quota is tokens, otherwise requests
+	PlainTokens   float64 // tokens charged for a request that does not state its own
+	RatePerSecond float64 // in units of the quota; 0: no limit
+	Burst         float64 // in units of the quota
 }
 
 func newRoute(source *document.Route) *Route {
@@ -32,16 +32,16 @@
 		Name:       source.Name,
 		Hostname:   strings.ToLower(source.Hostname),
 		PathPrefix: source.PathPrefix,
-		Kind:       kindOf(source.Kind),
-		Timeout:    milliseconds(source.TimeoutMs),
-		Target:     milliseconds(source.TargetMs),
-		GapAim:     milliseconds(source.GapAimMs),
+		Kind:       parseKind(source.Kind),
+		Timeout:    fromMilliseconds(source.TimeoutMs),
+		Target:     fromMilliseconds(source.TargetMs),
+		GapAim:     fromMilliseconds(source.GapAimMs),
 		Priority:   int(source.Priority),
 		Retries:    max(1, int(source.Retries)),
 		Public:     source.Public,
 		Sticky:     source.Sticky,
 		Resume:     source.Resume,
-		shares:     sharesOf(source),
+		shares:     newShares(source),
 	}
 }
 
--- a/internal/router/routing/lookup.go
+++ b/internal/router/routing/lookup.go
@@ -2,22 +2,22 @@
 
 import "strings"
 
-// longestHost is the longest host name that is looked up; a domain name has at most 253 bytes.
-const longestHost = 253
+// maxHostLength is the length of the longest host name that is looked up. A domain name has at most 253 bytes.
+const maxHostLength = 253
 
-// hostRoutes holds the routes of one host.
+// hostRoutes holds the routes of one host by path prefix.
 type hostRoutes struct {
-	byPrefix map[string]*Route
-	longest  int // bytes of the longest prefix
+	byPrefix      map[string]*Route
+	longestPrefix int // length of the longest prefix, in bytes
 }
 
 func (h *hostRoutes) add(route *Route) {
 	h.byPrefix[route.PathPrefix] = route
-	h.longest = max(h.longest, len(route.PathPrefix))
+	h.longestPrefix = max(h.longestPrefix, len(route.PathPrefix))
 }
 
-// host finds or adds the routes of a host.
-func (t *Table) host(name string) *hostRoutes {
+// ensureHost returns the routes of a host, which it adds if there are none.
+func (t *Table) ensureHost(name string) *hostRoutes {
 	routes, found := t.hosts[name]
 	if !found {
 		routes = &hostRoutes{byPrefix: make(map[string]*Route)}
@@ -26,19 +26,19 @@
 	return routes
 }
 
-// Lookup finds the route of a request: among those of the host, the one with the longest prefix that begins the
-// path. Case of the host does not matter, and a port after it is ignored. Nil: no route.
+// Lookup returns the route of a request: among the routes of the host, the one with the longest prefix of the path. The
+// host is not case-sensitive, and its port is ignored. Lookup returns nil if there is no such route.
 func (t *Table) Lookup(host, path string) *Route {
-	routes := t.findHost(withoutPort(host))
+	routes := t.lookupHost(withoutPort(host))
 	if routes == nil {
 		return nil
 	}
-	return routes.find(path)
+	return routes.lookup(path)
 }
 
-// find tries the path up to each of its slashes, the longest part first.
-func (h *hostRoutes) find(path string) *Route {
-	rest := path[:min(len(path), h.longest)]
+// lookup tries the path up to each of its slashes, longest first.
+func (h *hostRoutes) lookup(path string) *Route {
+	rest := path[:min(len(path), h.longestPrefix)]
 	for {
 		slash := strings.LastIndexByte(rest, '/')
 		if slash < 0 {
@@ -51,15 +51,15 @@
 	}
 }
 
-// findHost looks a host up by its name in lower case, without allocating one.
-func (t *Table) findHost(host string) *hostRoutes {
+// lookupHost looks a host up by its name in lower case, without allocation.
+func (t *Table) lookupHost(host string) *hostRoutes {
 	if routes, found := t.hosts[host]; found {
 		return routes
 	}
-	if len(host) > longestHost {
+	if len(host) > maxHostLength {
 		return nil
 	}
-	var buffer [longestHost]byte
+	var buffer [maxHostLength]byte
 	lower := buffer[:len(host)]
 	for index := range len(host) {
 		lower[index] = lowerByte(host[index])
@@ -74,7 +74,7 @@
 	return letter
 }
 
-// withoutPort cuts a port off a host; colons inside the brackets of an IPv6 address stay.
+// withoutPort removes the port from a host. Colons inside the brackets of an IPv6 address are kept.
 func withoutPort(host string) string {
 	colon := strings.LastIndexByte(host, ':')
 	if colon < 0 || strings.IndexByte(host[colon:], ']') >= 0 {
--- a/internal/router/routing/quotas.go
+++ b/internal/router/routing/quotas.go
@@ -1,11 +1,12 @@
 package routing
 
-// Quotas are the tenants' rates by name, 0 for no limit. Rates in different units can't be compared, so that all
-// tenants then count alike. A table without tenants has one without a name.
+// Quotas returns the tenants' rates by name, 0 for no limit. Rates in different units cannot be compared; if the units
+// differ, all rates are 0, so that all tenants count alike. For a table without tenants it returns one with an empty
+// name.
 func (t *Table) Quotas() map[string]float64 {
 	quotas := map[string]float64{}
 	units := map[bool]bool{}
-	for _, tenant := range t.tenants {
+	for _, tenant := range t.tenantsByKey {
 		quotas[tenant.Name] = tenant.RatePerSecond
 		units[tenant.CountsTokens] = true
 	}
--- a/internal/router/routing/plain_test.go
+++ b/internal/router/routing/reference_test.go
@@ -6,8 +6,8 @@
 	"pewterrudder/internal/router/document"
 )
 
-// plainLookup goes through all routes.
-func plainLookup(configuration *document.Configuration, host, path string) string {
+// referenceLookup returns the name of a request's route by a linear search, "" if there is none.
+func referenceLookup(configuration *document.Configuration, host, path string) string {
 	host = strings.ToLower(host)
 	if colon := strings.IndexByte(host, ':'); colon >= 0 {
 		host = host[:colon]
@@ -22,8 +22,8 @@
 	return name
 }
 
-// plainTenant goes through all keys.
-func plainTenant(configuration *document.Configuration, key string) string {
+// referenceTenant returns the name of a key's tenant by a linear search, "" if there is none.
+func referenceTenant(configuration *document.Configuration, key string) string {
 	for _, tenant := range configuration.Tenants {
 		for _, own := range tenant.APIKeys {
 			if own == key {
--- a/internal/router/routing/route.go
+++ b/internal/router/routing/route.go
@@ -7,17 +7,17 @@
 	"pewterrudder/internal/router/document"
 )
 
-// Kind says what may be done with the requests of a route.
+// Kind tells how the requests of a route may be handled, in particular whether they may be repeated.
 type Kind int
 
-// Kinds of routes. The zero value is the most careful one.
+// Kinds of routes. The zero value is the most restrictive one.
 const (
 	NonIdempotent Kind = iota
 	Idempotent
 	Streaming
 )
 
-// String gives the kind's name in a configuration.
+// String returns the kind's name in the configuration.
 func (k Kind) String() string {
 	switch k {
 	case Idempotent:
@@ -29,7 +29,7 @@
 	}
 }
 
-func kindOf(name string) Kind {
+func parseKind(name string) Kind {
 	switch name {
 	case document.KindIdempotent:
 		return Idempotent
@@ -40,17 +40,17 @@
 	}
 }
 
-// Route is one route of a table; it does not change.
+// Route is a route of the configuration. It is immutable.
 type Route struct {
 	Name       string
 	Hostname   string // in lower case
 	PathPrefix string
 	Kind       Kind
 	Timeout    time.Duration
-	Target     time.Duration // 0: not given
-	GapAim     time.Duration // 0: not given
+	Target     time.Duration // as configured in target_ms; 0: not set
+	GapAim     time.Duration // as configured in gap_aim_ms; 0: not set
 	Priority   int           // 0 is the most urgent
-	Retries    int           // most instances that one try of a client may go to; at least 1
+	Retries    int           // most instances that a client's request may be sent to; at least 1
 	Public     bool
 	Sticky     bool
 	Resume     bool
@@ -58,19 +58,19 @@
 	shares []share
 }
 
-// share is a service with the sum of the weights up to and including its own.
+// share is a backend of a split, with the sum of the weights up to and including its own.
 type share struct {
 	backend    string
 	cumulative float64
 }
 
-// Repeatable says whether a request of the route may run more than once.
+// Repeatable reports whether a request of the route may be executed more than once.
 func (r *Route) Repeatable() bool {
 	return r.Kind == Idempotent || r.Kind == Streaming && r.Resume
 }
 
-// ChooseBackend picks a service by weight, with a random number from 0 up to but not including 1. A service of
-// weight 0 is never picked.
+// ChooseBackend picks a backend with a probability proportional to its weight. random must be uniform in [0, 1). A
+// backend of weight 0 is never picked.
 func (r *Route) ChooseBackend(random float64) string {
 	last := len(r.shares) - 1
 	target := random * r.shares[last].cumulative
@@ -82,13 +82,14 @@
 	return r.shares[last].backend
 }
 
-func sharesOf(route *document.Route) []share {
+// newShares returns the shares of a route's split, or of its only backend if there is none with a weight.
+func newShares(route *document.Route) []share {
 	var shares []share
 	var sum float64
-	for _, part := range route.Split {
-		if part.Weight > 0 {
-			sum += part.Weight
-			shares = append(shares, share{part.Backend, sum})
+	for _, split := range route.Split {
+		if split.Weight > 0 {
+			sum += split.Weight
+			shares = append(shares, share{split.Backend, sum})
 		}
 	}
 	if shares == nil {
@@ -97,9 +98,9 @@
 	return shares
 }
 
-// milliseconds converts a configured number; what a Duration cannot hold becomes the longest one.
-func milliseconds(count float64) time.Duration {
-	nanoseconds := count * float64(time.Millisecond)
+// fromMilliseconds converts a configured number to a Duration. Numbers that are too large become the longest Duration.
+func fromMilliseconds(ms float64) time.Duration {
+	nanoseconds := ms * float64(time.Millisecond)
 	if nanoseconds >= math.MaxInt64 {
 		return math.MaxInt64
 	}
--- a/internal/router/routing/route_test.go
+++ b/internal/router/routing/route_test.go
@@ -30,52 +30,53 @@
 
 func TestKindNames(t *testing.T) {
 	for _, name := range []string{document.KindIdempotent, document.KindNonIdempotent, document.KindStreaming} {
-		assert.Equal(t, kindOf(name).String(), name)
+		assert.Equal(t, parseKind(name).String(), name)
 	}
 }
 
-func TestChooseBackendAgreesWithPlainWalk(t *testing.T) {
+func TestChooseBackendMatchesReference(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		weights := rapid.SliceOfN(rapid.IntRange(0, 4), 1, 6).Draw(t, "weights")
-		split, sum := splitOf(weights)
+		split, sum := newSplit(weights)
 		if sum == 0 {
 			t.Skip("no weight")
 		}
 		route := newRoute(&document.Route{Split: split})
 		random := rapid.Float64Range(0, 0.9999999999999999).Draw(t, "random")
-		got, want := route.ChooseBackend(random), plainChoice(weights, random*float64(sum))
+		got, want := route.ChooseBackend(random), referenceChoice(weights, random*float64(sum))
 		if got != want {
 			t.Fatalf("weights %v, random %v: got %s, want %s", weights, random, got, want)
 		}
 	})
 }
 
-func splitOf(weights []int) ([]document.Share, int) {
+func newSplit(weights []int) ([]document.Share, int) {
 	split, sum := []document.Share{}, 0
 	for index, weight := range weights {
-		split = append(split, document.Share{Backend: letter(index), Weight: float64(weight)})
+		split = append(split, document.Share{Backend: backendName(index), Weight: float64(weight)})
 		sum += weight
 	}
 	return split, sum
 }
 
-// plainChoice lays the services out side by side, a unit a time.
-func plainChoice(weights []int, target float64) string {
-	place := 0
+// referenceChoice returns the backend that covers target when the backends are laid out side by side by their weights.
+// It adds up the weights one unit at a time.
+func referenceChoice(weights []int, target float64) string {
+	upper := 0
 	for index, weight := range weights {
 		for range weight {
-			place++
-			if target < float64(place) {
-				return letter(index)
+			upper++
+			if target < float64(upper) {
+				return backendName(index)
 			}
 		}
 	}
 	return "none"
 }
 
-func letter(index int) string { return string(rune('a' + index)) }
+func backendName(index int) string { return string(rune('a' + index)) }
 
-func TestChooseBackendSharesByWeight(t *testing.T) {
+func TestChooseBackendFollowsWeights(t *testing.T) {
 	route := newRoute(&document.Route{Split: []document.Share{{Backend: "a", Weight: 90}, {Backend: "none"}, {Backend: "b", Weight: 10}, {Backend: "last"}}})
 	counts := map[string]int{}
 	const steps = 1000
--- a/internal/router/routing/table.go
+++ b/internal/router/routing/table.go
@@ -1,27 +1,27 @@
-// Package routing builds immutable routing tables from configurations: the route of a host and a path, the
-// tenant of an API key, and the services. It is pure: no clock, no goroutine, no I/O.
+// Package routing builds immutable routing tables from configurations: the route of a host and a path, the tenant of an
+// API key, and the backends. It has no clock, no goroutines and no I/O.
 package routing
 
 import (
 	"pewterrudder/internal/router/document"
 )
 
-// Table answers where requests go under one configuration. It never changes, so that any number of goroutines
-// may read it; the caller swaps tables whole.
+// Table is the routing table of one configuration. It is immutable and safe for concurrent use; a new configuration
+// needs a new table.
 type Table struct {
-	generation int64
-	hosts      map[string]*hostRoutes
-	routes     []*Route
-	tenants    map[string]*Tenant // by API key
-	withKeys   bool
-	backends   []*Backend
-	byName     map[string]*Backend
-	limits     document.Limits
+	generation     int64
+	hosts          map[string]*hostRoutes
+	routes         []*Route
+	tenantsByKey   map[string]*Tenant // by API key
+	hasTenants     bool               // the configuration has tenants, with or without keys
+	backends       []*Backend
+	backendsByName map[string]*Backend
+	limits         document.Limits
 }
 
-// Build makes the table of a configuration that has passed its checks.
+// Build returns the table of a configuration, which must be valid.
 func Build(c *document.Configuration) *Table {
-	table := &Table{generation: c.Generation, limits: c.Limits, withKeys: len(c.Tenants) > 0}
+	table := &Table{generation: c.Generation, limits: c.Limits, hasTenants: len(c.Tenants) > 0}
 	table.addRoutes(c.Routes)
 	table.addBackends(c.Backends)
 	table.addTenants(c.Tenants)
@@ -34,47 +34,47 @@
 	for index := range routes {
 		route := newRoute(&routes[index])
 		t.routes = append(t.routes, route)
-		t.host(route.Hostname).add(route)
+		t.ensureHost(route.Hostname).add(route)
 	}
 }
 
 func (t *Table) addBackends(backends []document.Backend) {
 	t.backends = make([]*Backend, 0, len(backends))
-	t.byName = make(map[string]*Backend, len(backends))
+	t.backendsByName = make(map[string]*Backend, len(backends))
 	for index := range backends {
 		backend := newBackend(&backends[index])
 		t.backends = append(t.backends, backend)
-		t.byName[backend.Name] = backend
+		t.backendsByName[backend.Name] = backend
 	}
 }
 
 func (t *Table) addTenants(tenants []document.Tenant) {
-	t.tenants = make(map[string]*Tenant)
+	t.tenantsByKey = make(map[string]*Tenant)
 	for index := range tenants {
 		tenant := newTenant(&tenants[index])
 		for _, key := range tenants[index].APIKeys {
-			t.tenants[key] = tenant
+			t.tenantsByKey[key] = tenant
 		}
 	}
 }
 
-// Generation gives the number of the table's configuration.
+// Generation returns the generation of the table's configuration.
 func (t *Table) Generation() int64 { return t.generation }
 
-// Limits give what clients may send and how long they may take.
+// Limits returns the limits on the size and the duration of clients' requests.
 func (t *Table) Limits() document.Limits { return t.limits }
 
-// Routes lists all routes in the order of the configuration. The caller must not change the list.
+// Routes returns all routes in the order of the configuration. The caller must not change the slice.
 func (t *Table) Routes() []*Route { return t.routes }
 
-// Backends lists all services in the order of the configuration. The caller must not change the list.
+// Backends returns all backends in the order of the configuration. The caller must not change the slice.
 func (t *Table) Backends() []*Backend { return t.backends }
 
-// Backend finds a service by name; nil: none.
-func (t *Table) Backend(name string) *Backend { return t.byName[name] }
+// Backend returns the backend of the given name, nil if there is none.
+func (t *Table) Backend(name string) *Backend { return t.backendsByName[name] }
 
-// Tenant finds the tenant of an API key; nil: no tenant has the key.
-func (t *Table) Tenant(key string) *Tenant { return t.tenants[key] }
+// Tenant returns the tenant of an API key, nil if no tenant has the key.
+func (t *Table) Tenant(key string) *Tenant { return t.tenantsByKey[key] }
 
-// RequiresKey says whether requests of a route need an API key.
-func (t *Table) RequiresKey(r *Route) bool { return t.withKeys && !r.Public }
+// RequiresKey reports whether requests of a route need an API key.
+func (t *Table) RequiresKey(r *Route) bool { return t.hasTenants && !r.Public }
--- a/internal/router/routing/table_test.go
+++ b/internal/router/routing/table_test.go
@@ -14,22 +14,22 @@
 )
 
 var (
-	drawnHosts    = rapid.SampledFrom([]string{"a.example", "A.Example", "b.example", "c"})
-	drawnSegments = rapid.SliceOfN(rapid.SampledFrom([]string{"p", "q", "pq", ""}), 0, 4)
-	drawnPorts    = rapid.SampledFrom([]string{"", ":80", ":8443"})
+	hostGenerator    = rapid.SampledFrom([]string{"a.example", "A.Example", "b.example", "c"})
+	segmentGenerator = rapid.SliceOfN(rapid.SampledFrom([]string{"p", "q", "pq", ""}), 0, 4)
+	portGenerator    = rapid.SampledFrom([]string{"", ":80", ":8443"})
 )
 
-func TestLookupAgreesWithLinearScan(t *testing.T) {
+func TestLookupMatchesLinearScan(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		configuration := drawRoutes(t)
 		table := Build(configuration)
-		host := drawnHosts.Draw(t, "host") + drawnPorts.Draw(t, "port")
+		host := hostGenerator.Draw(t, "host") + portGenerator.Draw(t, "port")
 		path := drawPath(t) + rapid.SampledFrom([]string{"", "p", "x"}).Draw(t, "rest")
 		name := ""
 		if route := table.Lookup(host, path); route != nil {
 			name = route.Name
 		}
-		if want := plainLookup(configuration, host, path); name != want {
+		if want := referenceLookup(configuration, host, path); name != want {
 			t.Fatalf("%s%s: got %q, want %q", host, path, name, want)
 		}
 	})
@@ -39,26 +39,26 @@
 	configuration := &document.Configuration{Generation: 1}
 	taken := map[string]bool{}
 	for index := range rapid.IntRange(0, 12).Draw(t, "routes") {
-		route := document.Route{Name: fmt.Sprint("r-", index), Hostname: drawnHosts.Draw(t, "host"), PathPrefix: drawPath(t)}
-		place := strings.ToLower(route.Hostname) + route.PathPrefix
-		if !taken[place] {
+		route := document.Route{Name: fmt.Sprint("r-", index), Hostname: hostGenerator.Draw(t, "host"), PathPrefix: drawPath(t)}
+		key := strings.ToLower(route.Hostname) + route.PathPrefix
+		if !taken[key] {
 			configuration.Routes = append(configuration.Routes, route)
 		}
-		taken[place] = true
+		taken[key] = true
 	}
 	return configuration
 }
 
-// drawPath draws a path that begins and ends with a slash.
+// drawPath generates a path that begins and ends with a slash.
 func drawPath(t *rapid.T) string {
 	path := "/"
-	for _, segment := range drawnSegments.Draw(t, "segments") {
+	for _, segment := range segmentGenerator.Draw(t, "segments") {
 		path += segment + "/"
 	}
 	return path
 }
 
-func TestLookupOfOddHostsAndPaths(t *testing.T) {
+func TestLookupOfUnusualHostsAndPaths(t *testing.T) {
 	table := Build(&document.Configuration{Routes: []document.Route{
 		{Name: "root", Hostname: "a", PathPrefix: "/"},
 		{Name: "six", Hostname: "[::1]", PathPrefix: "/"},
@@ -66,10 +66,10 @@
 	assert.Equal(t, table.Lookup("a", "/").Name, "root")
 	assert.Equal(t, table.Lookup("[::1]", "/x").Name, "six")
 	assert.Equal(t, table.Lookup("[::1]:80", "/x").Name, "six")
-	for _, odd := range []struct{ host, path string }{
+	for _, request := range []struct{ host, path string }{
 		{"a", ""}, {"a", "*"}, {"a", "x/"}, {"", "/"}, {":80", "/"}, {strings.Repeat("A", 300), "/"},
 	} {
-		assert.Assert(t, table.Lookup(odd.host, odd.path) == nil, "%v", odd)
+		assert.Assert(t, table.Lookup(request.host, request.path) == nil, "%v", request)
 	}
 }
 
@@ -83,7 +83,7 @@
 	assert.Equal(t, allocations, 0.0)
 }
 
-func TestTenantsAndKeys(t *testing.T) {
+func TestTenantByAPIKey(t *testing.T) {
 	configuration := &document.Configuration{Tenants: []document.Tenant{
 		{Name: "t", APIKeys: []string{"k", "k", "l"}, Priority: 2, Unit: document.UnitTokens, PlainTokens: 3, PerS: 4, Burst: 5},
 		{Name: "u", APIKeys: []string{"m"}},
@@ -95,21 +95,21 @@
 		if tenant := table.Tenant(key); tenant != nil {
 			name = tenant.Name
 		}
-		assert.Equal(t, name, plainTenant(configuration, key), "key %q", key)
+		assert.Equal(t, name, referenceTenant(configuration, key), "key %q", key)
 	}
 	assert.DeepEqual(t, *table.Tenant("l"), Tenant{Name: "t", Priority: 2, CountsTokens: true, PlainTokens: 3, RatePerSecond: 4, Burst: 5})
 	assert.Equal(t, table.Tenant("m").CountsTokens, false)
 }
 
 func TestRequiresKey(t *testing.T) {
-	open := Build(&document.Configuration{})
-	closed := Build(&document.Configuration{Tenants: []document.Tenant{{Name: "t"}}})
-	assert.Equal(t, open.RequiresKey(&Route{}), false)
-	assert.Equal(t, closed.RequiresKey(&Route{}), true)
-	assert.Equal(t, closed.RequiresKey(&Route{Public: true}), false)
+	withoutTenants := Build(&document.Configuration{})
+	withTenants := Build(&document.Configuration{Tenants: []document.Tenant{{Name: "t"}}})
+	assert.Equal(t, withoutTenants.RequiresKey(&Route{}), false)
+	assert.Equal(t, withTenants.RequiresKey(&Route{}), true)
+	assert.Equal(t, withTenants.RequiresKey(&Route{Public: true}), false)
 }
 
-func TestBuildReadsRoutes(t *testing.T) {
+func TestBuildConvertsRoutes(t *testing.T) {
 	table := Build(&document.Configuration{Generation: 9, Limits: document.Limits{MaxBodyBytes: 8}, Routes: []document.Route{{
 		Name: "r", Hostname: "A", PathPrefix: "/p/", Kind: document.KindStreaming, TimeoutMs: 1500.5, TargetMs: 150, GapAimMs: 200,
 		Priority: 3, Retries: 2, Public: true, Sticky: true, Resume: true, Backend: "b",
@@ -124,7 +124,7 @@
 	assert.Equal(t, table.Limits().MaxBodyBytes, document.Integer(8))
 }
 
-func TestBuildGivesEachTryOneInstanceAtLeast(t *testing.T) {
+func TestBuildAdjustsRetriesAndTimeout(t *testing.T) {
 	table := Build(&document.Configuration{Routes: []document.Route{{Hostname: "a", PathPrefix: "/", TimeoutMs: 1e300}}})
 	assert.Equal(t, table.Routes()[0].Retries, 1)
 	assert.Equal(t, table.Routes()[0].Timeout, time.Duration(math.MaxInt64))
--- a/internal/router/selection/streamset_test.go
+++ b/internal/router/selection/streamset_test.go
@@ -64,12 +64,12 @@
 func TestFewStreamsSpreadOverSeveralInstances(t *testing.T) {
 	for _, c := range []struct {
 		instances int
-		space     float64
+		wantRange float64
 	}{{16, minStreamInstances}, {40, 0.125 * 40}, {6, 2}, {2, 0}} { // with few instances: half of them, less one
 		b := backendWithLoads(fleetLoads(c.instances, 1, 1, 9)...)
 		b.settleStreamSet()
 		assert.Assert(t, b.streamSet.size < 2, "%v", b.streamSet.size)
-		assert.Equal(t, b.streamRange(), c.space, "%d instances", c.instances)
+		assert.Equal(t, b.streamRange(), c.wantRange, "%d instances", c.instances)
 	}
 }
 
