--- a/internal/router/instances/registrations.go
+++ b/internal/router/instances/registrations.go
@@ -5,12 +5,12 @@
 	"slices"
 )
 
-// Registrations lists the instances that are present, ordered by id.
+// Registrations returns the registrations of the present instances, ordered by id.
 func (t *Table) Registrations() []Registration {
 	list := make([]Registration, 0, len(t.entries))
-	for _, known := range t.entries {
-		if known.present {
-			list = append(list, known.registration)
+	for _, e := range t.entries {
+		if e.present {
+			list = append(list, e.registration)
 		}
 	}
 	slices.SortFunc(list, func(a, b Registration) int { return cmp.Compare(a.Instance.ID, b.Instance.ID) })
--- a/internal/router/instances/registrations_test.go
+++ b/internal/router/instances/registrations_test.go
@@ -6,7 +6,7 @@
 	"gotest.tools/v3/assert"
 )
 
-func TestRegistrationsListWhoIsPresentWithItsHolder(t *testing.T) {
+func TestRegistrationsListsPresentInstancesWithHolders(t *testing.T) {
 	table := NewTable("router-1")
 	for _, id := range []string{"c", "a", "b"} {
 		table.Register(0, AliveVersion(1), Registration{Instance: Instance{ID: id}, Holder: "router-of-" + id})
--- a/internal/router/instances/snapshot.go
+++ b/internal/router/instances/snapshot.go
@@ -1,5 +1,5 @@
-// Package instances keeps the table of model instances from the heartbeats that they send. The table is pure state:
-// time comes in as an argument, and readers get immutable snapshots.
+// Package instances keeps the table of model instances, which register by heartbeats. The table reads no clock: times
+// are passed as arguments. Readers use immutable snapshots.
 package instances
 
 import (
@@ -8,7 +8,7 @@
 	"pewterrudder/internal/router/protocol"
 )
 
-// Instance is what is known of one incarnation of a model instance.
+// Instance describes one incarnation of a model instance, as given in its heartbeats.
 type Instance struct {
 	ID         string           `msgpack:"id"`
 	Backend    string           `msgpack:"backend"`
@@ -23,7 +23,7 @@
 	Seq        int64            `msgpack:"seq"`
 }
 
-// Ready tells whether new requests may be sent to the instance.
+// Ready reports whether new requests may be sent to the instance.
 func (i *Instance) Ready() bool { return i.State == protocol.StateReady }
 
 // Snapshot is an immutable view of the table. The zero value is empty.
@@ -32,7 +32,7 @@
 	byBackend map[string][]*Instance
 }
 
-// NewSnapshot builds a view of the given instances, which must not change afterwards.
+// NewSnapshot returns a snapshot of the given instances, which must not be modified afterwards.
 func NewSnapshot(all []*Instance) *Snapshot {
 	s := &Snapshot{byID: map[string]*Instance{}, byBackend: map[string][]*Instance{}}
 	sorted := slices.Clone(all)
@@ -52,11 +52,12 @@
 	return s
 }
 
-// Get returns the instance of that id, or nil.
+// Get returns the instance with the given id, nil if there is none.
 func (s *Snapshot) Get(id string) *Instance { return s.byID[id] }
 
-// Backend returns the instances of a service, draining ones included, ordered by id.
+// Backend returns the instances of a backend, including draining ones, ordered by id. The caller must not change the
+// slice.
 func (s *Snapshot) Backend(name string) []*Instance { return s.byBackend[name] }
 
-// Len counts the instances.
+// Len returns the number of instances.
 func (s *Snapshot) Len() int { return len(s.byID) }
--- a/internal/router/instances/table.go
+++ b/internal/router/instances/table.go
@@ -6,41 +6,41 @@
 	"pewterrudder/internal/router/protocol"
 )
 
-// Verdict says what a heartbeat means for the table.
-type Verdict uint8
+// HeartbeatResult tells what a heartbeat changes.
+type HeartbeatResult uint8
 
 const (
-	// Stale heartbeats are older than what is known, or come from an instance that has deregistered; they change nothing.
-	Stale Verdict = iota
-	// Refreshed heartbeats say what is known already.
+	// Stale heartbeats are older than the known version or come from a deregistered instance. They change nothing.
+	Stale HeartbeatResult = iota
+	// Refreshed heartbeats only prove that the instance is alive.
 	Refreshed
-	// Changed heartbeats bring something that the other routers must hear.
+	// Changed heartbeats carry a change that must be registered and sent to the other routers.
 	Changed
 )
 
-// Registration is what routers tell each other of an instance.
+// Registration is the information on an instance that routers exchange.
 type Registration struct {
 	Instance Instance `msgpack:"instance"`
-	// Holder is the node that takes the instance's heartbeats and watches over their silence.
+	// Holder is the node that receives the instance's heartbeats and expires it if they cease.
 	Holder string `msgpack:"holder"`
 }
 
-// Version orders the registrations of one instance.
+// Version orders the registrations and removals of one instance, first by Heartbeat, then by Ended.
 type Version struct {
-	// Heartbeat is the sequence number that the instance gave.
+	// Heartbeat is the sequence number of the heartbeat, plus 1.
 	Heartbeat uint64
-	// Ended orders what routers conclude behind the heartbeat that it follows.
+	// Ended is 1 for an expiry, which follows the last known heartbeat, otherwise 0.
 	Ended uint64
 }
 
 const (
-	alive   = 0
-	expired = 1
-	// final is the heartbeat number of a deregistration: nothing follows it.
-	final = ^uint64(0)
+	endedNever     = 0
+	endedBySilence = 1
+	// finalHeartbeat is the heartbeat number of a deregistration. No version follows it.
+	finalHeartbeat = ^uint64(0)
 )
 
-// Newer tells whether v follows other.
+// Newer reports whether v follows other.
 func (v Version) Newer(other Version) bool {
 	if v.Heartbeat != other.Heartbeat {
 		return v.Heartbeat > other.Heartbeat
@@ -48,53 +48,56 @@
 	return v.Ended > other.Ended
 }
 
-// AliveVersion is the version of a registration by a heartbeat. It is never zero, which would leave the version of the record to
-// the cluster.
+// AliveVersion returns the version of a registration by a heartbeat. It is never zero, since the cluster replaces a
+// zero version by one of its own.
 func AliveVersion(sequence int64) Version {
-	return Version{Heartbeat: uint64(max(sequence, 0)) + 1, Ended: alive}
+	return Version{Heartbeat: uint64(max(sequence, 0)) + 1, Ended: endedNever}
 }
 
-// DeregisteredVersion is the version of an instance's own farewell.
-func DeregisteredVersion() Version { return Version{Heartbeat: final} }
+// DeregisteredVersion returns the version of a removal at the instance's own request.
+func DeregisteredVersion() Version { return Version{Heartbeat: finalHeartbeat} }
 
-// entry is what the table holds of one instance.
+// entry is the state of one instance. Entries of removed instances are kept for a while, to reject late registrations.
 type entry struct {
 	registration Registration
 	version      Version
 	present      bool
-	// heard is when the instance was last known to be alive: by a heartbeat, or by a holder that was live and did not end it.
-	heard time.Duration
-	// endedAt is when the entry stopped being present.
+	// lastAliveAt is when the instance was last known to be alive: by a heartbeat, or because its holder was live and
+	// had not expired it.
+	lastAliveAt time.Duration
+	// endedAt is when the instance was removed.
 	endedAt time.Duration
 }
 
-// Table is the state of all instances. It is not safe for concurrent use.
+// Table holds all instances, by id. Times are durations since an arbitrary origin. It is not safe for concurrent use.
 type Table struct {
 	self    string
 	entries map[string]*entry
 }
 
-// NewTable makes an empty table for the router of the given node name.
+// NewTable returns an empty table for the router with the given node name.
 func NewTable(self string) *Table { return &Table{self: self, entries: map[string]*entry{}} }
 
-// Judge compares a heartbeat that has arrived at this router with what is known, and notes the time of it.
-func (t *Table) Judge(now time.Duration, instance *Instance) Verdict {
-	known := t.entries[instance.ID]
-	if known == nil {
+// Judge records the time of a heartbeat that this router has received and tells what it changes. If the result is
+// Changed, the caller must Register the instance.
+func (t *Table) Judge(now time.Duration, instance *Instance) HeartbeatResult {
+	e := t.entries[instance.ID]
+	if e == nil {
 		return Changed
 	}
-	if !AliveVersion(instance.Seq).Newer(known.version) {
+	if !AliveVersion(instance.Seq).Newer(e.version) {
 		return Stale
 	}
-	known.heard = now
-	if !known.present || known.registration.Holder != t.self || !sameAnnouncement(&known.registration.Instance, instance) {
+	e.lastAliveAt = now
+	if !e.present || e.registration.Holder != t.self || !sameAnnouncement(&e.registration.Instance, instance) {
 		return Changed
 	}
-	known.version = AliveVersion(instance.Seq)
+	e.version = AliveVersion(instance.Seq)
 	return Refreshed
 }
 
-// sameAnnouncement tells whether two heartbeats say the same to other routers.
+// sameAnnouncement reports whether two heartbeats are equivalent for other routers. ColdMs counts only as zero
+// or above zero.
 func sameAnnouncement(a, b *Instance) bool {
 	if a.Backend != b.Backend || a.Address != b.Address || a.Zone != b.Zone || a.Generation != b.Generation {
 		return false
@@ -113,7 +116,7 @@
 	return true
 }
 
-// sameModel compares what two heartbeats say of one model.
+// sameModel reports whether two heartbeats give the same name, generation and LoRAs of a model.
 func sameModel(a, b *protocol.Model) bool {
 	if a.Name != b.Name || a.Generation != b.Generation || len(a.LoRAs) != len(b.LoRAs) {
 		return false
@@ -126,100 +129,104 @@
 	return true
 }
 
-// Register takes a registration, heard from another router or made here. It tells whether readers see a difference.
+// Register applies a registration, whether from this router or from another one. It reports whether the snapshot
+// changes visibly. A registration that is not newer than the known version is ignored.
 func (t *Table) Register(now time.Duration, version Version, registration Registration) bool {
-	known := t.entries[registration.Instance.ID]
-	if known == nil {
-		known = &entry{}
-		t.entries[registration.Instance.ID] = known
-	} else if !version.Newer(known.version) {
+	e := t.entries[registration.Instance.ID]
+	if e == nil {
+		e = &entry{}
+		t.entries[registration.Instance.ID] = e
+	} else if !version.Newer(e.version) {
 		return false
 	}
-	visible := !known.present || !sameAnnouncement(&known.registration.Instance, &registration.Instance)
-	known.registration = registration
-	known.version = version
-	known.present = true
-	known.heard = now
-	return visible
+	changed := !e.present || !sameAnnouncement(&e.registration.Instance, &registration.Instance)
+	e.registration = registration
+	e.version = version
+	e.present = true
+	e.lastAliveAt = now
+	return changed
 }
 
-// Remove takes the end of an instance. It tells whether readers see a difference.
+// Remove applies the removal of an instance and reports whether the snapshot changes. A removal that is not newer than
+// the known version is ignored. A removal of an unknown instance is kept, to reject older registrations.
 func (t *Table) Remove(now time.Duration, version Version, id string) bool {
-	known := t.entries[id]
-	if known == nil {
+	e := t.entries[id]
+	if e == nil {
 		t.entries[id] = &entry{version: version, endedAt: now}
 		return false
 	}
-	if !version.Newer(known.version) {
+	if !version.Newer(e.version) {
 		return false
 	}
-	was := known.present
-	known.version = version
-	known.present = false
-	known.endedAt = now
-	return was
+	wasPresent := e.present
+	e.version = version
+	e.present = false
+	e.endedAt = now
+	return wasPresent
 }
 
-// Shift moves the times of the last heartbeats by a span in which this router did not run, up to the present.
+// Shift moves the times of the last signs of life forward by a span in which this router did not run, but not beyond
+// now. Without it, instances would expire for heartbeats that the router could not receive.
 func (t *Table) Shift(now, span time.Duration) {
-	for _, known := range t.entries {
-		known.heard = min(known.heard+span, now)
+	for _, e := range t.entries {
+		e.lastAliveAt = min(e.lastAliveAt+span, now)
 	}
 }
 
-// Expiry is an instance that has fallen silent, with the version of the conclusion.
+// Expiry is the removal of an instance whose heartbeats have ceased.
 type Expiry struct {
 	ID      string
 	Version Version
 }
 
-// Expired lists the instances that have been silent for longer than the given time and that this router answers for:
-// its own, and those whose holder is not among the live nodes if this router stands in for lost holders. Heartbeats that bring
-// nothing new are known to the holder alone, so the silence of another holder's instances begins when the holder was last live.
-func (t *Table) Expired(now, silence time.Duration, live func(node string) bool, standsIn bool) []Expiry {
-	var ended []Expiry
-	for id, known := range t.entries {
-		own := known.registration.Holder == t.self
-		if !own && live(known.registration.Holder) {
-			known.heard = now
+// Expired lists the instances without a sign of life for longer than timeout that this router must expire: its own, and
+// with forLostHolders also those whose holder is not live. Heartbeats without changes are known to the holder alone, so
+// that the timeout of another holder's instances starts when that holder was last live.
+func (t *Table) Expired(now, timeout time.Duration, live func(node string) bool, forLostHolders bool) []Expiry {
+	var expired []Expiry
+	for id, e := range t.entries {
+		isOwn := e.registration.Holder == t.self
+		if !isOwn && live(e.registration.Holder) {
+			e.lastAliveAt = now
 		}
-		if !known.present || now-known.heard <= silence {
+		if !e.present || now-e.lastAliveAt <= timeout {
 			continue
 		}
-		if own || standsIn {
-			version := Version{Heartbeat: known.version.Heartbeat, Ended: expired}
-			ended = append(ended, Expiry{ID: id, Version: version})
+		if isOwn || forLostHolders {
+			version := Version{Heartbeat: e.version.Heartbeat, Ended: endedBySilence}
+			expired = append(expired, Expiry{ID: id, Version: version})
 		}
 	}
-	return ended
+	return expired
 }
 
-// Forget drops what ended longer ago than the given time.
+// Forget deletes the entries of instances that were removed longer ago than the given time.
 func (t *Table) Forget(now, after time.Duration) {
-	for id, known := range t.entries {
-		if !known.present && now-known.endedAt > after {
+	for id, e := range t.entries {
+		if !e.present && now-e.endedAt > after {
 			delete(t.entries, id)
 		}
 	}
 }
 
-// Snapshot builds the readers' view.
+// Snapshot returns a snapshot of the present instances.
 func (t *Table) Snapshot() *Snapshot {
 	all := make([]*Instance, 0, len(t.entries))
-	for _, known := range t.entries {
-		if known.present {
-			instance := known.registration.Instance
+	for _, e := range t.entries {
+		if e.present {
+			instance := e.registration.Instance
 			all = append(all, &instance)
 		}
 	}
 	return NewSnapshot(all)
 }
 
-// Held returns the registration of an instance that is present and that this router watches over.
+// Held returns the registration of a present instance whose holder is this router. The last result is false for any
+// other instance.
 func (t *Table) Held(id string) (Registration, Version, bool) {
-	known := t.entries[id]
-	if known == nil || !known.present || known.registration.Holder != t.self {
+	e := t.entries[id]
+	if e == nil || !e.present || e.registration.Holder != t.self {
 		return Registration{}, Version{}, false
 	}
-	return known.registration, known.version, true
+	return e.registration, e.version, true
 }
