--- a/internal/router/prefixcache/block.go
+++ b/internal/router/prefixcache/block.go
@@ -1,5 +1,5 @@
-// Package prefixcache estimates which blocks of a prompt's prefix a model instance still keeps, from what was sent to
-// it. The package is pure: it knows no clock and does no I/O.
+// Package prefixcache estimates which blocks of a prompt an instance still holds in its prefix cache, from the requests
+// that were sent to it. The package is pure: it reads no clock and does no I/O.
 package prefixcache
 
 import (
@@ -7,18 +7,19 @@
 	"strings"
 )
 
-// maxBlocks bounds the blocks taken from one header.
+// maxBlocks is the maximum number of blocks read from one header.
 const maxBlocks = 64
 
-// Block is one part of a prompt. Blocks follow each other from the start of the prompt; the last one belongs to the
-// request alone or to its session, the ones before it are shared between requests.
+// Block is a contiguous part of a prompt. The blocks of a prompt are listed from its start. The last one is unique to
+// the request or to its session; the ones before it may be shared with other requests.
 type Block struct {
 	ID     uint64
 	Tokens int
 }
 
-// ParseHeader reads the value of the prefix header: items "ID:TOKENS" with the id in hexadecimal, joined by commas. A
-// malformed item ends the list, since a block counts only after all blocks before it.
+// ParseHeader parses the value of the prefix header: comma-separated items "ID:TOKENS" with the ID in hexadecimal. It
+// stops at the first malformed item, because a cached block is of use only if all blocks before it are cached too, and
+// after maxBlocks items.
 func ParseHeader(value string) []Block {
 	if value == "" {
 		return nil
@@ -50,7 +51,7 @@
 	return Block{ID: id, Tokens: int(tokens)}, true
 }
 
-// Shared returns the blocks that other requests may share: all but the last.
+// Shared returns the blocks that other requests may have as well: all but the last one.
 func Shared(blocks []Block) []Block {
 	if len(blocks) == 0 {
 		return nil
@@ -58,7 +59,7 @@
 	return blocks[:len(blocks)-1]
 }
 
-// Tokens adds up the tokens of the blocks.
+// Tokens returns the total number of tokens in the blocks.
 func Tokens(blocks []Block) int {
 	sum := 0
 	for _, block := range blocks {
--- a/internal/router/prefixcache/cache.go
+++ b/internal/router/prefixcache/cache.go
@@ -1,19 +1,19 @@
 package prefixcache
 
-// defaultMaxSingles bounds the entries of blocks that were used only once. Most of them are a request's own last block
-// and never come again.
-const defaultMaxSingles = 256
+// maxUsedOnce is the maximum number of entries for blocks that were used once. Most of these blocks are the unique last
+// block of a request and are never used again.
+const maxUsedOnce = 256
 
-// defaultMaxRepeated bounds the entries of blocks that were used more than once.
-const defaultMaxRepeated = 2048
+// maxReused is the maximum number of entries for blocks that were used more than once.
+const maxReused = 2048
 
-// Key names a block of a model's cache.
+// Key identifies a block in the prefix cache of a model.
 type Key uint64
 
-// KeyOf combines a model, given as HashModel's value, and a block's id.
+// KeyOf returns the key of a block of a model, which is given by its HashModel value.
 func KeyOf(modelHash uint64, blockID uint64) Key { return Key(mix(modelHash ^ mix(blockID))) }
 
-// HashModel is the FNV-1a hash of a model's name.
+// HashModel returns the 64-bit FNV-1a hash of a model's name.
 func HashModel(model string) uint64 {
 	const offset, prime = 14695981039346656037, 1099511628211
 	hash := uint64(offset)
@@ -23,7 +23,7 @@
 	return hash
 }
 
-// mix is the finalizer of SplitMix64.
+// mix scrambles the bits of x with the output function of SplitMix64.
 func mix(x uint64) uint64 {
 	x += 0x9e3779b97f4a7c15
 	x = (x ^ x>>30) * 0xbf58476d1ce4e5b9
@@ -31,49 +31,51 @@
 	return x ^ x>>31
 }
 
-// Cache is the estimate for one instance: blocks in order of their last use, within a capacity in tokens. Blocks used
-// once and blocks used again stand in two lists, so that a flood of blocks that never come again pushes out the others
-// only as their tokens demand.
+// Cache models the prefix cache of one instance: an LRU cache of blocks with a capacity in tokens. Blocks used once and
+// reused blocks have separate lists, each with a maximum length, so that many blocks that are used only once don't evict
+// reused ones as long as the capacity is not exceeded.
 type Cache struct {
-	capacity int64
-	sharers  int64
-	taken    int64 // of the capacity
-	sequence uint64
-	index    map[Key]int32
-	entries  []entry
-	free     []int32
-	singles  list
-	repeated list
+	capacity    int64
+	routers     int64
+	size        int64 // sum of the weights of the entries, in tokens
+	useCount    uint64
+	index       map[Key]int32
+	entries     []entry
+	freeEntries []int32
+	usedOnce    lruList
+	reused      lruList
 }
 
 type entry struct {
-	key        Key
-	usedAt     uint64 // of the sequence of uses
-	weight     int64  // tokens that it takes of the capacity
-	newer      int32
-	older      int32
-	isRepeated bool
+	key      Key
+	lastUse  uint64 // value of Cache.useCount at the last use
+	weight   int64  // tokens charged against the capacity
+	newer    int32
+	older    int32
+	isReused bool
 }
 
-// New makes an empty estimate for an instance that keeps so many tokens and is sent requests by so many routers.
-func New(capacity int64, sharers int) *Cache {
+// New returns an empty cache for an instance that can hold capacity tokens and receives requests from the given number
+// of routers.
+func New(capacity int64, routers int) *Cache {
 	return &Cache{
 		capacity: max(0, capacity),
-		sharers:  int64(max(1, sharers)),
+		routers:  int64(max(1, routers)),
 		index:    map[Key]int32{},
-		singles:  newList(defaultMaxSingles),
-		repeated: newList(defaultMaxRepeated),
+		usedOnce: newLRUList(maxUsedOnce),
+		reused:   newLRUList(maxReused),
 	}
 }
 
-// Resize changes the tokens that the instance can keep beside its running requests, and the number of routers.
-func (c *Cache) Resize(capacity int64, sharers int) {
+// Resize sets the number of tokens that the instance can hold in addition to its running requests, and the number of
+// routers. It evicts blocks that no longer fit.
+func (c *Cache) Resize(capacity int64, routers int) {
 	c.capacity = max(0, capacity)
-	c.sharers = int64(max(1, sharers))
-	c.shrink()
+	c.routers = int64(max(1, routers))
+	c.evict()
 }
 
-// Kept counts the leading blocks of a prompt that the instance is believed to keep.
+// Kept returns the number of leading blocks of a prompt that the instance is estimated to hold.
 func (c *Cache) Kept(modelHash uint64, blocks []Block) int {
 	for i, block := range blocks {
 		if _, ok := c.index[KeyOf(modelHash, block.ID)]; !ok {
@@ -83,104 +85,106 @@
 	return len(blocks)
 }
 
-// Missing counts the tokens of the blocks that the instance would have to read.
+// Missing returns the number of tokens in the blocks that the instance would have to compute (prefill).
 func (c *Cache) Missing(modelHash uint64, blocks []Block) int {
 	return Tokens(blocks[c.Kept(modelHash, blocks):])
 }
 
-// Used notes that a prompt of these blocks was sent to the instance. The last block stands for those of the other
-// routers' requests too, which are as many and unknown here; the shared blocks are the same for all routers.
+// Used records that this router sent a prompt of these blocks to the instance. Each of the other routers is assumed to
+// send as many requests, whose last blocks are unknown here, so the last block is charged once for each router. The
+// shared blocks are the same for all routers and are charged once.
 func (c *Cache) Used(modelHash uint64, blocks []Block) {
-	// From the last block to the first, so that the later blocks of a chain, useless without the earlier ones, give
-	// way first.
+	// From the last block to the first, so that the later blocks of a prompt, which are useless without the earlier
+	// ones, are evicted first.
 	for i := len(blocks) - 1; i >= 0; i-- {
 		weight := int64(blocks[i].Tokens)
 		if i == len(blocks)-1 {
-			weight *= c.sharers
+			weight *= c.routers
 		}
-		c.renew(KeyOf(modelHash, blocks[i].ID), weight, true)
+		c.touch(KeyOf(modelHash, blocks[i].ID), weight, true)
 	}
-	c.shrink()
+	c.evict()
 }
 
-// Heard notes that a block of a prompt was sent to the instance by another router. It counts as used once more only by this
-// router's own requests, since the same use may be heard of more than once.
+// Heard records that another router sent a block to the instance. It doesn't make a known block a reused one, because
+// the same use may be reported more than once; only this router's own requests do.
 func (c *Cache) Heard(key Key, tokens int) {
-	c.renew(key, int64(tokens), false)
-	c.shrink()
+	c.touch(key, int64(tokens), false)
+	c.evict()
 }
 
-// Len counts the blocks that are believed to be kept.
+// Len returns the number of blocks in the cache.
 func (c *Cache) Len() int { return len(c.index) }
 
-// Size is the part of the capacity that is taken.
-func (c *Cache) Size() int64 { return c.taken }
+// Size returns the number of tokens charged against the capacity.
+func (c *Cache) Size() int64 { return c.size }
 
-// renew makes a block the newest. A block that was known already counts as repeated if this is another use of it.
-func (c *Cache) renew(key Key, weight int64, isUse bool) {
-	c.sequence++
-	at, known := c.index[key]
+// touch makes a block the most recently used one and sets its weight; it inserts the block if necessary. An own use of
+// a block that is already present marks the block as reused.
+func (c *Cache) touch(key Key, weight int64, isOwnUse bool) {
+	c.useCount++
+	position, known := c.index[key]
 	if !known {
-		at = c.add(key)
+		position = c.insert(key)
 	} else {
-		c.unlink(at)
-		c.entries[at].isRepeated = c.entries[at].isRepeated || isUse
+		c.unlink(position)
+		c.entries[position].isReused = c.entries[position].isReused || isOwnUse
 	}
-	found := &c.entries[at]
-	if found.isRepeated {
-		c.pushNewest(&c.repeated, at)
+	touched := &c.entries[position]
+	if touched.isReused {
+		c.pushNewest(&c.reused, position)
 	} else {
-		c.pushNewest(&c.singles, at)
+		c.pushNewest(&c.usedOnce, position)
 	}
-	c.taken += weight - found.weight
-	found.weight = weight
-	found.usedAt = c.sequence
+	c.size += weight - touched.weight
+	touched.weight = weight
+	touched.lastUse = c.useCount
 }
 
-func (c *Cache) add(key Key) int32 {
-	var at int32
-	if last := len(c.free) - 1; last >= 0 {
-		at = c.free[last]
-		c.free = c.free[:last]
-		c.entries[at] = entry{key: key}
+func (c *Cache) insert(key Key) int32 {
+	var position int32
+	if last := len(c.freeEntries) - 1; last >= 0 {
+		position = c.freeEntries[last]
+		c.freeEntries = c.freeEntries[:last]
+		c.entries[position] = entry{key: key}
 	} else {
-		at = int32(len(c.entries))
+		position = int32(len(c.entries))
 		c.entries = append(c.entries, entry{key: key})
 	}
-	c.index[key] = at
-	return at
+	c.index[key] = position
+	return position
 }
 
-// shrink lets the least recently used blocks go until all bounds hold.
-func (c *Cache) shrink() {
-	for c.singles.count > c.singles.maxCount {
-		c.remove(c.singles.oldest)
+// evict removes the least recently used blocks until both list lengths and the capacity are within their limits.
+func (c *Cache) evict() {
+	for c.usedOnce.count > c.usedOnce.maxCount {
+		c.remove(c.usedOnce.oldest)
 	}
-	for c.repeated.count > c.repeated.maxCount {
-		c.remove(c.repeated.oldest)
+	for c.reused.count > c.reused.maxCount {
+		c.remove(c.reused.oldest)
 	}
-	for c.taken > c.capacity && len(c.index) > 0 {
-		c.remove(c.leastRecent())
+	for c.size > c.capacity && len(c.index) > 0 {
+		c.remove(c.leastRecentlyUsed())
 	}
 }
 
-func (c *Cache) leastRecent() int32 {
-	single, repeated := c.singles.oldest, c.repeated.oldest
-	if single == none {
-		return repeated
+func (c *Cache) leastRecentlyUsed() int32 {
+	oldestOnce, oldestReused := c.usedOnce.oldest, c.reused.oldest
+	if oldestOnce == noEntry {
+		return oldestReused
 	}
-	if repeated == none {
-		return single
+	if oldestReused == noEntry {
+		return oldestOnce
 	}
-	if c.entries[single].usedAt < c.entries[repeated].usedAt {
-		return single
+	if c.entries[oldestOnce].lastUse < c.entries[oldestReused].lastUse {
+		return oldestOnce
 	}
-	return repeated
+	return oldestReused
 }
 
-func (c *Cache) remove(at int32) {
-	c.unlink(at)
-	c.taken -= c.entries[at].weight
-	delete(c.index, c.entries[at].key)
-	c.free = append(c.free, at)
+func (c *Cache) remove(position int32) {
+	c.unlink(position)
+	c.size -= c.entries[position].weight
+	delete(c.index, c.entries[position].key)
+	c.freeEntries = append(c.freeEntries, position)
 }
--- a/internal/router/prefixcache/cache_test.go
+++ b/internal/router/prefixcache/cache_test.go
@@ -10,130 +10,130 @@
 
 var model = HashModel("m")
 
-// plainCache is the slow model: one slice in order of use, the least recent first.
-type plainCache struct {
+// referenceCache is a simple, slow implementation of Cache: one slice of blocks, the least recently used first.
+type referenceCache struct {
 	capacity int64
-	sharers  int64
-	blocks   []plainBlock
+	routers  int64
+	blocks   []referenceBlock
 }
 
-type plainBlock struct {
+type referenceBlock struct {
 	key    Key
 	weight int64
 	uses   int
 }
 
-func (p *plainCache) kept(modelHash uint64, blocks []Block) int {
+func (r *referenceCache) kept(modelHash uint64, blocks []Block) int {
 	for i, block := range blocks {
-		if p.find(KeyOf(modelHash, block.ID)) < 0 {
+		if r.find(KeyOf(modelHash, block.ID)) < 0 {
 			return i
 		}
 	}
 	return len(blocks)
 }
 
-func (p *plainCache) find(key Key) int {
-	return slices.IndexFunc(p.blocks, func(known plainBlock) bool { return known.key == key })
+func (r *referenceCache) find(key Key) int {
+	return slices.IndexFunc(r.blocks, func(block referenceBlock) bool { return block.key == key })
 }
 
-func (p *plainCache) used(modelHash uint64, blocks []Block) {
+func (r *referenceCache) used(modelHash uint64, blocks []Block) {
 	for i := len(blocks) - 1; i >= 0; i-- {
 		weight := int64(blocks[i].Tokens)
 		if i == len(blocks)-1 {
-			weight *= p.sharers
+			weight *= r.routers
 		}
-		p.renew(KeyOf(modelHash, blocks[i].ID), weight, 1)
+		r.touch(KeyOf(modelHash, blocks[i].ID), weight, 1)
 	}
-	p.shrink()
+	r.evict()
 }
 
-func (p *plainCache) heard(key Key, tokens int) {
+func (r *referenceCache) heard(key Key, tokens int) {
 	uses := 0
-	if p.find(key) < 0 {
+	if r.find(key) < 0 {
 		uses = 1
 	}
-	p.renew(key, int64(tokens), uses)
-	p.shrink()
+	r.touch(key, int64(tokens), uses)
+	r.evict()
 }
 
-func (p *plainCache) renew(key Key, weight int64, uses int) {
-	moved := plainBlock{key: key}
-	if at := p.find(key); at >= 0 {
-		moved = p.blocks[at]
-		p.blocks = slices.Delete(p.blocks, at, at+1)
+func (r *referenceCache) touch(key Key, weight int64, uses int) {
+	touched := referenceBlock{key: key}
+	if at := r.find(key); at >= 0 {
+		touched = r.blocks[at]
+		r.blocks = slices.Delete(r.blocks, at, at+1)
 	}
-	moved.weight = weight
-	moved.uses += uses
-	p.blocks = append(p.blocks, moved)
+	touched.weight = weight
+	touched.uses += uses
+	r.blocks = append(r.blocks, touched)
 }
 
-func (p *plainCache) shrink() {
-	p.bound(defaultMaxSingles, func(known plainBlock) bool { return known.uses == 1 })
-	p.bound(defaultMaxRepeated, func(known plainBlock) bool { return known.uses > 1 })
-	for p.taken() > p.capacity && len(p.blocks) > 0 {
-		p.blocks = p.blocks[1:]
+func (r *referenceCache) evict() {
+	r.evictDownTo(maxUsedOnce, func(block referenceBlock) bool { return block.uses == 1 })
+	r.evictDownTo(maxReused, func(block referenceBlock) bool { return block.uses > 1 })
+	for r.size() > r.capacity && len(r.blocks) > 0 {
+		r.blocks = r.blocks[1:]
 	}
 }
 
-// bound removes the least recent of the blocks of a sort until there are at most so many.
-func (p *plainCache) bound(most int, isOfSort func(plainBlock) bool) {
+// evictDownTo removes the least recently used blocks of a class until at most limit of them are left.
+func (r *referenceCache) evictDownTo(limit int, inClass func(referenceBlock) bool) {
 	count := 0
-	for _, known := range p.blocks {
-		if isOfSort(known) {
+	for _, block := range r.blocks {
+		if inClass(block) {
 			count++
 		}
 	}
-	for ; count > most; count-- {
-		at := slices.IndexFunc(p.blocks, isOfSort)
-		p.blocks = slices.Delete(p.blocks, at, at+1)
+	for ; count > limit; count-- {
+		at := slices.IndexFunc(r.blocks, inClass)
+		r.blocks = slices.Delete(r.blocks, at, at+1)
 	}
 }
 
-func (p *plainCache) taken() (sum int64) {
-	for _, known := range p.blocks {
-		sum += known.weight
+func (r *referenceCache) size() (sum int64) {
+	for _, block := range r.blocks {
+		sum += block.weight
 	}
 	return sum
 }
 
-func TestCacheMatchesThePlainModel(t *testing.T) {
+func TestCacheMatchesReference(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		capacity := rapid.Int64Range(0, 3000).Draw(t, "capacity")
-		sharers := rapid.IntRange(1, 4).Draw(t, "sharers")
-		cache, plain := New(capacity, sharers), &plainCache{capacity: capacity, sharers: int64(sharers)}
+		routers := rapid.IntRange(1, 4).Draw(t, "routers")
+		cache, reference := New(capacity, routers), &referenceCache{capacity: capacity, routers: int64(routers)}
 		blocks := rapid.SliceOfN(rapid.Custom(func(t *rapid.T) Block {
 			return Block{ID: rapid.Uint64Range(0, 12).Draw(t, "id"), Tokens: rapid.IntRange(0, 400).Draw(t, "tokens")}
 		}), 0, 5)
 		models := rapid.SampledFrom([]uint64{model, HashModel("other")})
 		t.Repeat(map[string]func(*rapid.T){
 			"use": func(t *rapid.T) {
-				of, chain := models.Draw(t, "model"), blocks.Draw(t, "blocks")
-				cache.Used(of, chain)
-				plain.used(of, chain)
+				modelHash, chain := models.Draw(t, "model"), blocks.Draw(t, "blocks")
+				cache.Used(modelHash, chain)
+				reference.used(modelHash, chain)
 			},
-			"hear": func(t *rapid.T) {
+			"remote use": func(t *rapid.T) {
 				key := KeyOf(models.Draw(t, "model"), rapid.Uint64Range(0, 12).Draw(t, "id"))
 				tokens := rapid.IntRange(0, 400).Draw(t, "tokens")
 				cache.Heard(key, tokens)
-				plain.heard(key, tokens)
+				reference.heard(key, tokens)
 			},
 			"resize": func(t *rapid.T) {
-				plain.capacity = rapid.Int64Range(0, 3000).Draw(t, "capacity")
-				cache.Resize(plain.capacity, sharers)
-				plain.shrink()
+				reference.capacity = rapid.Int64Range(0, 3000).Draw(t, "capacity")
+				cache.Resize(reference.capacity, routers)
+				reference.evict()
 			},
 			"": func(t *rapid.T) {
-				assert.Equal(t, cache.Len(), len(plain.blocks))
-				assert.Equal(t, cache.Size(), plain.taken())
-				of, chain := models.Draw(t, "model"), blocks.Draw(t, "blocks")
-				assert.Equal(t, cache.Kept(of, chain), plain.kept(of, chain))
-				assert.Equal(t, cache.Missing(of, chain), Tokens(chain[plain.kept(of, chain):]))
+				assert.Equal(t, cache.Len(), len(reference.blocks))
+				assert.Equal(t, cache.Size(), reference.size())
+				modelHash, chain := models.Draw(t, "model"), blocks.Draw(t, "blocks")
+				assert.Equal(t, cache.Kept(modelHash, chain), reference.kept(modelHash, chain))
+				assert.Equal(t, cache.Missing(modelHash, chain), Tokens(chain[reference.kept(modelHash, chain):]))
 			},
 		})
 	})
 }
 
-func TestBlockCountsOnlyAfterAllBeforeIt(t *testing.T) {
+func TestBlockCountsOnlyAfterItsPredecessors(t *testing.T) {
 	cache := New(1000, 1)
 	cache.Used(model, []Block{{2, 100}, {3, 100}})
 	assert.Equal(t, cache.Missing(model, []Block{{1, 50}, {2, 100}, {3, 100}}), 250)
@@ -147,43 +147,44 @@
 	assert.Equal(t, cache.Missing(HashModel("other"), []Block{{1, 50}}), 50)
 }
 
-func TestLaterBlocksOfAChainGiveWayFirst(t *testing.T) {
+func TestLaterBlocksAreEvictedFirst(t *testing.T) {
 	cache := New(300, 1)
 	cache.Used(model, []Block{{1, 100}, {2, 100}, {3, 100}})
 	cache.Used(model, []Block{{4, 100}})
 	assert.Equal(t, cache.Kept(model, []Block{{1, 100}, {2, 100}, {3, 100}}), 2)
 }
 
-func TestLastBlockStandsForThoseOfOtherRouters(t *testing.T) {
+func TestLastBlockIsChargedForEachRouter(t *testing.T) {
 	cache := New(1000, 9)
 	cache.Used(model, []Block{{1, 100}, {2, 50}})
 	assert.Equal(t, cache.Size(), int64(100+9*50))
 }
 
-func TestUniqueBlocksDoNotPushOutRepeatedOnes(t *testing.T) {
+func TestUniqueBlocksDoNotEvictReusedOnes(t *testing.T) {
 	cache := New(1<<40, 1)
 	for unique := range uint64(100_000) {
 		cache.Used(model, []Block{{unique % 100, 10}, {1000 + unique, 10}})
 	}
-	assert.Assert(t, cache.Len() <= defaultMaxSingles+100)
-	assert.Assert(t, len(cache.entries) <= defaultMaxSingles+102)
+	assert.Assert(t, cache.Len() <= maxUsedOnce+100)
+	assert.Assert(t, len(cache.entries) <= maxUsedOnce+102)
 	for shared := range uint64(100) {
 		assert.Equal(t, cache.Kept(model, []Block{{shared, 10}}), 1)
 	}
 }
 
-// TestHeardBlocksAreNoRepeatedUse: the same use may be heard of more than once, and must not push out what this router repeats.
-func TestHeardBlocksAreNoRepeatedUse(t *testing.T) {
+// TestRemoteUsesDoNotMakeABlockReused guards against counting one use by another router, which may be reported more
+// than once, as several uses: such blocks would evict those that this router reuses.
+func TestRemoteUsesDoNotMakeABlockReused(t *testing.T) {
 	cache := New(1<<40, 1)
-	for block := range uint64(10 * defaultMaxSingles) {
+	for block := range uint64(10 * maxUsedOnce) {
 		cache.Heard(KeyOf(model, block), 10)
 		cache.Heard(KeyOf(model, block), 10)
 	}
-	assert.Equal(t, cache.Len(), defaultMaxSingles)
-	assert.Equal(t, cache.Size(), int64(10*defaultMaxSingles))
+	assert.Equal(t, cache.Len(), maxUsedOnce)
+	assert.Equal(t, cache.Size(), int64(10*maxUsedOnce))
 }
 
-func TestHomesAreSpreadAndStable(t *testing.T) {
+func TestHomesAreEvenAndStable(t *testing.T) {
 	const instances, keys = 12, 12_000
 	counts := make([]int, instances)
 	moved := 0
@@ -193,7 +194,7 @@
 		after := homeAmong(instances-1, KeyOf(model, key))
 		if before != after {
 			moved++
-			assert.Equal(t, before, instances-1, "only keys of the instance that left may move")
+			assert.Equal(t, before, instances-1, "only keys of the removed instance may move")
 		}
 	}
 	for _, count := range counts {
--- a/internal/router/prefixcache/home.go
+++ b/internal/router/prefixcache/home.go
@@ -1,10 +1,12 @@
 package prefixcache
 
-// HomeWeight ranks instances for a shared block by rendezvous hashing. Routers that know the same instances rank them
-// alike without a word between them, so that a block that no router sees often is still sent to one place.
+// HomeWeight returns the weight of an instance for a shared block in rendezvous hashing; the instance with the highest
+// weight is the block's home. Routers that know the same instances choose the same home without communication, so that
+// requests are sent to the same instance even for a block that each router rarely sees.
 func HomeWeight(instanceHash uint64, key Key) uint64 { return mix(instanceHash ^ uint64(key)) }
 
-// HomeKey is the key by which a prompt's home is chosen: its last shared block.
+// HomeKey returns the key that determines a prompt's home: that of its last shared block. It reports false for a prompt
+// without shared blocks.
 func HomeKey(modelHash uint64, blocks []Block) (Key, bool) {
 	shared := Shared(blocks)
 	if len(shared) == 0 {
--- a/internal/router/prefixcache/list.go
+++ b/internal/router/prefixcache/list.go
@@ -1,45 +1,47 @@
 package prefixcache
 
-// none stands for no entry.
-const none int32 = -1
+// noEntry is the position that marks the end of a list.
+const noEntry int32 = -1
 
-// list is a doubly linked list of entries, from the least to the most recently used one.
-type list struct {
+// lruList is a doubly linked list of positions in Cache.entries, ordered by last use.
+type lruList struct {
 	newest   int32
 	oldest   int32
 	count    int
 	maxCount int
 }
 
-func newList(maxCount int) list { return list{newest: none, oldest: none, maxCount: maxCount} }
+func newLRUList(maxCount int) lruList {
+	return lruList{newest: noEntry, oldest: noEntry, maxCount: maxCount}
+}
 
-func (c *Cache) listOf(at int32) *list {
-	if c.entries[at].isRepeated {
-		return &c.repeated
+func (c *Cache) listOf(position int32) *lruList {
+	if c.entries[position].isReused {
+		return &c.reused
 	}
-	return &c.singles
+	return &c.usedOnce
 }
 
-func (c *Cache) pushNewest(to *list, at int32) {
-	pushed := &c.entries[at]
-	pushed.newer, pushed.older = none, to.newest
-	if to.newest != none {
-		c.entries[to.newest].newer = at
+func (c *Cache) pushNewest(to *lruList, position int32) {
+	pushed := &c.entries[position]
+	pushed.newer, pushed.older = noEntry, to.newest
+	if to.newest != noEntry {
+		c.entries[to.newest].newer = position
 	} else {
-		to.oldest = at
+		to.oldest = position
 	}
-	to.newest = at
+	to.newest = position
 	to.count++
 }
 
-func (c *Cache) unlink(at int32) {
-	from, removed := c.listOf(at), &c.entries[at]
-	if removed.newer != none {
+func (c *Cache) unlink(position int32) {
+	from, removed := c.listOf(position), &c.entries[position]
+	if removed.newer != noEntry {
 		c.entries[removed.newer].older = removed.older
 	} else {
 		from.newest = removed.older
 	}
-	if removed.older != none {
+	if removed.older != noEntry {
 		c.entries[removed.older].newer = removed.newer
 	} else {
 		from.oldest = removed.newer
