--- a/internal/router/commonprefix/counter.go
+++ b/internal/router/commonprefix/counter.go
@@ -10,19 +10,19 @@
 )
 
 const (
-	// counterPlaces are the prefixes that a router counts, of all tenants together.
-	counterPlaces = 512
-	// reportPlaces are the prefixes of one report.
-	reportPlaces = 64
-	// maxTenants bounds the tenants that a router counts.
+	// maxCountedPrefixes is the number of prefixes that a router counts, divided among the tenants by quota.
+	maxCountedPrefixes = 512
+	// maxReportedPrefixes is the maximum number of prefixes in a report.
+	maxReportedPrefixes = 64
+	// maxTenants is the maximum number of tenants whose prefixes a router counts.
 	maxTenants = 512
-	// fadeTime is the time in which what was counted fades to 1/e.
-	fadeTime = 8 * time.Second
-	// forgotten is the weight of tokens from which a backend's total is dropped.
-	forgotten = 1.0
+	// decayTime is the time in which counts and weights decay to 1/e of their value.
+	decayTime = 8 * time.Second
+	// minWeight is the weight in tokens below which a total is deleted and a prefix is not reported.
+	minWeight = 1.0
 )
 
-// Request is what is counted of one request.
+// Request holds the properties of a request that are counted.
 type Request struct {
 	Tenant       string
 	Backend      string
@@ -31,16 +31,16 @@
 	Prefix       []prefixcache.Block
 }
 
-// Counter counts the prefixes of one router's requests.
+// Counter counts the prefixes of the requests that one router sends.
 type Counter struct {
-	seed    uint64
-	quotas  Quotas
-	fadedAt time.Duration
-	tenants map[string]*summary
-	totals  map[string]float64 // prompt tokens by backend
+	seed      uint64
+	quotas    Quotas
+	decayedAt time.Duration
+	tenants   map[string]*summary
+	totals    map[string]float64 // decayed prompt tokens by backend
 }
 
-// NewCounter makes a counter for the fleet's seed.
+// NewCounter returns a counter that computes keys with the fleet's seed.
 func NewCounter(seed uint64, quotas Quotas) *Counter {
 	return &Counter{
 		seed:    seed,
@@ -50,15 +50,16 @@
 	}
 }
 
-// SetQuotas divides the places anew.
+// SetQuotas sets the quotas and resizes the tenants' summaries accordingly.
 func (c *Counter) SetQuotas(quotas Quotas) {
 	c.quotas = quotas
 	for tenant, summary := range c.tenants {
-		summary.resize(quotas.Room(tenant, counterPlaces))
+		summary.resize(quotas.Portion(tenant, maxCountedPrefixes))
 	}
 }
 
-// Count enters a request. Its last block, which belongs to it or its session alone, is left out.
+// Count counts a request by its shared blocks. The last block, which is unique to the request or its session, is not
+// part of the prefix.
 func (c *Counter) Count(request *Request) {
 	shared := prefixcache.Shared(request.Prefix)
 	weight := float64(max(request.PromptTokens, prefixcache.Tokens(request.Prefix)))
@@ -74,7 +75,7 @@
 		return
 	}
 	home, _ := prefixcache.HomeKey(prefixcache.HashModel(request.Model), request.Prefix)
-	summary.add(counted{
+	summary.add(entry{
 		key:     Hash(c.seed, request.Backend, request.Model, shared),
 		backend: request.Backend,
 		home:    home,
@@ -85,34 +86,34 @@
 }
 
 func (c *Counter) summaryOf(tenant string) *summary {
-	found := c.tenants[tenant]
-	if found == nil && len(c.tenants) < maxTenants {
-		found = newSummary(c.quotas.Room(tenant, counterPlaces))
-		c.tenants[tenant] = found
+	known := c.tenants[tenant]
+	if known == nil && len(c.tenants) < maxTenants {
+		known = newSummary(c.quotas.Portion(tenant, maxCountedPrefixes))
+		c.tenants[tenant] = known
 	}
-	return found
+	return known
 }
 
-// fade lessens everything by the time that has passed.
-func (c *Counter) fade(now time.Duration) {
-	passed := now - c.fadedAt
-	if passed <= 0 {
+// decay reduces all counts and weights according to the time since the last call.
+func (c *Counter) decay(now time.Duration) {
+	elapsed := now - c.decayedAt
+	if elapsed <= 0 {
 		return
 	}
-	c.fadedAt = now
-	share := math.Exp(-float64(passed) / float64(fadeTime))
+	c.decayedAt = now
+	factor := math.Exp(-float64(elapsed) / float64(decayTime))
 	for _, summary := range c.tenants {
-		summary.fade(share)
+		summary.decay(factor)
 	}
 	for backend := range c.totals {
-		c.totals[backend] *= share
+		c.totals[backend] *= factor
 	}
-	maps.DeleteFunc(c.totals, func(_ string, total float64) bool { return total < forgotten })
+	maps.DeleteFunc(c.totals, func(_ string, total float64) bool { return total < minWeight })
 }
 
-// Report returns the heaviest prefixes, of each tenant as many as its quota gives it room for.
+// Report returns the heaviest prefixes. The number of prefixes of a tenant is limited by its quota.
 func (c *Counter) Report(now time.Duration) Report {
-	c.fade(now)
+	c.decay(now)
 	report := Report{Seed: c.seed}
 	for _, backend := range slices.Sorted(maps.Keys(c.totals)) {
 		report.Totals = append(report.Totals, Total{Backend: backend, Weight: float32(c.totals[backend])})
@@ -121,26 +122,27 @@
 		report.Prefixes = append(report.Prefixes, c.heaviest(tenant)...)
 	}
 	sortByWeight(report.Prefixes)
-	report.Prefixes = report.Prefixes[:min(len(report.Prefixes), reportPlaces)]
+	report.Prefixes = report.Prefixes[:min(len(report.Prefixes), maxReportedPrefixes)]
 	return report
 }
 
-// heaviest lists a tenant's prefixes that are known to be heavy: what a prefix may have inherited doesn't count.
+// heaviest lists a tenant's heaviest prefixes by the lower bound of their weight: weight that may be inherited from an
+// evicted prefix doesn't count.
 func (c *Counter) heaviest(tenant string) []Counted {
 	var list []Counted
-	for _, found := range c.tenants[tenant].heap {
-		if weight := found.weight - found.excess; weight >= forgotten {
+	for _, counted := range c.tenants[tenant].heap {
+		if weight := counted.weight - counted.overestimate; weight >= minWeight {
 			list = append(list, Counted{
 				Tenant:  tenant,
-				Backend: found.backend,
-				Key:     found.key,
-				Home:    found.home,
-				Tokens:  found.tokens,
-				Count:   float32(found.count),
+				Backend: counted.backend,
+				Key:     counted.key,
+				Home:    counted.home,
+				Tokens:  counted.tokens,
+				Count:   float32(counted.count),
 				Weight:  float32(weight),
 			})
 		}
 	}
 	sortByWeight(list)
-	return list[:min(len(list), c.quotas.Room(tenant, reportPlaces))]
+	return list[:min(len(list), c.quotas.Portion(tenant, maxReportedPrefixes))]
 }
--- a/internal/router/commonprefix/doc.go
+++ b/internal/router/commonprefix/doc.go
@@ -1,10 +1,11 @@
-// Package commonprefix finds the prompt prefixes that many requests of a fleet share, and how many instances shall keep
-// each of them.
+// Package commonprefix finds the prompt prefixes that many requests to a fleet of routers have in common, and decides
+// how many instances should cache each of them.
 //
-// A router counts the prefixes that it sends in one Counter, which keeps a bounded Space-Saving summary for each tenant.
-// The holder of the coordinator's lease merges the routers' newest reports in a Merger and derives the next agreed Set by
-// the rule of Agree. The set becomes part of the replicated state, and Replicas tells from it how many instances of a
-// backend shall keep a prefix.
+// Each router counts the prefixes of the requests that it sends in a Counter, which keeps a Space-Saving summary of
+// bounded size for each tenant. The coordinator, the router that holds the lease, merges the latest reports of all
+// routers in a Merger, and derives the next Set with SelectPrefixes and a Placer. The set is part of the replicated
+// state. Set.Replicas and Set.Assign derive from it how many and which instances of a backend should cache a prefix.
 //
-// The package is pure: it knows no clock, no goroutine and no I/O. Times are durations since any fixed moment.
+// The package is pure: it reads no clock, starts no goroutine and does no I/O. Times are durations since an arbitrary
+// fixed moment.
 package commonprefix
--- a/internal/router/commonprefix/hash.go
+++ b/internal/router/commonprefix/hash.go
@@ -8,11 +8,11 @@
 	"pewterrudder/internal/router/prefixcache"
 )
 
-// Key names a prompt prefix of one model of one backend.
+// Key identifies a prompt prefix of a model at a backend.
 type Key uint64
 
-// Hash is the key of a chain of blocks. The fleet draws the seed at random, so that a tenant can't choose blocks whose
-// keys collide with another's.
+// Hash returns the key of the prefix that consists of the given blocks. The seed is random and the same in the whole
+// fleet, so that a tenant can't choose blocks whose key collides with that of another tenant's prefix.
 func Hash(seed uint64, backend, model string, blocks []prefixcache.Block) Key {
 	digest := xxhash.NewWithSeed(seed)
 	_, _ = digest.WriteString(backend)
@@ -27,5 +27,5 @@
 	return Key(digest.Sum64())
 }
 
-// separator ends a name, so that no two pairs of names are written alike.
+// separator ends each name, so that different pairs of names never encode to the same bytes.
 var separator = []byte{0}
--- a/internal/router/commonprefix/places.go
+++ b/internal/router/commonprefix/places.go
@@ -10,16 +10,16 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// Place is a position in a backend's ranking of instances. Prefixes are ranked over places, not over instances, so that
-// an instance that takes the place of one that left takes over its prefixes and moves no others.
+// Place is a numbered slot for an instance of a backend. Prefixes are assigned to places by rendezvous hashing, not to
+// instances, so that an instance that replaces another one takes over its prefixes and no other prefix moves.
 type Place struct {
 	_msgpack struct{} `msgpack:",as_array"`
 	Backend  string
 	Number   int
-	Instance string // id of the one that held it when the set was made
+	Instance string // ID of the instance that held it when the set was made
 }
 
-// Hash is what prefixes are ranked by for a place.
+// Hash returns the hash of the place in rendezvous hashing.
 func (p Place) Hash() uint64 {
 	return xxhash.Sum64String(p.Backend + "/" + strconv.Itoa(p.Number))
 }
@@ -28,29 +28,30 @@
 	return cmp.Or(cmp.Compare(a.Backend, b.Backend), cmp.Compare(a.Number, b.Number))
 }
 
-// HasPlaces tells whether the routers agreed on places for a backend.
+// HasPlaces reports whether the set has places for a backend.
 func (s *Set) HasPlaces(backend string) bool {
 	return slices.ContainsFunc(s.Places, func(place Place) bool { return place.Backend == backend })
 }
 
-// Assign returns the places of a backend with the instances that hold them now, of those given as ready. A place whose
-// instance isn't ready goes to a ready one without a place; the earlier assignment is kept as far as it may. It follows
-// from the agreed set and from the instances alone, so that no router waits for another.
+// Assign returns the places of a backend with the ready instances that hold them now. A place whose instance isn't
+// ready goes to a ready instance without a place, if possible to the one that held it in earlier, the previous result
+// of Assign. A place for which there is no instance has an empty Instance. Each router computes this by itself from
+// the agreed set and the instances, so that no router waits for another.
 func (s *Set) Assign(backend string, ready []string, earlier []Place) []Place {
 	assigned := s.placesOf(backend)
-	free := map[string]bool{}
+	unplaced := map[string]bool{}
 	for _, id := range ready {
-		free[id] = true
+		unplaced[id] = true
 	}
 	for i := range assigned {
-		if !free[assigned[i].Instance] {
+		if !unplaced[assigned[i].Instance] {
 			assigned[i].Instance = ""
 			continue
 		}
-		delete(free, assigned[i].Instance)
+		delete(unplaced, assigned[i].Instance)
 	}
-	keepEarlier(assigned, free, earlier)
-	fillVacant(assigned, free)
+	keepEarlier(assigned, unplaced, earlier)
+	fillVacant(assigned, unplaced)
 	return assigned
 }
 
@@ -64,71 +65,73 @@
 	return places
 }
 
-// keepEarlier gives vacant places back to those that had taken them before.
-func keepEarlier(assigned []Place, free map[string]bool, earlier []Place) {
+// keepEarlier assigns vacant places to the instances that held them in the earlier assignment.
+func keepEarlier(assigned []Place, unplaced map[string]bool, earlier []Place) {
 	for i := range assigned {
 		if assigned[i].Instance != "" {
 			continue
 		}
 		at := slices.IndexFunc(earlier, func(place Place) bool { return place.Number == assigned[i].Number })
-		if at >= 0 && free[earlier[at].Instance] {
+		if at >= 0 && unplaced[earlier[at].Instance] {
 			assigned[i].Instance = earlier[at].Instance
-			delete(free, earlier[at].Instance)
+			delete(unplaced, earlier[at].Instance)
 		}
 	}
 }
 
-func fillVacant(assigned []Place, free map[string]bool) {
-	waiting := slices.Sorted(maps.Keys(free))
+func fillVacant(assigned []Place, unplaced map[string]bool) {
+	candidates := slices.Sorted(maps.Keys(unplaced))
 	for i := range assigned {
-		if assigned[i].Instance == "" && len(waiting) > 0 {
-			assigned[i].Instance = waiting[0]
-			waiting = waiting[1:]
+		if assigned[i].Instance == "" && len(candidates) > 0 {
+			assigned[i].Instance = candidates[0]
+			candidates = candidates[1:]
 		}
 	}
 }
 
 const (
-	// joinAfter is for how long an instance waits for the place of another one until it gets a new one: in a release the
-	// new instance comes before the old one leaves.
-	joinAfter = 6 * time.Second
-	// removeAfter is for how long a place stays without an instance: one that has crashed comes back.
-	removeAfter = 30 * time.Second
+	// addPlaceAfter is how long an instance without a place waits for the place of another one before it gets a new
+	// place: during a rollout, the new instance becomes ready before the old one leaves.
+	addPlaceAfter = 6 * time.Second
+	// removePlaceAfter is how long a place without an instance is kept: an instance that crashed is usually restarted.
+	removePlaceAfter = 30 * time.Second
 )
 
-// Assignment is what a router sees of one backend.
+// Assignment is a router's view of the instances and places of a backend.
 type Assignment struct {
 	Backend string
-	Ready   []string // ids of the instances
-	Places  []Place  // as Assign returned them
+	Ready   []string // IDs of the ready instances
+	Places  []Place  // the result of Set.Assign
 }
 
-// Placer derives the agreed places from what the coordinator sees.
+// Placer decides at the coordinator when places are added and removed.
 type Placer struct {
-	waitingSince map[string]time.Duration // by instance
-	vacantSince  map[Place]time.Duration
+	unplacedSince map[string]time.Duration // by instance ID
+	vacantSince   map[Place]time.Duration
 }
 
-// NewPlacer makes a placer that has seen nothing.
+// NewPlacer returns a placer without any state.
 func NewPlacer() *Placer {
-	return &Placer{waitingSince: map[string]time.Duration{}, vacantSince: map[Place]time.Duration{}}
+	return &Placer{unplacedSince: map[string]time.Duration{}, vacantSince: map[Place]time.Duration{}}
 }
 
-// Next returns the places to agree on, in order.
+// Next returns the places of the next set, sorted by backend and number.
 func (p *Placer) Next(now time.Duration, current *Set, assignments []Assignment) []Place {
 	var next []Place
-	waiting, vacant := map[string]time.Duration{}, map[Place]time.Duration{}
+	unplaced, vacant := map[string]time.Duration{}, map[Place]time.Duration{}
 	for _, assignment := range assignments {
-		next = append(next, p.kept(now, current, assignment, vacant)...)
-		next = append(next, p.added(now, current, assignment, waiting)...)
+		next = append(next, p.keptPlaces(now, current, assignment, vacant)...)
+		next = append(next, p.addedPlaces(now, current, assignment, unplaced)...)
 	}
-	p.waitingSince, p.vacantSince = waiting, vacant
+	p.unplacedSince, p.vacantSince = unplaced, vacant
 	slices.SortFunc(next, comparePlaces)
 	return next
 }
 
-// kept lists the places that stay: with their new instances, or vacant ones with their last ones for a while.
-func (p *Placer) kept(now time.Duration, current *Set, seen Assignment, vacant map[Place]time.Duration) []Place {
+// keptPlaces returns the places that remain: those with an instance, and for removePlaceAfter those that are vacant,
+// with the instance that the current set names. As long as the backend has no ready instance, all places remain. It
+// records in vacant since when places are vacant.
+func (p *Placer) keptPlaces(now time.Duration, current *Set, seen Assignment, vacant map[Place]time.Duration) []Place {
 	var kept []Place
 	agreed := current.placesOf(seen.Backend)
 	for i, place := range seen.Places {
@@ -136,26 +139,29 @@
 			kept = append(kept, place)
 			continue
 		}
-		since := since(p.vacantSince, agreed[i], now)
+		since := firstSeen(p.vacantSince, agreed[i], now)
 		vacant[agreed[i]] = since
-		if now-since < removeAfter || len(seen.Ready) == 0 {
+		if now-since < removePlaceAfter || len(seen.Ready) == 0 {
 			kept = append(kept, agreed[i])
 		}
 	}
 	return kept
 }
 
-// added makes places for the instances that have waited long enough, and for all where there are none yet.
-func (p *Placer) added(now time.Duration, current *Set, seen Assignment, waiting map[string]time.Duration) []Place {
+// addedPlaces returns new places for the instances that have been without a place for addPlaceAfter, or for all
+// instances if the backend has no places yet. It records in unplaced since when instances have no place.
+func (p *Placer) addedPlaces(
+	now time.Duration, current *Set, seen Assignment, unplaced map[string]time.Duration,
+) []Place {
 	var added []Place
 	number := 0
 	for _, place := range seen.Places {
 		number = max(number, place.Number+1)
 	}
-	for _, id := range seen.waiting() {
-		since := since(p.waitingSince, id, now)
-		waiting[id] = since
-		if now-since >= joinAfter || !current.HasPlaces(seen.Backend) {
+	for _, id := range seen.unplaced() {
+		since := firstSeen(p.unplacedSince, id, now)
+		unplaced[id] = since
+		if now-since >= addPlaceAfter || !current.HasPlaces(seen.Backend) {
 			added = append(added, Place{Backend: seen.Backend, Number: number, Instance: id})
 			number++
 		}
@@ -163,8 +169,8 @@
 	return added
 }
 
-// waiting lists the ready instances without a place.
-func (a Assignment) waiting() []string {
+// unplaced returns the IDs of the ready instances without a place, in order.
+func (a Assignment) unplaced() []string {
 	var ids []string
 	for _, id := range slices.Sorted(slices.Values(a.Ready)) {
 		if !slices.ContainsFunc(a.Places, func(place Place) bool { return place.Instance == id }) {
@@ -174,7 +180,7 @@
 	return ids
 }
 
-func since[K comparable](times map[K]time.Duration, key K, now time.Duration) time.Duration {
+func firstSeen[K comparable](times map[K]time.Duration, key K, now time.Duration) time.Duration {
 	if known, ok := times[key]; ok {
 		return known
 	}
--- a/internal/router/commonprefix/places_test.go
+++ b/internal/router/commonprefix/places_test.go
@@ -10,7 +10,7 @@
 	"pgregory.net/rapid"
 )
 
-// fleet plays the coordinator and one other router on changing instances.
+// fleet simulates a coordinator and another router while instances come and go.
 type fleet struct {
 	set    *Set
 	placer *Placer
@@ -25,22 +25,22 @@
 	return f
 }
 
-// see updates what a router sees.
-func (f *fleet) see(ready ...string) {
+// observe sets the ready instances and assigns the places to them.
+func (f *fleet) observe(ready ...string) {
 	f.ready = ready
 	f.places = f.set.Assign("service", ready, f.places)
 }
 
-// agree makes the next set after a time.
+// agree advances the clock and puts the next set into force.
 func (f *fleet) agree(after time.Duration) {
 	f.now += after
-	f.see(f.ready...)
+	f.observe(f.ready...)
 	next := f.placer.Next(f.now, f.set, []Assignment{{Backend: "service", Ready: f.ready, Places: f.places}})
-	f.set = f.set.Succeed(nil, next)
-	f.see(f.ready...)
+	f.set = f.set.Successor(nil, next)
+	f.observe(f.ready...)
 }
 
-// placeOf is the number of the place that an instance holds, or -1.
+// placeOf returns the number of the place that an instance holds, or -1.
 func (f *fleet) placeOf(id string) int {
 	at := slices.IndexFunc(f.places, func(place Place) bool { return place.Instance == id })
 	if at < 0 {
@@ -49,12 +49,12 @@
 	return f.places[at].Number
 }
 
-func TestAReplacementTakesThePlaceOfTheOneThatLeft(t *testing.T) {
+func TestAReplacementTakesThePlaceOfTheInstanceThatLeft(t *testing.T) {
 	f := newFleet("a", "b", "c")
 	before := f.placeOf("b")
-	f.see("a", "b", "c", "new")
-	assert.Equal(t, f.placeOf("new"), -1, "before the old one leaves, the new one has no prefixes")
-	f.see("a", "c", "new")
+	f.observe("a", "b", "c", "new")
+	assert.Equal(t, f.placeOf("new"), -1, "the new instance has no place until the old one leaves")
+	f.observe("a", "c", "new")
 	assert.Equal(t, f.placeOf("new"), before)
 	assert.Equal(t, f.placeOf("a"), 0)
 	assert.Equal(t, f.placeOf("c"), 2)
@@ -62,52 +62,52 @@
 	assert.Equal(t, f.placeOf("new"), before)
 }
 
-func TestAnInstanceThatStaysGetsAPlaceOfItsOwn(t *testing.T) {
+func TestAnAdditionalInstanceGetsANewPlace(t *testing.T) {
 	f := newFleet("a", "b")
-	f.see("a", "b", "c")
+	f.observe("a", "b", "c")
 	f.agree(time.Second)
 	assert.Equal(t, f.placeOf("c"), -1)
-	f.agree(joinAfter)
+	f.agree(addPlaceAfter)
 	assert.Equal(t, f.placeOf("c"), 2)
 }
 
-func TestAPlaceWaitsForAnInstanceThatCrashed(t *testing.T) {
+func TestAPlaceIsKeptForAnInstanceThatRestarts(t *testing.T) {
 	f := newFleet("a", "b", "c")
-	f.see("a", "c")
+	f.observe("a", "c")
 	f.agree(time.Second)
-	f.agree(removeAfter / 2)
-	f.see("a", "b-again", "c")
+	f.agree(removePlaceAfter / 2)
+	f.observe("a", "b-again", "c")
 	assert.Equal(t, f.placeOf("b-again"), 1)
-	f.see("a", "c")
+	f.observe("a", "c")
 	f.agree(time.Second)
-	f.agree(removeAfter)
+	f.agree(removePlaceAfter)
 	assert.Equal(t, len(f.places), 2)
 	assert.Equal(t, f.placeOf("c"), 2)
 }
 
-func TestPlacesStayThroughTheLossOfAllInstances(t *testing.T) {
+func TestPlacesAreKeptWhileNoInstanceIsReady(t *testing.T) {
 	f := newFleet("a", "b")
-	f.see()
+	f.observe()
 	f.agree(time.Second)
-	f.agree(2 * removeAfter)
-	f.see("b", "a")
+	f.agree(2 * removePlaceAfter)
+	f.observe("b", "a")
 	assert.Equal(t, f.placeOf("a"), 0)
 	assert.Equal(t, f.placeOf("b"), 1)
 }
 
-func TestPlacesHoldAcrossDrawnChanges(t *testing.T) {
+func TestPlacesStayConsistentUnderRandomChanges(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		f := newFleet("i0", "i1", "i2")
 		next := 3
 		t.Repeat(map[string]func(*rapid.T){
 			"join": func(*rapid.T) {
-				f.checkedSee(t, append(slices.Clone(f.ready), fmt.Sprintf("i%d", next)))
+				f.observeAndCheck(t, append(slices.Clone(f.ready), fmt.Sprintf("i%d", next)))
 				next++
 			},
 			"leave": func(t *rapid.T) {
 				if len(f.ready) > 0 {
 					at := rapid.IntRange(0, len(f.ready)-1).Draw(t, "at")
-					f.checkedSee(t, slices.Delete(slices.Clone(f.ready), at, at+1))
+					f.observeAndCheck(t, slices.Delete(slices.Clone(f.ready), at, at+1))
 				}
 			},
 			"agree": func(t *rapid.T) {
@@ -120,13 +120,13 @@
 	})
 }
 
-func (f *fleet) checkedSee(t *rapid.T, ready []string) {
+func (f *fleet) observeAndCheck(t *rapid.T, ready []string) {
 	before := slices.Clone(f.places)
-	f.see(ready...)
+	f.observe(ready...)
 	f.checkKept(t, before)
 }
 
-// checkKept demands that an instance that held a place and is still ready holds it further.
+// checkKept asserts that each instance that held a place and is still ready keeps it.
 func (f *fleet) checkKept(t *rapid.T, before []Place) {
 	for _, place := range before {
 		if place.Instance != "" && slices.Contains(f.ready, place.Instance) {
@@ -135,7 +135,8 @@
 	}
 }
 
-// check demands that no instance holds two places, that holders are ready, and that nobody waits beside a vacant place.
+// check asserts that no instance holds two places, that all holders are ready, and that no ready instance is without a
+// place while another place is vacant.
 func (f *fleet) check(t *rapid.T) {
 	holders, vacant := map[string]bool{}, 0
 	for _, place := range f.places {
--- a/internal/router/commonprefix/report.go
+++ b/internal/router/commonprefix/report.go
@@ -8,21 +8,21 @@
 	"pewterrudder/internal/router/prefixcache"
 )
 
-// Report is what one router has counted.
+// Report holds the counts of one router.
 type Report struct {
 	Seed     uint64    `msgpack:"s"`
 	Totals   []Total   `msgpack:"t"`
 	Prefixes []Counted `msgpack:"p"`
 }
 
-// Total is the weight of all requests of a backend, in prompt tokens that fade.
+// Total is the weight of all requests to a backend: their prompt tokens, with exponential decay.
 type Total struct {
 	_msgpack struct{} `msgpack:",as_array"`
 	Backend  string
 	Weight   float32
 }
 
-// Counted is the weight of the requests of a tenant that carry a prefix.
+// Counted is the decayed count and weight of a tenant's requests with a prefix.
 type Counted struct {
 	_msgpack struct{} `msgpack:",as_array"`
 	Tenant   string
@@ -30,7 +30,7 @@
 	Key      Key
 	Home     prefixcache.Key
 	Tokens   int
-	Count    float32 // of requests
+	Count    float32 // number of requests
 	Weight   float32
 }
 
@@ -40,65 +40,65 @@
 	})
 }
 
-// Version orders the reports of one router: by its incarnation, then by their sequence.
-type Version struct {
+// ReportVersion orders the reports of one router: by the router's incarnation, then by sequence number.
+type ReportVersion struct {
 	Incarnation uint64 `msgpack:"i"`
 	Sequence    uint64 `msgpack:"n"`
 }
 
-// IsAfter tells whether a version is the later one.
-func (v Version) IsAfter(other Version) bool {
+// IsAfter reports whether v is later than other.
+func (v ReportVersion) IsAfter(other ReportVersion) bool {
 	return cmp.Or(cmp.Compare(v.Incarnation, other.Incarnation), cmp.Compare(v.Sequence, other.Sequence)) > 0
 }
 
-// reportKept is for how long a router's report counts without a new one.
-const reportKept = 3 * fadeTime
+// reportLifetime is how long a router's latest report counts if no newer one arrives.
+const reportLifetime = 3 * decayTime
 
-// Merger holds the newest report of each router.
+// Merger holds the latest report of each router.
 type Merger struct {
-	reports map[string]received
+	reports map[string]receivedReport
 }
 
-type received struct {
-	version Version
-	at      time.Duration
-	report  Report
+type receivedReport struct {
+	version    ReportVersion
+	receivedAt time.Duration
+	report     Report
 }
 
-// NewMerger makes a merger without reports.
-func NewMerger() *Merger { return &Merger{reports: map[string]received{}} }
+// NewMerger returns a merger without reports.
+func NewMerger() *Merger { return &Merger{reports: map[string]receivedReport{}} }
 
-// Take enters a router's report in the place of its earlier one. Late and doubled reports change nothing.
-func (m *Merger) Take(now time.Duration, router string, version Version, report Report) {
+// Update replaces a router's report with a newer one. Reports that arrive late or twice are ignored.
+func (m *Merger) Update(now time.Duration, router string, version ReportVersion, report Report) {
 	if known, ok := m.reports[router]; ok && !version.IsAfter(known.version) {
 		return
 	}
-	m.reports[router] = received{version: version, at: now, report: report}
+	m.reports[router] = receivedReport{version: version, receivedAt: now, report: report}
 }
 
-// Merged adds up the reports that were counted under the seed.
-func (m *Merger) Merged(now time.Duration, seed uint64) Merged {
-	merged := Merged{Totals: map[string]float64{}, Prefixes: map[TenantKey]Weighed{}}
-	for router, last := range m.reports {
-		if now-last.at > reportKept {
+// Merge returns the sum of the reports whose keys were computed with the given seed. It deletes expired reports.
+func (m *Merger) Merge(now time.Duration, seed uint64) FleetCounts {
+	counts := FleetCounts{Totals: map[string]float64{}, Prefixes: map[TenantKey]FleetPrefix{}}
+	for router, received := range m.reports {
+		if now-received.receivedAt > reportLifetime {
 			delete(m.reports, router)
 			continue
 		}
-		if last.report.Seed == seed {
-			merged.add(&last.report)
+		if received.report.Seed == seed {
+			counts.add(&received.report)
 		}
 	}
-	return merged
+	return counts
 }
 
-// TenantKey names a prefix of a tenant.
+// TenantKey identifies a prefix of a tenant.
 type TenantKey struct {
 	Tenant string
 	Key    Key
 }
 
-// Weighed is a prefix with the weight of its requests in the fleet.
-type Weighed struct {
+// FleetPrefix is a prefix with the decayed count and weight of a tenant's requests at all routers.
+type FleetPrefix struct {
 	Backend string
 	Home    prefixcache.Key
 	Tokens  int
@@ -106,23 +106,23 @@
 	Weight  float64
 }
 
-// Merged is the sum of routers' reports.
-type Merged struct {
+// FleetCounts is the sum of the reports of all routers. Totals is the weight of all requests by backend.
+type FleetCounts struct {
 	Totals   map[string]float64
-	Prefixes map[TenantKey]Weighed
+	Prefixes map[TenantKey]FleetPrefix
 }
 
-func (m *Merged) add(report *Report) {
+func (c *FleetCounts) add(report *Report) {
 	for _, total := range report.Totals {
-		m.Totals[total.Backend] += float64(total.Weight)
+		c.Totals[total.Backend] += float64(total.Weight)
 	}
 	for _, counted := range report.Prefixes {
-		name := TenantKey{Tenant: counted.Tenant, Key: counted.Key}
-		sum := m.Prefixes[name]
+		tenantKey := TenantKey{Tenant: counted.Tenant, Key: counted.Key}
+		sum := c.Prefixes[tenantKey]
 		sum.Backend, sum.Home = counted.Backend, counted.Home
 		sum.Tokens = max(sum.Tokens, counted.Tokens)
 		sum.Count += float64(counted.Count)
 		sum.Weight += float64(counted.Weight)
-		m.Prefixes[name] = sum
+		c.Prefixes[tenantKey] = sum
 	}
 }
--- a/internal/router/commonprefix/set.go
+++ b/internal/router/commonprefix/set.go
@@ -9,42 +9,43 @@
 	"pewterrudder/internal/router/prefixcache"
 )
 
-// Set is the agreed set of common prefixes. It is immutable.
+// Set is the set of common prefixes that the routers agreed on. It is immutable.
 type Set struct {
-	// Version rises by one with each change.
+	// Version increases by one with each change. The empty set before the first agreement has version 0.
 	Version uint64 `msgpack:"v"`
-	// Seed is the one of the keys' hash. It is drawn once for a fleet.
+	// Seed is the seed of Hash. It is drawn once for a fleet.
 	Seed uint64 `msgpack:"s"`
-	// Prefixes are in the order of their keys.
+	// Prefixes are sorted by key.
 	Prefixes []Common `msgpack:"p"`
-	// Places are in the order of backends and numbers.
+	// Places are sorted by backend and number.
 	Places []Place `msgpack:"h"`
 }
 
-// Common is one common prefix.
+// Common is a common prefix.
 type Common struct {
 	_msgpack struct{} `msgpack:",as_array"`
 	Key      Key
-	Home     prefixcache.Key // by which its instances are ranked
+	Home     prefixcache.Key // the key by which instances are ranked for the prefix
 	Backend  string
-	Tenant   string // which brings most of its requests
+	Tenant   string // the tenant with the largest share
 	Tokens   int
-	// Share is the part of the backend's prompt tokens that come with the prefix, in units of 1/ShareUnits.
+	// Share is the fraction of the backend's prompt tokens that belong to requests with the prefix, in units of
+	// 1/ShareUnits.
 	Share int
 }
 
-// ShareUnits is the whole of a backend's traffic.
+// ShareUnits is the value of Common.Share that stands for all of a backend's traffic.
 const ShareUnits = 1024
 
-// Succeed is the set after this one with other prefixes and places, or this one where they are the same.
-func (s *Set) Succeed(prefixes []Common, places []Place) *Set {
+// Successor returns the set with the given prefixes and places and the next version, or s itself if they are unchanged.
+func (s *Set) Successor(prefixes []Common, places []Place) *Set {
 	if slices.Equal(prefixes, s.Prefixes) && slices.Equal(places, s.Places) {
 		return s
 	}
 	return &Set{Version: s.Version + 1, Seed: s.Seed, Prefixes: prefixes, Places: places}
 }
 
-// Find returns the prefix with a key.
+// Find returns the prefix with the given key.
 func (s *Set) Find(key Key) (Common, bool) {
 	at, found := slices.BinarySearchFunc(s.Prefixes, key, compareKey)
 	if !found {
@@ -63,13 +64,13 @@
 	return 0
 }
 
-// Encode returns the set's bytes, the same for the same set.
+// Encode serializes the set. Equal sets have equal encodings.
 func (s *Set) Encode() ([]byte, error) {
 	encoded, err := msgpack.Marshal(s)
 	return encoded, errors.Wrap(err, "encode common prefixes")
 }
 
-// Decode reads what Encode has written. No bytes are the empty set of version 0.
+// Decode parses the output of Encode. Empty input yields the empty set of version 0.
 func Decode(encoded []byte) (*Set, error) {
 	set := &Set{}
 	if len(encoded) == 0 {
--- a/internal/router/commonprefix/spacesaving.go
+++ b/internal/router/commonprefix/spacesaving.go
@@ -2,70 +2,70 @@
 
 import "pewterrudder/internal/router/prefixcache"
 
-// counted is one prefix of a summary.
-type counted struct {
-	key     Key
-	backend string
-	home    prefixcache.Key
-	tokens  int     // of the prefix
-	count   float64 // of its requests since it has its place
-	weight  float64 // of its requests, never under the true one
-	excess  float64 // by which the weight may lie over the true one
+// entry is a prefix in a summary.
+type entry struct {
+	key          Key
+	backend      string
+	home         prefixcache.Key
+	tokens       int     // length of the prefix
+	count        float64 // decayed number of its requests since it was inserted
+	weight       float64 // upper bound of the decayed prompt tokens of its requests
+	overestimate float64 // by which the weight may exceed the true one
 }
 
-// summary keeps the heaviest prefixes of one tenant by the Space-Saving algorithm (Metwally, Agrawal, El Abbadi 2005): a
-// prefix without a place takes that of the lightest one and inherits its weight. A prefix whose true weight exceeds the
-// total divided by the number of places always has one.
+// summary keeps the heaviest prefixes of one tenant by the Space-Saving algorithm (Metwally, Agrawal, El Abbadi 2005).
+// When it is full, a new prefix replaces the lightest one and inherits its weight. A prefix whose true weight exceeds
+// the total weight divided by the capacity is always in the summary.
 type summary struct {
-	places int
-	index  map[Key]int // position in heap
-	heap   []counted   // the lightest first
+	capacity int
+	index    map[Key]int // position in heap by key
+	heap     []entry     // min-heap by weight
 }
 
-func newSummary(places int) *summary {
-	return &summary{places: places, index: map[Key]int{}}
+func newSummary(capacity int) *summary {
+	return &summary{capacity: capacity, index: map[Key]int{}}
 }
 
-// add counts a request that carries the prefix.
-func (s *summary) add(found counted) {
-	at, known := s.index[found.key]
-	if !known && len(s.heap) < s.places {
-		s.insert(found)
+// add adds the count and weight of a request to those of its prefix.
+func (s *summary) add(added entry) {
+	at, known := s.index[added.key]
+	if !known && len(s.heap) < s.capacity {
+		s.insert(added)
 		return
 	}
 	if !known {
 		delete(s.index, s.heap[0].key)
-		found.excess = s.heap[0].weight
+		added.overestimate = s.heap[0].weight
 	} else {
-		found.excess = s.heap[at].excess
-		found.count += s.heap[at].count
+		added.overestimate = s.heap[at].overestimate
+		added.count += s.heap[at].count
 	}
-	found.weight += s.heap[at].weight
-	s.heap[at] = found
-	s.index[found.key] = at
-	s.down(at)
+	added.weight += s.heap[at].weight
+	s.heap[at] = added
+	s.index[added.key] = at
+	s.siftDown(at)
 }
 
-func (s *summary) insert(found counted) {
+func (s *summary) insert(added entry) {
 	at := len(s.heap)
-	s.heap = append(s.heap, found)
-	s.index[found.key] = at
-	s.up(at)
+	s.heap = append(s.heap, added)
+	s.index[added.key] = at
+	s.siftUp(at)
 }
 
-// fade lessens all weights alike, which keeps their order.
-func (s *summary) fade(share float64) {
+// decay multiplies all counts and weights by the same factor, which preserves the heap order.
+func (s *summary) decay(factor float64) {
 	for i := range s.heap {
-		s.heap[i].count *= share
-		s.heap[i].weight *= share
-		s.heap[i].excess *= share
+		s.heap[i].count *= factor
+		s.heap[i].weight *= factor
+		s.heap[i].overestimate *= factor
 	}
 }
 
-// resize changes the number of places. The lightest prefixes give way.
-func (s *summary) resize(places int) {
-	s.places = places
-	for len(s.heap) > places {
+// resize changes the capacity. If it shrinks, the lightest prefixes are removed.
+func (s *summary) resize(capacity int) {
+	s.capacity = capacity
+	for len(s.heap) > capacity {
 		s.removeLightest()
 	}
 }
@@ -78,10 +78,10 @@
 		s.index[s.heap[0].key] = 0
 	}
 	s.heap = s.heap[:last]
-	s.down(0)
+	s.siftDown(0)
 }
 
-func (s *summary) up(at int) {
+func (s *summary) siftUp(at int) {
 	for at > 0 {
 		parent := (at - 1) / 2
 		if s.heap[parent].weight <= s.heap[at].weight {
@@ -92,7 +92,7 @@
 	}
 }
 
-func (s *summary) down(at int) {
+func (s *summary) siftDown(at int) {
 	for {
 		least := at
 		for child := 2*at + 1; child <= 2*at+2 && child < len(s.heap); child++ {
--- a/internal/router/prefixagreement/agreement.go
+++ b/internal/router/prefixagreement/agreement.go
@@ -53,7 +53,7 @@
 	mutex    sync.Mutex
 	set      *commonprefix.Set
 	counter  *commonprefix.Counter // nil until the fleet has a seed
-	version  commonprefix.Version
+	version  commonprefix.ReportVersion
 	merger   *commonprefix.Merger
 	placer   *commonprefix.Placer
 	proposed time.Duration // when this router proposed last
@@ -66,7 +66,7 @@
 		options:  options,
 		started:  started,
 		set:      &commonprefix.Set{},
-		version:  commonprefix.Version{Incarnation: uint64(started.UnixNano())},
+		version:  commonprefix.ReportVersion{Incarnation: uint64(started.UnixNano())},
 		merger:   commonprefix.NewMerger(),
 		placer:   commonprefix.NewPlacer(),
 		proposed: -proposeEvery,
--- a/internal/router/prefixagreement/fleet_test.go
+++ b/internal/router/prefixagreement/fleet_test.go
@@ -244,7 +244,7 @@
 		f.named = "r2"
 		f.serve(4*settle, 8)
 		f.requireAgreed(t, 8)
-		late := stale.Succeed(nil, nil)
+		late := stale.Successor(nil, nil)
 		err := holder.propose(context.Background(), stale, late)
 		assert.ErrorIs(t, err, errOtherSet)
 		f.requireAgreed(t, 8)
@@ -344,7 +344,7 @@
 		f.serve(settle, 7)
 		r1 := f.routers["r1"].agreement
 		current := r1.Set()
-		next := current.Succeed(nil, nil)
+		next := current.Successor(nil, nil)
 		for range 2 {
 			assert.NilError(t, r1.propose(context.Background(), current, next))
 		}
--- a/internal/router/prefixagreement/message.go
+++ b/internal/router/prefixagreement/message.go
@@ -9,9 +9,9 @@
 
 // message is a router's report to the coordinator.
 type message struct {
-	Router  string               `msgpack:"r"`
-	Version commonprefix.Version `msgpack:"v"`
-	Report  commonprefix.Report  `msgpack:"c"`
+	Router  string                     `msgpack:"r"`
+	Version commonprefix.ReportVersion `msgpack:"v"`
+	Report  commonprefix.Report        `msgpack:"c"`
 }
 
 // answer tells whether the receiver is the coordinator.
--- a/internal/router/prefixagreement/propose.go
+++ b/internal/router/prefixagreement/propose.go
@@ -54,8 +54,8 @@
 	if current.Version == 0 { // nothing is counted before there is a seed
 		return current, &commonprefix.Set{Version: 1, Seed: newSeed(), Places: places}
 	}
-	merged := a.merger.Merged(now, current.Seed)
-	return current, current.Succeed(commonprefix.Agree(current, merged, quotas), places)
+	merged := a.merger.Merge(now, current.Seed)
+	return current, current.Successor(commonprefix.SelectPrefixes(current, merged, quotas), places)
 }
 
 // propose changes the set in the register, provided that it still is the one from which the next was made. Of two
--- a/internal/router/prefixagreement/report.go
+++ b/internal/router/prefixagreement/report.go
@@ -106,5 +106,5 @@
 func (a *Agreement) take(counted message) {
 	a.mutex.Lock()
 	defer a.mutex.Unlock()
-	a.merger.Take(a.now(), counted.Router, counted.Version, counted.Report)
+	a.merger.Update(a.now(), counted.Router, counted.Version, counted.Report)
 }
