--- a/internal/router/prefixagreement/agreement.go
+++ b/internal/router/prefixagreement/agreement.go
@@ -1,5 +1,6 @@
-// Package prefixagreement runs the fleet's agreement on common prompt prefixes: each router counts its requests and
-// reports to the coordinator, which proposes the next set to the configuration register. A request waits for none of it.
+// Package prefixagreement lets the routers agree on the set of common prompt prefixes. Each router counts the prefixes
+// of its requests and reports them to the coordinator, which proposes the next set to the replicated configuration
+// register. All of this happens in the background; no request waits for it.
 package prefixagreement
 
 import (
@@ -14,66 +15,67 @@
 	"pewterrudder/internal/router/configstore"
 )
 
-// Lease names the coordinator. What it names may be out of date; its owner finds out by itself.
+// Lease determines the coordinator. The result of Coordinator may be out of date: a router that receives a report
+// verifies with Holds that it is the coordinator.
 type Lease interface {
 	Coordinator(ctx context.Context) (address string, err error)
 	Holds() bool
 }
 
-// Register is the replicated state.
+// Register changes the replicated state.
 type Register interface {
 	Propose(ctx context.Context, change func(configstore.State) (configstore.State, error)) (configstore.State, error)
 }
 
-// Caller sends a message to the router at an address and waits for its answer.
+// Caller sends a request to the router at an address and returns its response.
 type Caller interface {
 	Call(ctx context.Context, address string, request []byte) ([]byte, error)
 }
 
-// Options of an Agreement. All are needed.
+// Options configures an Agreement. All fields are required.
 type Options struct {
 	Router   string // this router's name
 	Lease    Lease
 	Register Register
 	Caller   Caller
 	Log      logrus.FieldLogger
-	// Quotas are the tenants' quotas in force.
+	// Quotas returns the tenants' current quotas.
 	Quotas func() commonprefix.Quotas
-	// Assignments are the instances of the backends and their places, as this router sees them.
+	// Assignments returns this router's view of the backends' instances and places.
 	Assignments func() []commonprefix.Assignment
-	// Adopted is called with each set that comes into force, in order.
+	// Adopted is called with each new set, in order of versions, while the lock of the Agreement is held.
 	Adopted func(*commonprefix.Set)
 }
 
-// Agreement is one router's part. Its methods may be called from any goroutine.
+// Agreement is a router's participant in the agreement. It is safe for concurrent use.
 type Agreement struct {
 	options Options
 	started time.Time
 
-	mutex    sync.Mutex
-	set      *commonprefix.Set
-	counter  *commonprefix.Counter // nil until the fleet has a seed
-	version  commonprefix.ReportVersion
-	merger   *commonprefix.Merger
-	placer   *commonprefix.Placer
-	proposed time.Duration // when this router proposed last
+	mutex        sync.Mutex
+	set          *commonprefix.Set
+	counter      *commonprefix.Counter // nil until the fleet has a seed
+	version      commonprefix.ReportVersion
+	merger       *commonprefix.Merger
+	placer       *commonprefix.Placer
+	lastProposed time.Duration // time of this router's last proposal
 }
 
-// New makes a router's part. The set in force is empty until Adopt is called.
+// New returns an Agreement whose set is empty until Adopt is called.
 func New(options Options) *Agreement {
 	started := time.Now()
 	return &Agreement{
-		options:  options,
-		started:  started,
-		set:      &commonprefix.Set{},
-		version:  commonprefix.ReportVersion{Incarnation: uint64(started.UnixNano())},
-		merger:   commonprefix.NewMerger(),
-		placer:   commonprefix.NewPlacer(),
-		proposed: -proposeEvery,
+		options:      options,
+		started:      started,
+		set:          &commonprefix.Set{},
+		version:      commonprefix.ReportVersion{Incarnation: uint64(started.UnixNano())},
+		merger:       commonprefix.NewMerger(),
+		placer:       commonprefix.NewPlacer(),
+		lastProposed: -minProposeInterval,
 	}
 }
 
-// Count enters a request that is sent for the first time.
+// Count counts the prefix of a request. It is called for the first attempt of a request only.
 func (a *Agreement) Count(request *commonprefix.Request) {
 	a.mutex.Lock()
 	defer a.mutex.Unlock()
@@ -82,18 +84,19 @@
 	}
 }
 
-// Set is the one in force here.
+// Set returns the set that this router uses.
 func (a *Agreement) Set() *commonprefix.Set {
 	a.mutex.Lock()
 	defer a.mutex.Unlock()
 	return a.set
 }
 
-// Adopt puts the set of a chosen state in force. An older one than that in force changes nothing.
+// Adopt replaces this router's set with the encoded set of a state that the register has chosen. It ignores a set that
+// is not newer than the current one.
 func (a *Agreement) Adopt(encoded []byte) {
 	set, err := commonprefix.Decode(encoded)
 	if err != nil {
-		a.options.Log.WithError(err).Error("the agreed common prefixes cannot be read")
+		a.options.Log.WithError(err).Error("cannot decode the agreed common prefixes")
 		return
 	}
 	a.mutex.Lock()
@@ -109,7 +112,7 @@
 	a.options.Log.WithField("version", set.Version).WithField("prefixes", len(set.Prefixes)).Info("common prefixes in force")
 }
 
-// SetQuotas takes over new quotas.
+// SetQuotas sets the tenants' quotas.
 func (a *Agreement) SetQuotas(quotas commonprefix.Quotas) {
 	a.mutex.Lock()
 	defer a.mutex.Unlock()
@@ -118,8 +121,8 @@
 	}
 }
 
-// now is the time since the start, by the monotonic clock.
+// now returns the time since the start by the monotonic clock.
 func (a *Agreement) now() time.Duration { return time.Since(a.started) }
 
-// newSeed draws the seed of a fleet, which is never zero.
+// newSeed returns a random seed for a fleet, which is never zero.
 func newSeed() uint64 { return max(1, rand.Uint64()) }
--- a/internal/router/prefixagreement/fleet_test.go
+++ b/internal/router/prefixagreement/fleet_test.go
@@ -22,22 +22,22 @@
 	"pewterrudder/internal/router/prefixcache"
 )
 
-// register is a plain model of the replicated state.
+// register is a replacement for the replicated register that holds the state in memory.
 type register struct {
 	mutex    sync.Mutex
 	state    configstore.State
-	versions []uint64 // of the sets that were chosen
-	down     bool
+	versions []uint64 // of the chosen sets, in order
+	isDown   bool
 	chosen   func(configstore.State)
 }
 
-var errDown = errors.New("no quorum")
+var errUnavailable = errors.New("no quorum")
 
 func (r *register) Propose(_ context.Context, change func(configstore.State) (configstore.State, error)) (configstore.State, error) {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
-	if r.down {
-		return configstore.State{}, errDown
+	if r.isDown {
+		return configstore.State{}, errUnavailable
 	}
 	next, err := change(r.state)
 	if err != nil {
@@ -54,21 +54,21 @@
 	return next, nil
 }
 
-// router is one router of the model fleet.
+// router is a router of the simulated fleet.
 type router struct {
 	name      string
 	fleet     *fleet
 	agreement *Agreement
 	stop      context.CancelFunc
-	versions  []uint64 // that came into force, in order
+	versions  []uint64 // of the adopted sets, in order
 }
 
 // Coordinator implements Lease.
 func (r *router) Coordinator(context.Context) (string, error) {
-	if holder := r.fleet.named; holder != "" {
+	if holder := r.fleet.coordinator; holder != "" {
 		return holder, nil
 	}
-	return "", errDown
+	return "", errUnavailable
 }
 
 // Holds implements Lease.
@@ -77,26 +77,26 @@
 // Call implements Caller.
 func (r *router) Call(ctx context.Context, address string, request []byte) ([]byte, error) {
 	to := r.fleet.routers[address]
-	if to == nil || r.fleet.cut[r.name] || r.fleet.cut[address] {
-		return nil, errDown
+	if to == nil || r.fleet.isolated[r.name] || r.fleet.isolated[address] {
+		return nil, errUnavailable
 	}
 	return to.agreement.HandleRequest(ctx, request)
 }
 
-// fleet is a few routers with a register, one of which is named as the coordinator.
+// fleet is a few routers with a register, one of which is the coordinator.
 type fleet struct {
-	register register
-	routers  map[string]*router
-	holders  map[string]bool
-	cut      map[string]bool
-	named    string
-	own      uint64 // last block's number
+	register    register
+	routers     map[string]*router
+	holders     map[string]bool
+	isolated    map[string]bool
+	coordinator string
+	lastBlock   uint64 // number of the last unique block
 }
 
 func newFleet(names ...string) *fleet {
-	f := &fleet{routers: map[string]*router{}, holders: map[string]bool{}, cut: map[string]bool{}}
+	f := &fleet{routers: map[string]*router{}, holders: map[string]bool{}, isolated: map[string]bool{}}
 	f.register.state.Document = []byte("{}")
-	f.register.chosen = f.spread
+	f.register.chosen = f.broadcast
 	for _, name := range names {
 		f.start(name)
 	}
@@ -104,11 +104,11 @@
 	return f
 }
 
-// elect gives the lease to one router alone.
+// elect gives the lease to one router only.
 func (f *fleet) elect(name string) {
 	clear(f.holders)
 	f.holders[name] = true
-	f.named = name
+	f.coordinator = name
 }
 
 func (f *fleet) start(name string) {
@@ -132,10 +132,10 @@
 	go r.agreement.Run(ctx)
 }
 
-// spread hands a chosen state to the routers that can be reached.
-func (f *fleet) spread(state configstore.State) {
+// broadcast delivers a chosen state to the routers that are not isolated.
+func (f *fleet) broadcast(state configstore.State) {
 	for name, r := range f.routers {
-		if !f.cut[name] {
+		if !f.isolated[name] {
 			r.agreement.Adopt(state.Prefixes)
 		}
 	}
@@ -148,13 +148,13 @@
 	synctest.Wait()
 }
 
-// serve sends requests about one subject through all routers for a time.
-func (f *fleet) serve(span time.Duration, subject uint64) {
+// sendRequests sends requests with the given shared block through all routers for a time.
+func (f *fleet) sendRequests(span time.Duration, block uint64) {
 	const every = 100 * time.Millisecond
 	for ; span > 0; span -= every {
 		for _, name := range slices.Sorted(maps.Keys(f.routers)) {
-			f.own++
-			blocks := []prefixcache.Block{{ID: subject, Tokens: 500}, {ID: 1<<32 + f.own, Tokens: 500}}
+			f.lastBlock++
+			blocks := []prefixcache.Block{{ID: block, Tokens: 500}, {ID: 1<<32 + f.lastBlock, Tokens: 500}}
 			f.routers[name].agreement.Count(&commonprefix.Request{
 				Tenant: "a", Backend: "service", Model: "m", PromptTokens: 1000, Prefix: blocks,
 			})
@@ -164,66 +164,66 @@
 	synctest.Wait()
 }
 
-// holdsSubject tells whether a router's set in force holds a subject.
-func (r *router) holdsSubject(subject uint64) bool {
+// hasPrefix reports whether the router's set contains the prefix that consists of the given block.
+func (r *router) hasPrefix(block uint64) bool {
 	set := r.agreement.Set()
-	_, ok := set.Find(commonprefix.Hash(set.Seed, "service", "m", []prefixcache.Block{{ID: subject}}))
+	_, ok := set.Find(commonprefix.Hash(set.Seed, "service", "m", []prefixcache.Block{{ID: block}}))
 	return ok
 }
 
-// settle is more than enough for a change of the traffic to be agreed on.
-const settle = 3 * proposeEvery
+// agreementTime is sufficient for the routers to agree on a prefix after the traffic has changed.
+const agreementTime = 3 * minProposeInterval
 
-func inBubble(t *testing.T, play func(t *testing.T, f *fleet)) {
+func withFleet(t *testing.T, run func(t *testing.T, f *fleet)) {
 	synctest.Test(t, func(t *testing.T) {
 		f := newFleet("r1", "r2", "r3")
 		defer f.close()
-		play(t, f)
+		run(t, f)
 	})
 }
 
-func (f *fleet) requireAgreed(t *testing.T, subject uint64) {
+func (f *fleet) requireAgreed(t *testing.T, block uint64) {
 	t.Helper()
 	for name, r := range f.routers {
-		assert.Assert(t, r.holdsSubject(subject), "router %s at version %d", name, r.agreement.Set().Version)
+		assert.Assert(t, r.hasPrefix(block), "router %s at version %d", name, r.agreement.Set().Version)
 		assert.Equal(t, r.agreement.Set().Version, f.routers["r1"].agreement.Set().Version)
 		assert.Assert(t, slices.IsSorted(r.versions))
 	}
 }
 
 func TestRoutersAgreeOnACommonPrefix(t *testing.T) {
-	inBubble(t, func(t *testing.T, f *fleet) {
-		f.serve(settle, 7)
+	withFleet(t, func(t *testing.T, f *fleet) {
+		f.sendRequests(agreementTime, 7)
 		f.requireAgreed(t, 7)
 		versions := len(f.register.versions)
-		f.serve(4*settle, 7)
-		assert.Equal(t, len(f.register.versions), versions, "steady traffic must change nothing")
+		f.sendRequests(4*agreementTime, 7)
+		assert.Equal(t, len(f.register.versions), versions, "steady traffic must not change the set")
 	})
 }
 
-func TestAPreambleThatChanges(t *testing.T) {
-	inBubble(t, func(t *testing.T, f *fleet) {
-		f.serve(settle, 7)
-		f.serve(4*settle, 8)
+func TestAPrefixThatIsNoLongerUsedIsReplaced(t *testing.T) {
+	withFleet(t, func(t *testing.T, f *fleet) {
+		f.sendRequests(agreementTime, 7)
+		f.sendRequests(4*agreementTime, 8)
 		f.requireAgreed(t, 8)
-		assert.Assert(t, !f.routers["r1"].holdsSubject(7))
+		assert.Assert(t, !f.routers["r1"].hasPrefix(7))
 	})
 }
 
-func TestAUniqueHotKeyIsNoPrefix(t *testing.T) {
-	inBubble(t, func(t *testing.T, f *fleet) {
+func TestAgreementAfterManyShortLivedPrefixes(t *testing.T) {
+	withFleet(t, func(t *testing.T, f *fleet) {
 		for range 100 {
-			f.own++
-			f.serve(200*time.Millisecond, 1<<40+f.own)
+			f.lastBlock++
+			f.sendRequests(200*time.Millisecond, 1<<40+f.lastBlock)
 		}
-		f.serve(settle, 7)
+		f.sendRequests(agreementTime, 7)
 		f.requireAgreed(t, 7)
 	})
 }
 
-func TestAllRoutersRestart(t *testing.T) {
-	inBubble(t, func(t *testing.T, f *fleet) {
-		f.serve(settle, 7)
+func TestSetSurvivesTheRestartOfAllRouters(t *testing.T) {
+	withFleet(t, func(t *testing.T, f *fleet) {
+		f.sendRequests(agreementTime, 7)
 		before := *f.routers["r1"].agreement.Set()
 		for name, r := range f.routers {
 			r.stop()
@@ -235,52 +235,52 @@
 	})
 }
 
-func TestTwoHoldersAndALateProposal(t *testing.T) {
-	inBubble(t, func(t *testing.T, f *fleet) {
-		f.serve(settle, 7)
+func TestTwoLeaseHoldersAndALateProposal(t *testing.T) {
+	withFleet(t, func(t *testing.T, f *fleet) {
+		f.sendRequests(agreementTime, 7)
 		holder := f.routers["r1"].agreement
 		stale := holder.Set()
 		f.holders["r2"] = true
-		f.named = "r2"
-		f.serve(4*settle, 8)
+		f.coordinator = "r2"
+		f.sendRequests(4*agreementTime, 8)
 		f.requireAgreed(t, 8)
 		late := stale.Successor(nil, nil)
 		err := holder.propose(context.Background(), stale, late)
-		assert.ErrorIs(t, err, errOtherSet)
+		assert.ErrorIs(t, err, errSetChanged)
 		f.requireAgreed(t, 8)
 	})
 }
 
-func TestACutRouterCatchesUp(t *testing.T) {
-	inBubble(t, func(t *testing.T, f *fleet) {
-		f.serve(settle, 7)
-		f.cut["r3"] = true
-		f.serve(4*settle, 8)
-		assert.Assert(t, f.routers["r3"].holdsSubject(7))
-		f.cut["r3"] = false
-		f.spread(f.register.state)
+func TestAnIsolatedRouterCatchesUp(t *testing.T) {
+	withFleet(t, func(t *testing.T, f *fleet) {
+		f.sendRequests(agreementTime, 7)
+		f.isolated["r3"] = true
+		f.sendRequests(4*agreementTime, 8)
+		assert.Assert(t, f.routers["r3"].hasPrefix(7))
+		f.isolated["r3"] = false
+		f.broadcast(f.register.state)
 		f.requireAgreed(t, 8)
 	})
 }
 
 func TestNoProposalBeforeTheFirstConfiguration(t *testing.T) {
-	inBubble(t, func(t *testing.T, f *fleet) {
+	withFleet(t, func(t *testing.T, f *fleet) {
 		f.register.state.Document = nil
-		f.serve(settle, 7)
+		f.sendRequests(agreementTime, 7)
 		assert.Equal(t, len(f.register.versions), 0)
 	})
 }
 
-func TestVersionsRiseUnderDrawnFaults(t *testing.T) {
+func TestVersionsIncreaseUnderRandomFaults(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		steps := rapid.SliceOfN(rapid.IntRange(0, 6), 1, 8).Draw(rt, "steps")
-		inBubble(t, func(t *testing.T, f *fleet) {
+		withFleet(t, func(t *testing.T, f *fleet) {
 			for _, step := range steps {
-				f.disturb(step)
-				f.serve(6*time.Second, uint64(7+step%2))
+				f.injectFault(step)
+				f.sendRequests(6*time.Second, uint64(7+step%2))
 			}
 			f.heal()
-			f.serve(5*settle, 9)
+			f.sendRequests(5*agreementTime, 9)
 			f.requireAgreed(t, 9)
 			assert.Assert(t, slices.IsSorted(f.register.versions))
 			assert.Equal(t, len(slices.Compact(slices.Clone(f.register.versions))), len(f.register.versions))
@@ -289,14 +289,14 @@
 	})
 }
 
-// disturb brings one of some faults.
-func (f *fleet) disturb(step int) {
+// injectFault causes or ends a fault that depends on step.
+func (f *fleet) injectFault(step int) {
 	name := fmt.Sprintf("r%d", 1+step%3)
 	switch step {
 	case 0, 1:
-		f.cut[name] = !f.cut[name]
+		f.isolated[name] = !f.isolated[name]
 	case 2:
-		f.register.down = !f.register.down
+		f.register.isDown = !f.register.isDown
 	case 3, 4:
 		f.routers[name].stop()
 		f.start(name)
@@ -308,40 +308,40 @@
 }
 
 func (f *fleet) heal() {
-	clear(f.cut)
-	f.register.down = false
+	clear(f.isolated)
+	f.register.isDown = false
 	f.elect("r2")
-	f.spread(f.register.state)
+	f.broadcast(f.register.state)
 }
 
-func TestRequestsOfOneRouterAloneAreHeardOf(t *testing.T) {
-	inBubble(t, func(t *testing.T, f *fleet) {
-		f.serve(settle, 7)
-		for own := range uint64(200) {
+func TestAPrefixCountedByOneRouterIsAgreedOn(t *testing.T) {
+	withFleet(t, func(t *testing.T, f *fleet) {
+		f.sendRequests(agreementTime, 7)
+		for unique := range uint64(200) {
 			f.routers["r3"].agreement.Count(&commonprefix.Request{
 				Tenant: "b", Backend: "service", Model: "m", PromptTokens: 1000,
-				Prefix: []prefixcache.Block{{ID: 9, Tokens: 500}, {ID: 1<<40 + own, Tokens: 500}},
+				Prefix: []prefixcache.Block{{ID: 9, Tokens: 500}, {ID: 1<<40 + unique, Tokens: 500}},
 			})
 		}
-		time.Sleep(settle)
+		time.Sleep(agreementTime)
 		synctest.Wait()
 		f.requireAgreed(t, 9)
 	})
 }
 
-func TestAnOlderSetChangesNothing(t *testing.T) {
-	inBubble(t, func(t *testing.T, f *fleet) {
+func TestAnOlderSetIsIgnored(t *testing.T) {
+	withFleet(t, func(t *testing.T, f *fleet) {
 		older, err := (&commonprefix.Set{Version: 1, Seed: 1}).Encode()
 		assert.NilError(t, err)
-		f.serve(settle, 7)
+		f.sendRequests(agreementTime, 7)
 		f.routers["r2"].agreement.Adopt(older)
 		f.requireAgreed(t, 7)
 	})
 }
 
-func TestAProposalThatWasTakenIsAcknowledgedAgain(t *testing.T) {
-	inBubble(t, func(t *testing.T, f *fleet) {
-		f.serve(settle, 7)
+func TestARepeatedProposalSucceeds(t *testing.T) {
+	withFleet(t, func(t *testing.T, f *fleet) {
+		f.sendRequests(agreementTime, 7)
 		r1 := f.routers["r1"].agreement
 		current := r1.Set()
 		next := current.Successor(nil, nil)
--- a/internal/router/prefixagreement/report.go
+++ b/internal/router/prefixagreement/report.go
@@ -7,15 +7,15 @@
 )
 
 const (
-	// reportEvery is the pause between two reports.
-	reportEvery = 2 * time.Second
-	// reportTimeout bounds the wait for the coordinator.
+	// reportInterval is the time between two reports.
+	reportInterval = 2 * time.Second
+	// reportTimeout is the time limit for the delivery of a report.
 	reportTimeout = 400 * time.Millisecond
 )
 
-// Run reports and, while this router is the coordinator, proposes, until the context ends.
+// Run sends reports and, while this router is the coordinator, proposals, until the context is canceled.
 func (a *Agreement) Run(ctx context.Context) {
-	ticker := time.NewTicker(reportEvery)
+	ticker := time.NewTicker(reportInterval)
 	defer ticker.Stop()
 	var last []byte
 	for {
@@ -24,42 +24,43 @@
 			return
 		case <-ticker.C:
 		}
-		last = a.report(ctx, last)
-		a.coordinate(ctx)
+		last = a.reportIfChanged(ctx, last)
+		a.proposeNext(ctx)
 	}
 }
 
-// report sends what was counted to the coordinator if it has changed, and returns what was delivered last.
-func (a *Agreement) report(ctx context.Context, last []byte) []byte {
-	counted, ok := a.makeReport()
+// reportIfChanged sends the counts to the coordinator unless they are the same as in last, the encoded report that was
+// delivered last. It returns the new value of last, which is nil after a failure.
+func (a *Agreement) reportIfChanged(ctx context.Context, last []byte) []byte {
+	report, ok := a.makeReport()
 	if !ok {
 		return last
 	}
-	content, err := encode(&counted.Report)
+	content, err := encode(&report.Report)
 	if err != nil || bytes.Equal(content, last) {
 		return last
 	}
-	if err := a.deliver(ctx, counted); err != nil {
-		a.options.Log.WithError(err).Debug("the report of common prefixes was not delivered")
+	if err := a.deliver(ctx, report); err != nil {
+		a.options.Log.WithError(err).Debug("cannot deliver the report of common prefixes to the coordinator")
 		return nil
 	}
 	return content
 }
 
-func (a *Agreement) makeReport() (message, bool) {
+func (a *Agreement) makeReport() (reportRequest, bool) {
 	a.mutex.Lock()
 	defer a.mutex.Unlock()
 	if a.counter == nil {
-		return message{}, false
+		return reportRequest{}, false
 	}
 	a.version.Sequence++
-	return message{Router: a.options.Router, Version: a.version, Report: a.counter.Report(a.now())}, true
+	return reportRequest{Router: a.options.Router, Version: a.version, Report: a.counter.Report(a.now())}, true
 }
 
-// deliver hands a report to the coordinator, which may be this router.
-func (a *Agreement) deliver(ctx context.Context, counted message) error {
+// deliver passes a report to the coordinator, which may be this router.
+func (a *Agreement) deliver(ctx context.Context, report reportRequest) error {
 	if a.options.Lease.Holds() {
-		a.take(counted)
+		a.mergeReport(report)
 		return nil
 	}
 	ctx, cancel := context.WithTimeout(ctx, reportTimeout)
@@ -68,43 +69,44 @@
 	if err != nil {
 		return err
 	}
-	return a.send(ctx, address, counted)
+	return a.send(ctx, address, report)
 }
 
-func (a *Agreement) send(ctx context.Context, address string, counted message) error {
-	request, err := encode(&counted)
+func (a *Agreement) send(ctx context.Context, address string, report reportRequest) error {
+	request, err := encode(&report)
 	if err != nil {
 		return err
 	}
-	encoded, err := a.options.Caller.Call(ctx, address, request)
+	received, err := a.options.Caller.Call(ctx, address, request)
 	if err != nil {
 		return err
 	}
-	var reply answer
-	if err := decode(encoded, &reply); err != nil {
+	var response reportResponse
+	if err := decode(received, &response); err != nil {
 		return err
 	}
-	if !reply.IsCoordinator {
+	if !response.IsCoordinator {
 		return errNotCoordinator
 	}
 	return nil
 }
 
-// HandleRequest takes another router's report.
+// HandleRequest handles the report of another router and returns the encoded response. The report is dropped if this
+// router is not the coordinator.
 func (a *Agreement) HandleRequest(_ context.Context, encoded []byte) ([]byte, error) {
-	var counted message
-	if err := decode(encoded, &counted); err != nil {
+	var report reportRequest
+	if err := decode(encoded, &report); err != nil {
 		return nil, err
 	}
-	holds := a.options.Lease.Holds()
-	if holds {
-		a.take(counted)
+	isCoordinator := a.options.Lease.Holds()
+	if isCoordinator {
+		a.mergeReport(report)
 	}
-	return encode(&answer{IsCoordinator: holds})
+	return encode(&reportResponse{IsCoordinator: isCoordinator})
 }
 
-func (a *Agreement) take(counted message) {
+func (a *Agreement) mergeReport(report reportRequest) {
 	a.mutex.Lock()
 	defer a.mutex.Unlock()
-	a.merger.Update(a.now(), counted.Router, counted.Version, counted.Report)
+	a.merger.Update(a.now(), report.Router, report.Version, report.Report)
 }
