--- a/internal/router/retrybudget/coordinator.go
+++ b/internal/router/retrybudget/coordinator.go
@@ -3,122 +3,123 @@
 import "time"
 
 const (
-	// headroom is the number of retries that a router is lent beyond what it used.
+	// headroom is the number of retries that a router is lent beyond those that it used or wanted.
 	headroom = 2
-	// freeShare is the share of what is free that one router is lent at once.
-	freeShare = 0.5
-	// sweepEvery is how often the coordinator looks for silent routers.
-	sweepEvery = time.Second
+	// maxFreeShare is the maximum fraction of the free amount by which the loan of a router grows at once.
+	maxFreeShare = 0.5
+	// sweepInterval is the time between two checks for routers that no longer report.
+	sweepInterval = time.Second
 )
 
-// Coordinator lends the common part of the slack to the routers that need it.
+// Coordinator lends lentShare of the slack to the routers that need it. It is not safe for concurrent use.
 type Coordinator struct {
-	rule      Rule
-	term      uint64
-	startedAt time.Duration
-	members   map[memberKey]*member
-	lent      map[string]float64
-	sweptAt   time.Duration
+	rule          Rule
+	term          uint64
+	startedAt     time.Duration
+	processes     map[processKey]*process
+	totalReserved map[string]float64
+	lastSweepAt   time.Duration
 }
 
-// memberKey names one process of a router. What an earlier process used counts on beside the new one.
-type memberKey struct {
+// processKey identifies a process of a router. What an earlier process of the same router used still counts, in
+// addition to what the new one uses.
+type processKey struct {
 	router      string
 	incarnation uint64
 }
 
-// member is what the coordinator knows of one process of a router.
-type member struct {
+// process is what the coordinator knows about a process of a router.
+type process struct {
 	sequence   uint64
 	reportedAt time.Duration
-	// reserved is the most that the router may have used or may use, by service.
+	// reserved is the maximum number of retries on loan that the process may have used or may use, by service.
 	reserved map[string]float64
 }
 
-// NewCoordinator returns a coordinator that has just got the role under a term.
+// NewCoordinator returns a coordinator that has just taken over the role with the given term.
 func NewCoordinator(now time.Duration, rule Rule, term uint64) *Coordinator {
 	return &Coordinator{
-		rule:      rule,
-		term:      term,
-		startedAt: now,
-		members:   map[memberKey]*member{},
-		lent:      map[string]float64{},
+		rule:          rule,
+		term:          term,
+		startedAt:     now,
+		processes:     map[processKey]*process{},
+		totalReserved: map[string]float64{},
 	}
 }
 
-// Report takes a router's report and answers with its shares. A late report, and one of a router that follows a
-// later coordinator, gets an empty answer.
+// Report processes a router's report and returns the router's loans. The answer is empty if the report is repeated or
+// out of order, or if the router has already applied an answer of a later term.
 func (c *Coordinator) Report(now time.Duration, router string, report Report) Answer {
 	answer := Answer{Term: c.term}
-	c.forgetSilent(now)
+	c.removeExpired(now)
 	if report.Term > c.term {
 		return answer
 	}
-	m := c.member(memberKey{router: router, incarnation: report.Incarnation})
-	if report.Sequence <= m.sequence {
+	p := c.process(processKey{router: router, incarnation: report.Incarnation})
+	if report.Sequence <= p.sequence {
 		return answer
 	}
-	m.sequence = report.Sequence
-	m.reportedAt = now
+	p.sequence = report.Sequence
+	p.reportedAt = now
 	answer.Sequence = report.Sequence
 	reserved := map[string]float64{}
-	for _, use := range report.Services {
-		lent := c.lend(now, m, use)
-		answer.Services = append(answer.Services, ServiceShare{Service: use.Service, Lent: lent})
-		reserved[use.Service] = max(use.Used, use.Lent, lent)
+	for _, usage := range report.Services {
+		lent := c.lend(now, p, usage)
+		answer.Services = append(answer.Services, ServiceShare{Service: usage.Service, Lent: lent})
+		reserved[usage.Service] = max(usage.Used, usage.Lent, lent)
 	}
-	c.reserve(m, reserved)
+	c.reserve(p, reserved)
 	return answer
 }
 
-// lend decides what a router may use beyond its own part. A coordinator that has just got the role lends nothing
-// that it doesn't know to be free: routers that haven't reported may still use what they were lent before.
-func (c *Coordinator) lend(now time.Duration, m *member, use ServiceUse) float64 {
-	wanted := use.Used + use.Wanted
+// lend returns the number of retries that a router has on loan from now on. A coordinator that has just taken over the
+// role doesn't increase loans: routers that haven't reported to it yet may still use loans from its predecessor.
+func (c *Coordinator) lend(now time.Duration, p *process, usage ServiceUse) float64 {
+	wanted := usage.Used + usage.Wanted
 	if wanted > 0 {
 		wanted += headroom
 	}
-	others := c.lent[use.Service] - m.reserved[use.Service]
-	free := max(0, lentShare*c.rule.Slack-others)
-	had := max(use.Used, use.Lent)
-	if now-c.startedAt < c.memory() {
-		return min(wanted, had, free)
+	reservedByOthers := c.totalReserved[usage.Service] - p.reserved[usage.Service]
+	free := max(0, lentShare*c.rule.Slack-reservedByOthers)
+	held := max(usage.Used, usage.Lent)
+	if now-c.startedAt < c.retention() {
+		return min(wanted, held, free)
 	}
-	more := freeShare * max(0, free-had)
-	return min(wanted, had+more, free)
+	increase := maxFreeShare * max(0, free-held)
+	return min(wanted, held+increase, free)
 }
 
-// memory is how long what a router was lent may still count after its last report.
-func (c *Coordinator) memory() time.Duration { return lentFor + c.rule.Window }
+// retention is how long the loan of a router counts after its last report.
+func (c *Coordinator) retention() time.Duration { return loanTimeout + c.rule.Window }
 
-func (c *Coordinator) member(key memberKey) *member {
-	m := c.members[key]
-	if m == nil {
-		m = &member{reserved: map[string]float64{}}
-		c.members[key] = m
+func (c *Coordinator) process(key processKey) *process {
+	p := c.processes[key]
+	if p == nil {
+		p = &process{reserved: map[string]float64{}}
+		c.processes[key] = p
 	}
-	return m
+	return p
 }
 
-func (c *Coordinator) reserve(m *member, reserved map[string]float64) {
-	for service, amount := range m.reserved {
-		c.lent[service] -= amount
+func (c *Coordinator) reserve(p *process, reserved map[string]float64) {
+	for service, amount := range p.reserved {
+		c.totalReserved[service] -= amount
 	}
 	for service, amount := range reserved {
-		c.lent[service] += amount
+		c.totalReserved[service] += amount
 	}
-	m.reserved = reserved
+	p.reserved = reserved
 }
 
-func (c *Coordinator) forgetSilent(now time.Duration) {
-	if now < c.sweptAt+sweepEvery {
+func (c *Coordinator) removeExpired(now time.Duration) {
+	if now < c.lastSweepAt+sweepInterval {
 		return
 	}
-	c.sweptAt = now
-	for key, m := range c.members {
-		if now-m.reportedAt >= c.memory() {
-			c.reserve(m, nil)
-			delete(c.members, key)
+	c.lastSweepAt = now
+	for key, p := range c.processes {
+		if now-p.reportedAt >= c.retention() {
+			c.reserve(p, nil)
+			delete(c.processes, key)
 		}
 	}
 }
--- a/internal/router/retrybudget/coordinator_test.go
+++ b/internal/router/retrybudget/coordinator_test.go
@@ -7,12 +7,12 @@
 	"gotest.tools/v3/assert"
 )
 
-// settled is a moment at which a coordinator of the start lends freely.
-const settled = time.Minute
+// afterStart is a time at which a coordinator that started at 0 no longer restricts new loans.
+const afterStart = time.Minute
 
-func report(incarnation, sequence uint64, use ServiceUse) Report {
-	use.Service = testService
-	return Report{Incarnation: incarnation, Sequence: sequence, Services: []ServiceUse{use}}
+func report(incarnation, sequence uint64, usage ServiceUse) Report {
+	usage.Service = testService
+	return Report{Incarnation: incarnation, Sequence: sequence, Services: []ServiceUse{usage}}
 }
 
 func lentTo(t *testing.T, answer Answer) float64 {
@@ -21,41 +21,42 @@
 	return answer.Services[0].Lent
 }
 
-// TestLentCountsUntilGivenUp keeps what a router was lent until it has reported a lower share.
-func TestLentCountsUntilGivenUp(t *testing.T) {
+// TestLoanCountsUntilReturned guards against lending an amount to another router before its holder has reported that it
+// uses less.
+func TestLoanCountsUntilReturned(t *testing.T) {
 	c := NewCoordinator(0, testRule, 1)
 	pool := lentShare * testRule.Slack
-	hungry := ServiceUse{Wanted: 1000}
-	first := lentTo(t, c.Report(settled, "a", report(1, 1, hungry)))
+	demand := ServiceUse{Wanted: 1000}
+	first := lentTo(t, c.Report(afterStart, "a", report(1, 1, demand)))
 	assert.Equal(t, first, pool/2)
-	given := c.Report(settled, "a", report(1, 2, ServiceUse{Lent: first}))
-	assert.Equal(t, lentTo(t, given), 0.0)
+	returned := c.Report(afterStart, "a", report(1, 2, ServiceUse{Lent: first}))
+	assert.Equal(t, lentTo(t, returned), 0.0)
 	for sequence := range uint64(20) {
-		other := lentTo(t, c.Report(settled, "b", report(2, sequence+1, ServiceUse{Wanted: 1000, Lent: pool - first})))
+		other := lentTo(t, c.Report(afterStart, "b", report(2, sequence+1, ServiceUse{Wanted: 1000, Lent: pool - first})))
 		assert.Assert(t, other <= pool-first, "lent %v", other)
 	}
-	c.Report(settled, "a", report(1, 3, ServiceUse{}))
-	other := lentTo(t, c.Report(settled, "b", report(2, 30, ServiceUse{Wanted: 1000, Lent: pool - first})))
+	c.Report(afterStart, "a", report(1, 3, ServiceUse{}))
+	other := lentTo(t, c.Report(afterStart, "b", report(2, 30, ServiceUse{Wanted: 1000, Lent: pool - first})))
 	assert.Assert(t, other > pool-first)
 }
 
-// TestLateReport gets no share.
+// TestLateReport checks that a repeated report gets an empty answer.
 func TestLateReport(t *testing.T) {
 	c := NewCoordinator(0, testRule, 1)
-	c.Report(settled, "a", report(1, 5, ServiceUse{Wanted: 1}))
-	assert.DeepEqual(t, c.Report(settled, "a", report(1, 5, ServiceUse{Wanted: 1})), Answer{Term: 1})
-	assert.Equal(t, c.Report(settled, "a", report(2, 1, ServiceUse{Wanted: 1})).Sequence, uint64(1))
+	c.Report(afterStart, "a", report(1, 5, ServiceUse{Wanted: 1}))
+	assert.DeepEqual(t, c.Report(afterStart, "a", report(1, 5, ServiceUse{Wanted: 1})), Answer{Term: 1})
+	assert.Equal(t, c.Report(afterStart, "a", report(2, 1, ServiceUse{Wanted: 1})).Sequence, uint64(1))
 }
 
-// TestReportOfALaterTerm gets no share of an earlier one.
+// TestReportOfALaterTerm checks that a coordinator doesn't lend to a router that has applied an answer of a later term.
 func TestReportOfALaterTerm(t *testing.T) {
 	c := NewCoordinator(0, testRule, 1)
 	late := report(1, 1, ServiceUse{Wanted: 1})
 	late.Term = 2
-	assert.DeepEqual(t, c.Report(settled, "a", late), Answer{Term: 1})
+	assert.DeepEqual(t, c.Report(afterStart, "a", late), Answer{Term: 1})
 }
 
-// TestLateAnswer changes nothing.
+// TestLateAnswer checks that answers to earlier reports and of earlier terms are ignored.
 func TestLateAnswer(t *testing.T) {
 	b := NewBudget(testRule, 1)
 	b.SetRouters(1000)
@@ -72,7 +73,8 @@
 	assert.Assert(t, b.Allow(0, testService))
 }
 
-// TestRouterThatKnowsNoOtherHasNoSlack has just started, and its part of the slack isn't known yet.
+// TestRouterThatKnowsNoOtherHasNoSlack checks a router that has just started: its even share of the slack isn't known
+// yet.
 func TestRouterThatKnowsNoOtherHasNoSlack(t *testing.T) {
 	budget := NewBudget(Rule{Ratio: 0.2, Window: 10 * time.Second, Slack: 60}, 1)
 	assert.Assert(t, !budget.Allow(0, "service"))
--- a/internal/router/retrybudget/fleet_test.go
+++ b/internal/router/retrybudget/fleet_test.go
@@ -10,16 +10,16 @@
 	"pgregory.net/rapid"
 )
 
-// testRule is a rule of the kind that deployments have.
+// testRule is a typical rule of a deployment.
 var testRule = Rule{Window: 10 * time.Second, Ratio: 0.2, Slack: 58}
 
 const (
-	testService  = "service"
-	tickEvery    = 50 * time.Millisecond
-	ticksPerShot = 5
+	testService    = "service"
+	tick           = 50 * time.Millisecond
+	ticksPerReport = 5
 )
 
-// fleet plays routers that exchange reports with a coordinator in steps of tickEvery.
+// fleet simulates routers that exchange reports with a coordinator, in steps of one tick.
 type fleet struct {
 	random      *rand.Rand
 	now         time.Duration
@@ -28,15 +28,15 @@
 	term        uint64
 	incarnation uint64
 	loss        float64
-	requests    plainCount
-	retries     plainCount
-	refused     int
+	requests    eventList
+	retries     eventList
+	rejected    int
 }
 
 type fleetRouter struct {
 	name     string
 	budget   *Budget
-	cut      bool
+	isolated bool
 	requests float64
 	retries  float64
 	offset   int
@@ -45,13 +45,13 @@
 func newFleet(seed uint64, routers int) *fleet {
 	f := &fleet{random: rand.New(rand.NewPCG(seed, 0))}
 	for i := range routers {
-		r := &fleetRouter{name: fmt.Sprintf("router-%d", i), offset: f.random.IntN(ticksPerShot)}
+		r := &fleetRouter{name: fmt.Sprintf("router-%d", i), offset: f.random.IntN(ticksPerReport)}
 		f.routers = append(f.routers, r)
 	}
 	for _, r := range f.routers {
 		f.restart(r)
 	}
-	f.takeOver()
+	f.replaceCoordinator()
 	return f
 }
 
@@ -61,22 +61,22 @@
 	r.budget.SetRouters(len(f.routers))
 }
 
-func (f *fleet) takeOver() {
+func (f *fleet) replaceCoordinator() {
 	f.term++
 	f.coordinator = NewCoordinator(f.now, testRule, f.term)
 }
 
-// play lets the fleet run; each router sends requests and wants retries at its rates.
-func (f *fleet) play(span time.Duration) {
-	for end := f.now + span; f.now < end; f.now += tickEvery {
+// run simulates the fleet for a span of time; each router sends requests and attempts retries at its rates.
+func (f *fleet) run(span time.Duration) {
+	for end := f.now + span; f.now < end; f.now += tick {
 		for _, r := range f.routers {
-			f.traffic(r)
-			f.exchange(r)
+			f.sendRequests(r)
+			f.sendReport(r)
 		}
 	}
 }
 
-func (f *fleet) traffic(r *fleetRouter) {
+func (f *fleet) sendRequests(r *fleetRouter) {
 	for range f.arrivals(r.requests) {
 		r.budget.CountRequest(f.now, testService)
 		f.requests = append(f.requests, f.now)
@@ -85,13 +85,13 @@
 		if r.budget.Allow(f.now, testService) {
 			f.retries = append(f.retries, f.now)
 		} else {
-			f.refused++
+			f.rejected++
 		}
 	}
 }
 
 func (f *fleet) arrivals(perSecond float64) int {
-	mean := perSecond * tickEvery.Seconds()
+	mean := perSecond * tick.Seconds()
 	count := int(mean)
 	if f.random.Float64() < mean-float64(count) {
 		count++
@@ -99,14 +99,14 @@
 	return count
 }
 
-// exchange loses reports and answers.
-func (f *fleet) exchange(r *fleetRouter) {
-	step := int(f.now / tickEvery)
-	if (step+r.offset)%ticksPerShot != 0 {
+// sendReport sends a router's report, and may lose the report or the answer.
+func (f *fleet) sendReport(r *fleetRouter) {
+	step := int(f.now / tick)
+	if (step+r.offset)%ticksPerReport != 0 {
 		return
 	}
 	report := r.budget.Demand(f.now)
-	if r.cut || f.random.Float64() < f.loss {
+	if r.isolated || f.random.Float64() < f.loss {
 		return
 	}
 	answer := f.coordinator.Report(f.now, r.name, report)
@@ -116,8 +116,8 @@
 	r.budget.Apply(f.now, answer)
 }
 
-// worst is the greatest number of retries in a window as a share of the bound.
-func (f *fleet) worst() float64 {
+// worstWindow returns the largest number of retries within any window, as a fraction of the limit.
+func (f *fleet) worstWindow() float64 {
 	worst := 0.0
 	for _, end := range f.retries {
 		requests := max(
@@ -125,13 +125,14 @@
 			f.requests.within(end-testRule.Window/2, testRule.Window),
 			f.requests.within(end-testRule.Window, testRule.Window),
 		)
-		bound := testRule.Ratio*requests + testRule.Slack
-		worst = max(worst, f.retries.within(end, testRule.Window)/bound)
+		limit := testRule.Ratio*requests + testRule.Slack
+		worst = max(worst, f.retries.within(end, testRule.Window)/limit)
 	}
 	return worst
 }
 
-// TestFleetKeepsTheBudget plays drawn storms of retries with cuts, restarts, losses and new coordinators.
+// TestFleetKeepsTheBudget simulates random retry storms with isolated and restarted routers, lost messages and new
+// coordinators.
 func TestFleetKeepsTheBudget(t *testing.T) {
 	worst, retries := 0.0, 0
 	rapid.Check(t, func(draw *rapid.T) {
@@ -139,18 +140,19 @@
 		f := newFleet(rapid.Uint64().Draw(draw, "seed"), routers)
 		f.loss = rapid.SampledFrom([]float64{0, 0.2, 0.6}).Draw(draw, "loss")
 		for range 12 {
-			f.disturb()
-			f.play(time.Duration(f.random.IntN(4000)) * time.Millisecond)
+			f.injectFault()
+			f.run(time.Duration(f.random.IntN(4000)) * time.Millisecond)
 		}
-		worst = max(worst, f.worst())
+		worst = max(worst, f.worstWindow())
 		retries += len(f.retries)
-		assert.Assert(draw, f.worst() <= 1, "a window holds %.3f of the bound", f.worst())
+		assert.Assert(draw, f.worstWindow() <= 1, "a window has %.3f of the limit", f.worstWindow())
 	})
-	t.Logf("%d retries, worst window %.3f of the bound", retries, worst)
+	t.Logf("%d retries, worst window %.3f of the limit", retries, worst)
 }
 
-// disturb changes the traffic of some routers, and cuts, joins or restarts one, or replaces the coordinator.
-func (f *fleet) disturb() {
+// injectFault changes the traffic of some routers, and isolates, reconnects or restarts one or replaces the
+// coordinator.
+func (f *fleet) injectFault() {
 	for _, r := range f.routers {
 		if f.random.IntN(2) == 0 {
 			r.requests = 60 * f.random.Float64() / float64(len(f.routers))
@@ -160,45 +162,47 @@
 	r := f.routers[f.random.IntN(len(f.routers))]
 	switch f.random.IntN(5) {
 	case 0:
-		r.cut = true
+		r.isolated = true
 	case 1, 2:
-		r.cut = false
+		r.isolated = false
 	case 3:
-		f.takeOver()
+		f.replaceCoordinator()
 	case 4:
 		f.restart(r)
 	}
 }
 
-// TestSlackIsLent lets one router need all retries: it gets most of the common part.
+// TestSlackIsLent checks that a router that needs all retries is lent most of the lent part of the slack.
 func TestSlackIsLent(t *testing.T) {
 	f := newFleet(1, 9)
-	f.play(f.coordinator.memory())
+	f.run(f.coordinator.retention())
 	f.routers[4].retries = 10
-	f.play(testRule.Window)
+	f.run(testRule.Window)
 	got := float64(len(f.retries))
 	t.Logf("%v of %v retries of the slack", got, testRule.Slack)
 	assert.Assert(t, got >= 0.9*lentShare*testRule.Slack, "got %v", got)
 }
 
-// TestCutOffRouterFallsToItsPart takes back what was lent to a router that hears nothing.
-func TestCutOffRouterFallsToItsPart(t *testing.T) {
+// TestIsolatedRouterLosesItsLoan checks that a router without answers from the coordinator is limited to its even share
+// of the slack.
+func TestIsolatedRouterLosesItsLoan(t *testing.T) {
 	f := newFleet(1, 9)
-	f.play(f.coordinator.memory())
+	f.run(f.coordinator.retention())
 	f.routers[4].retries = 10
-	f.play(testRule.Window)
-	f.routers[4].cut = true
+	f.run(testRule.Window)
+	f.routers[4].isolated = true
 	f.routers[4].retries = 0
-	f.play(testRule.Window + lentFor + time.Second)
+	f.run(testRule.Window + loanTimeout + time.Second)
 	before := len(f.retries)
 	f.routers[4].retries = 10
-	f.play(testRule.Window)
+	f.run(testRule.Window)
 	got := len(f.retries) - before
 	assert.Equal(t, got, int(evenShare*testRule.Slack/9))
 }
 
-// TestRatioNeedsNobody allows retries in proportion to a router's own requests.
-func TestRatioNeedsNobody(t *testing.T) {
+// TestRatioNeedsNoCoordinator checks that a router allows retries in proportion to its own requests without a
+// coordinator.
+func TestRatioNeedsNoCoordinator(t *testing.T) {
 	b := NewBudget(testRule, 1)
 	b.SetRouters(1000)
 	for i := range 200 {
@@ -211,15 +215,16 @@
 	assert.Equal(t, allowed, 36)
 }
 
-// TestRestartedRouterUsesNothingAnew keeps what the process before it was lent out of the common part.
+// TestRestartedRouterUsesNothingAnew guards against lending the loan of a router's previous process a second time: that
+// process may have used it within the same window.
 func TestRestartedRouterUsesNothingAnew(t *testing.T) {
 	f := newFleet(1, 9)
-	f.play(f.coordinator.memory())
+	f.run(f.coordinator.retention())
 	f.routers[4].retries = 10
-	f.play(2 * time.Second)
+	f.run(2 * time.Second)
 	f.restart(f.routers[4])
-	f.play(2 * time.Second)
-	assert.Assert(t, f.worst() <= 1)
+	f.run(2 * time.Second)
+	assert.Assert(t, f.worstWindow() <= 1)
 	even := evenShare * testRule.Slack / 9
 	assert.Assert(t, float64(len(f.retries)) <= lentShare*testRule.Slack+2*even, "%d retries", len(f.retries))
 }
--- a/internal/router/retrybudget/main_test.go
+++ b/internal/router/retrybudget/main_test.go
@@ -6,5 +6,5 @@
 	"pewterrudder/internal/lab/walks"
 )
 
-// TestMain has the drawn cases be the same in each run.
+// TestMain runs the property tests with a fixed seed, so that every run tests the same cases.
 func TestMain(m *testing.M) { walks.Main(m, 0, 0) }
--- a/internal/router/retrybudget/window.go
+++ b/internal/router/retrybudget/window.go
@@ -2,54 +2,54 @@
 
 import "time"
 
-// slots is the number of parts into which a window is divided for counting.
-const slots = 20
+// slotCount is the number of slots into which a window is divided.
+const slotCount = 20
 
-// slidingCount counts events of the last window in slots. The slot that leaves the window is counted whole or not
-// at all, whichever the caller needs to be on the safe side.
+// slidingCount counts the events within the last window, by slots of equal duration. The oldest slot is only partly
+// within the window: upperBound includes it as a whole, and lowerBound leaves it out.
 type slidingCount struct {
-	slot    time.Duration
-	counts  [slots + 1]float64
-	current int64
-	total   float64
+	slotDuration time.Duration
+	counts       [slotCount + 1]float64
+	currentSlot  int64
+	total        float64
 }
 
 func newSlidingCount(window time.Duration) slidingCount {
-	return slidingCount{slot: max(1, window/slots)}
+	return slidingCount{slotDuration: max(1, window/slotCount)}
 }
 
 func (s *slidingCount) add(now time.Duration) {
 	s.advance(now)
-	s.counts[s.index(s.current)]++
+	s.counts[s.index(s.currentSlot)]++
 	s.total++
 }
 
-// atMost is the greatest number of events that the last window may hold.
-func (s *slidingCount) atMost(now time.Duration) float64 {
+// upperBound returns an upper bound of the number of events within the last window.
+func (s *slidingCount) upperBound(now time.Duration) float64 {
 	s.advance(now)
 	return s.total
 }
 
-// atLeast is the number of events that the last window holds for certain.
-func (s *slidingCount) atLeast(now time.Duration) float64 {
+// lowerBound returns a lower bound of the number of events within the last window.
+func (s *slidingCount) lowerBound(now time.Duration) float64 {
 	s.advance(now)
-	return s.total - s.counts[s.index(s.current+1)]
+	return s.total - s.counts[s.index(s.currentSlot+1)]
 }
 
 func (s *slidingCount) advance(now time.Duration) {
-	target := int64(now / s.slot)
-	if target-s.current > slots {
-		s.counts = [slots + 1]float64{}
+	target := int64(now / s.slotDuration)
+	if target-s.currentSlot > slotCount {
+		s.counts = [slotCount + 1]float64{}
 		s.total = 0
-		s.current = target
+		s.currentSlot = target
 		return
 	}
-	for s.current < target {
-		s.current++
-		index := s.index(s.current)
+	for s.currentSlot < target {
+		s.currentSlot++
+		index := s.index(s.currentSlot)
 		s.total -= s.counts[index]
 		s.counts[index] = 0
 	}
 }
 
-func (s *slidingCount) index(slot int64) int { return int(slot % (slots + 1)) }
+func (s *slidingCount) index(slot int64) int { return int(slot % (slotCount + 1)) }
--- a/internal/router/retrybudget/window_test.go
+++ b/internal/router/retrybudget/window_test.go
@@ -9,11 +9,11 @@
 	"pgregory.net/rapid"
 )
 
-// plainCount keeps every event.
-type plainCount []time.Duration
+// eventList is a simple, slow implementation of slidingCount: the times of all events.
+type eventList []time.Duration
 
-// within counts the events of a span that ends now.
-func (p plainCount) within(now, span time.Duration) float64 {
+// within returns the number of events within a span that ends at now.
+func (p eventList) within(now, span time.Duration) float64 {
 	count := 0.0
 	for _, at := range p {
 		if at <= now && at > now-span {
@@ -23,13 +23,13 @@
 	return count
 }
 
-// TestSlidingCount compares the count with a plain list of events.
+// TestSlidingCount compares the bounds with a list of all events.
 func TestSlidingCount(t *testing.T) {
 	const window = 10 * time.Second
 	rapid.Check(t, func(draw *rapid.T) {
 		random := rand.New(rand.NewPCG(rapid.Uint64().Draw(draw, "seed"), 0))
 		count := newSlidingCount(window)
-		var plain plainCount
+		var events eventList
 		now := time.Duration(0)
 		for range 300 {
 			now += time.Duration(random.Int64N(int64(300 * time.Millisecond)))
@@ -38,13 +38,13 @@
 			}
 			if random.IntN(2) == 0 {
 				count.add(now)
-				plain = append(plain, now)
+				events = append(events, now)
 			}
-			most, least := count.atMost(now), count.atLeast(now)
-			assert.Assert(draw, most >= plain.within(now, window))
-			assert.Assert(draw, most <= plain.within(now, window+window/slots))
-			assert.Assert(draw, least <= plain.within(now, window))
-			assert.Assert(draw, least >= plain.within(now, window-window/slots))
+			upper, lower := count.upperBound(now), count.lowerBound(now)
+			assert.Assert(draw, upper >= events.within(now, window))
+			assert.Assert(draw, upper <= events.within(now, window+window/slotCount))
+			assert.Assert(draw, lower <= events.within(now, window))
+			assert.Assert(draw, lower >= events.within(now, window-window/slotCount))
 		}
 	})
 }
