--- a/internal/router/loadreports/assignment.go
+++ b/internal/router/loadreports/assignment.go
@@ -1,5 +1,5 @@
-// Package loadreports spreads the load reports of instances: one router polls an instance for all, and its reports go down the
-// relay tree. A report is worth little when it is old, so it is neither stored nor sent again.
+// Package loadreports distributes the load reports of instances. Each instance is polled by one router, which sends the
+// reports to all others over the relay tree. An old report is of little use, so reports are neither stored nor resent.
 package loadreports
 
 import (
@@ -11,44 +11,45 @@
 	"pewterrudder/internal/router/membership"
 )
 
-// Assignment says which router polls an instance: one of the instance's zone where there is any, by rendezvous hashing, so that
-// few instances change hands when routers come and go. All routers with the same view agree.
+// Assignment determines which router polls an instance: one in the instance's zone if there is any, chosen by
+// rendezvous hashing so that few instances change their owner when routers come and go. All routers with the same view
+// get the same result. It is safe for concurrent use.
 type Assignment struct {
 	view func() *membership.View
 
-	mu    sync.Mutex
-	from  *membership.View
-	cache map[string]string
+	mu         sync.Mutex
+	cachedView *membership.View
+	owners     map[string]string
 }
 
-// NewAssignment makes an assignment that follows the view.
+// NewAssignment returns an assignment among the routers in the current view.
 func NewAssignment(view func() *membership.View) *Assignment {
-	return &Assignment{view: view, cache: map[string]string{}}
+	return &Assignment{view: view, owners: map[string]string{}}
 }
 
-// Mine tells whether this router polls the instance.
+// Mine reports whether this router polls the instance.
 func (a *Assignment) Mine(instance *instances.Instance) bool {
 	view := a.view()
 	return a.owner(view, instance) == view.Self().Node
 }
 
-// owner is the node that polls the instance.
+// owner returns the node that polls the instance. Results are cached until the view changes.
 func (a *Assignment) owner(view *membership.View, instance *instances.Instance) string {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	if a.from != view {
-		a.from = view
-		clear(a.cache)
+	if a.cachedView != view {
+		a.cachedView = view
+		clear(a.owners)
 	}
-	owner, known := a.cache[instance.ID]
+	owner, known := a.owners[instance.ID]
 	if !known {
-		owner = rendezvous(candidates(view, instance.Zone), instance.ID)
-		a.cache[instance.ID] = owner
+		owner = rendezvousOwner(candidates(view, instance.Zone), instance.ID)
+		a.owners[instance.ID] = owner
 	}
 	return owner
 }
 
-// candidates are the routers of a zone, or all where the zone has none.
+// candidates returns the routers in a zone, or all routers if the zone has none.
 func candidates(view *membership.View, zone string) []membership.Member {
 	if members := view.InZone(zone); len(members) > 0 {
 		return members
@@ -56,8 +57,8 @@
 	return view.Live()
 }
 
-// rendezvous picks the member with the highest weight for the key.
-func rendezvous(members []membership.Member, key string) string {
+// rendezvousOwner returns the node of the member with the highest weight for the key.
+func rendezvousOwner(members []membership.Member, key string) string {
 	var chosen string
 	var highest uint64
 	for _, member := range members {
--- a/internal/router/loadreports/benchmark_test.go
+++ b/internal/router/loadreports/benchmark_test.go
@@ -9,7 +9,8 @@
 	"pewterrudder/internal/router/protocol"
 )
 
-// BenchmarkMessage encodes and decodes the reports that one router polled in a round and tells the bytes of each.
+// BenchmarkMessage encodes and decodes the reports that one router polls in a round, and reports bytes and time per
+// report.
 func BenchmarkMessage(b *testing.B) {
 	m := &message{Origin: "edge-riga-a-12", Epoch: 1 << 60, Sequence: 1000}
 	for i := range 8 {
--- a/internal/router/loadreports/loadreports_test.go
+++ b/internal/router/loadreports/loadreports_test.go
@@ -16,7 +16,7 @@
 	"pewterrudder/internal/router/transport"
 )
 
-// viewOf builds what the router of that name sees of a fleet over three zones.
+// viewOf returns the view of the router self in a fleet with three zones.
 func viewOf(self string, nodes []string) *membership.View {
 	start := time.Unix(0, 0)
 	detector := membership.NewDetector(memberOf(self), start)
@@ -70,29 +70,29 @@
 	assert.Equal(t, polled, 1)
 }
 
-func TestFewInstancesChangeHandsWhenARouterGoes(t *testing.T) {
+func TestOnlyInstancesOfARemovedRouterChangeTheirOwner(t *testing.T) {
 	nodes := nodesOf(30)
 	before := viewOf(nodes[0], nodes)
 	after := viewOf(nodes[0], nodes[:29])
 	current := before
 	assignment := NewAssignment(func() *membership.View { return current })
-	gone := nodes[29]
+	removed := nodes[29]
 	for i := range 300 {
 		instance := &instances.Instance{ID: fmt.Sprint("i-", i), Zone: fmt.Sprint("zone-", i%3)}
 		first := assignment.owner(before, instance)
 		second := assignment.owner(after, instance)
-		assert.Assert(t, first == second || first == gone, "%s: %s, then %s", instance.ID, first, second)
+		assert.Assert(t, first == second || first == removed, "%s: %s, then %s", instance.ID, first, second)
 	}
 }
 
-// fleet is a set of sharers whose messages arrive at once.
+// fleet is a set of sharers whose messages are delivered immediately.
 type fleet struct {
 	sharers  map[string]*Sharer
-	reports  map[string]map[string]int // by node and instance: the queue that was told last
+	reports  map[string]map[string]int // last reported number of queued requests by node and instance
 	received map[string]int
 }
 
-// Send hands a message to the router at the address.
+// Send delivers a message to the router at the address.
 func (f *fleet) Send(address string, _ transport.Kind, body []byte) {
 	f.received[address]++
 	if _, err := f.sharers[address].Handle(nil, body); err != nil {
@@ -124,10 +124,10 @@
 		f := newFleet(nodes)
 		f.sharers[nodes[7]].Share("a", &protocol.Report{Queued: 3})
 		f.sharers[nodes[7]].Share("b", &protocol.Report{Queued: 4})
-		time.Sleep(time.Second) // virtual
+		time.Sleep(time.Second) // fake time of the synctest bubble
 		synctest.Wait()
 		for _, node := range nodes {
-			if node == nodes[7] { // the tree leads back to the origin, which takes nothing from itself
+			if node == nodes[7] { // the tree leads back to the origin, which ignores its own messages
 				assert.Equal(t, len(f.reports[node]), 0)
 				continue
 			}
@@ -137,7 +137,7 @@
 	})
 }
 
-func TestAnOlderMessageChangesNothing(t *testing.T) {
+func TestAnOlderMessageIsIgnored(t *testing.T) {
 	f := newFleet(nodesOf(3))
 	receiver := f.sharers["router-1-1"]
 	send := func(epoch, sequence uint64, queued int) {
@@ -153,11 +153,11 @@
 	assert.Equal(t, f.reports["router-1-1"]["a"], 10)
 	send(1, 6, 40)
 	assert.Equal(t, f.reports["router-1-1"]["a"], 40)
-	send(2, 1, 50) // a process that started anew
+	send(2, 1, 50) // after a restart of the origin
 	assert.Equal(t, f.reports["router-1-1"]["a"], 50)
 }
 
-func TestAMessageThatCannotBeReadIsAnError(t *testing.T) {
+func TestAMalformedMessageIsAnError(t *testing.T) {
 	f := newFleet(nodesOf(2))
 	_, err := f.sharers["router-0-0"].Handle(nil, []byte{0xc1})
 	assert.ErrorContains(t, err, "load reports")
--- a/internal/router/loadreports/message.go
+++ b/internal/router/loadreports/message.go
@@ -7,7 +7,7 @@
 	"pewterrudder/internal/router/protocol"
 )
 
-// figures are what a report tells of an instance's load.
+// figures holds the fields of an instance's load report that other routers need.
 type figures struct {
 	_msgpack struct{} `msgpack:",as_array"`
 	ID       string
@@ -17,37 +17,37 @@
 	KVTotal  int64
 }
 
-// message carries the reports that one router has polled.
+// message is a batch of the reports that one router has polled.
 type message struct {
 	_msgpack struct{} `msgpack:",as_array"`
 	// Origin is the node that polled.
 	Origin string
-	// Epoch differs between the processes of one node.
+	// Epoch is a random number that identifies a process of the node.
 	Epoch uint64
-	// Sequence rises with each message of an epoch.
+	// Sequence increases with each message of an epoch.
 	Sequence uint64
 	Reports  []figures
 }
 
-// figuresOf picks from a report what other routers need.
+// figuresOf copies the fields that other routers need from a report.
 func figuresOf(id string, report *protocol.Report) figures {
 	return figures{ID: id, Queued: report.Queued, Running: report.Running, KVUsed: report.KVUsed, KVTotal: report.KVTotal}
 }
 
-// report gives the figures as a report.
+// report returns a report with the figures; its other fields are zero.
 func (f *figures) report() *protocol.Report {
 	return &protocol.Report{Queued: f.Queued, Running: f.Running, KVUsed: f.KVUsed, KVTotal: f.KVTotal}
 }
 
 func (m *message) encode() ([]byte, error) {
 	body, err := msgpack.Marshal(m)
-	return body, errors.Wrap(err, "load reports")
+	return body, errors.Wrap(err, "load reports: encode message")
 }
 
 func decode(body []byte) (*message, error) {
 	var m message
 	if err := msgpack.Unmarshal(body, &m); err != nil {
-		return nil, errors.Wrap(err, "load reports")
+		return nil, errors.Wrap(err, "load reports: decode message")
 	}
 	return &m, nil
 }
--- a/internal/router/loadreports/sharer.go
+++ b/internal/router/loadreports/sharer.go
@@ -15,89 +15,89 @@
 )
 
 const (
-	// collectFor is how long reports are collected before they are sent together.
-	collectFor = 20 * time.Millisecond
-	// maxOrigins bounds the memory for the newest messages of origins; beyond it, it begins anew.
+	// batchDelay is how long reports are collected before they are sent in one message.
+	batchDelay = 20 * time.Millisecond
+	// maxOrigins is the maximum number of origins whose last sequence is stored; when it is reached, all are cleared.
 	maxOrigins = 4096
 )
 
-// Options of a Sharer.
+// Options configures a Sharer.
 type Options struct {
 	Node      string
 	Kind      transport.Kind
 	Messenger transport.Messenger
 	View      func() *membership.View
-	// Take enters a report that came from another router.
+	// Take receives each report from another router.
 	Take func(id string, report *protocol.Report)
 	Log  logrus.FieldLogger
 }
 
-// origin is one process of a router.
+// origin identifies a process of a router.
 type origin struct {
 	node  string
 	epoch uint64
 }
 
-// Sharer sends this router's reports to all others, and passes on theirs. It is safe for concurrent use.
+// Sharer sends this router's reports to all other routers and relays theirs. It is safe for concurrent use.
 type Sharer struct {
 	options Options
 	epoch   uint64
 
-	mu        sync.Mutex
-	sequence  uint64
-	collected []figures
-	newest    map[origin]uint64
+	mu            sync.Mutex
+	sequence      uint64
+	pending       []figures
+	lastSequences map[origin]uint64
 }
 
-// NewSharer makes a sharer.
+// NewSharer returns a sharer with a new random epoch.
 func NewSharer(options Options) *Sharer {
-	return &Sharer{options: options, epoch: rand.Uint64(), newest: map[origin]uint64{}}
+	return &Sharer{options: options, epoch: rand.Uint64(), lastSequences: map[origin]uint64{}}
 }
 
-// Share sends a report to all other routers, together with those that come within a few milliseconds.
+// Share sends a report to all other routers, in one message with the reports that follow within batchDelay.
 func (s *Sharer) Share(id string, report *protocol.Report) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.collected = append(s.collected, figuresOf(id, report))
-	if len(s.collected) == 1 {
-		time.AfterFunc(collectFor, s.flush)
+	s.pending = append(s.pending, figuresOf(id, report))
+	if len(s.pending) == 1 {
+		time.AfterFunc(batchDelay, s.flush)
 	}
 }
 
-// flush sends what was collected.
+// flush sends the pending reports.
 func (s *Sharer) flush() {
-	body, err := s.takeCollected().encode()
+	body, err := s.drainPending().encode()
 	if err != nil {
-		s.options.Log.WithError(err).Error("load reports cannot be sent")
+		s.options.Log.WithError(err).Error("cannot send load reports")
 		return
 	}
 	s.relay(s.options.Node, body)
 }
 
-// takeCollected makes the next message.
-func (s *Sharer) takeCollected() *message {
+// drainPending returns the next message with the pending reports, and clears them.
+func (s *Sharer) drainPending() *message {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.sequence++
-	reports := s.collected
-	s.collected = nil
+	reports := s.pending
+	s.pending = nil
 	return &message{Origin: s.options.Node, Epoch: s.epoch, Sequence: s.sequence, Reports: reports}
 }
 
-// relay sends a message of an origin to this router's children in the relay tree.
+// relay sends a message to this router's children in the relay tree of the node that it originates from.
 func (s *Sharer) relay(node string, body []byte) {
 	for _, child := range relaytree.Children(s.options.View(), node, s.options.Node) {
 		s.options.Messenger.Send(child.Address, s.options.Kind, body)
 	}
 }
 
-// Handle takes another router's message and passes it on. It is a transport.Handler that never waits.
+// Handle handles a message from another router and relays it. It is a transport.Handler that doesn't block.
 func (s *Sharer) Handle(_ context.Context, body []byte) ([]byte, error) {
 	received, err := decode(body)
 	if err != nil {
 		return nil, err
 	}
-	if !s.isNewer(received) {
+	if !s.recordIfNewer(received) {
 		return nil, nil
 	}
 	s.relay(received.Origin, body)
@@ -107,20 +107,21 @@
 	return nil, nil
 }
 
-// isNewer tells whether the message follows all that came from its origin, and notes it.
-func (s *Sharer) isNewer(received *message) bool {
+// recordIfNewer reports whether a message is newer than all previous ones from its origin, and if so records its
+// sequence. It reports false for this router's own messages.
+func (s *Sharer) recordIfNewer(received *message) bool {
 	if received.Origin == s.options.Node {
 		return false
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	from := origin{received.Origin, received.Epoch}
-	if received.Sequence <= s.newest[from] {
+	messageOrigin := origin{received.Origin, received.Epoch}
+	if received.Sequence <= s.lastSequences[messageOrigin] {
 		return false
 	}
-	if len(s.newest) >= maxOrigins {
-		clear(s.newest)
+	if len(s.lastSequences) >= maxOrigins {
+		clear(s.lastSequences)
 	}
-	s.newest[from] = received.Sequence
+	s.lastSequences[messageOrigin] = received.Sequence
 	return true
 }
