--- a/internal/router/commonprefix/spacesaving_test.go
+++ b/internal/router/commonprefix/spacesaving_test.go
@@ -19,7 +19,7 @@
 				exact[key] += weight
 				total += weight
 			},
-			"fade": func(*rapid.T) {
+			"decay": func(*rapid.T) {
 				tested.decay(0.5)
 				total /= 2
 				for key := range exact {
