--- a/internal/router/quota/account.go
+++ b/internal/router/quota/account.go
@@ -6,215 +6,229 @@
 )
 
 const (
-	// retryAfterLeast and retryAfterMost bound the advice that a refusal carries.
-	retryAfterLeast = 50 * time.Millisecond
-	retryAfterMost  = 2 * time.Second
+	// minRetryAfter and maxRetryAfter bound the retry delay that a refusal carries.
+	minRetryAfter = 50 * time.Millisecond
+	maxRetryAfter = 2 * time.Second
 )
 
-// account is one tenant's state at one router. Amounts are in the tenant's unit: requests or tokens.
+// account is the state of one tenant at one router. Amounts are in the tenant's unit: requests or tokens.
 type account struct {
-	// balance is what may still be admitted; negative after an overdraft.
+	// balance is the amount that may still be admitted; negative after an overdraft.
 	balance float64
-	// asked and requests count all requests of this process, admitted or not: their amount, and their number.
+	// asked and requests are the total amount and number of requests received by this process, admitted or not.
 	asked    float64
 	requests float64
-	// granted is what the coordinator of the present term has added to the balance, and supplied what the router has added itself.
+	// granted is the amount that the coordinator of the current term has added to the balance, and supplied the amount
+	// that the router has added by itself.
 	granted  float64
 	supplied float64
-	// standing is the rate per second with which the router supplies itself while it hears nothing.
+	// standing is the standing rate: the amount per second that the router adds to its own balance while it has no
+	// contact with the coordinator.
 	standing float64
-	// equal is the rate that each router would have if all had the same.
-	equal float64
-	// part is the share of an equal part that the router may use of the tenant before the coordinator's first answer.
-	part float64
-	// ceiling is up to where the router supplies itself, and overdraft how far below zero one request may take the balance.
+	// equalRate is the amount per second of each router if the limit is divided equally.
+	equalRate float64
+	// initialFraction is the fraction of an equal part that the router may use of the tenant before the coordinator's
+	// first answer.
+	initialFraction float64
+	// ceiling is the balance up to which the router supplies itself, and overdraft how far below zero one request may
+	// take the balance.
 	ceiling   float64
 	overdraft float64
-	// wanted is the amount of refused requests that a grant should cover.
+	// wanted is the amount of refused requests that the next grant should cover.
 	wanted float64
-	// store is what the coordinator's store held at its answer of the number, reserve the part of it that the router may take when
-	// reports go unanswered, and drawn what it took since.
+	// store is the content of the coordinator's store as of its last answer, and number the number of that answer.
+	// reserve is the part of the store that the router may draw when its reports go unanswered, and drawn the amount
+	// that it has drawn since that answer.
 	store   float64
 	number  uint64
 	reserve float64
 	drawn   float64
-	// The times of the last request, of the last answer, of the last supply, and of the account's opening.
-	askedAt    time.Duration
-	heardAt    time.Duration
-	suppliedAt time.Duration
-	openedAt   time.Duration
-	// answered says that the coordinator has told a share.
+	// The times of the last request, the last contact with the coordinator, the last supply, and the account's
+	// creation.
+	lastRequestAt time.Duration
+	lastContactAt time.Duration
+	suppliedAt    time.Duration
+	openedAt      time.Duration
+	// answered is true once the coordinator has answered with a share of the tenant.
 	answered bool
-	// sent is what the report of a sequence number told, and known what the coordinator has answered to, and when.
-	sent         told
-	sentSequence uint64
-	known        told
-	knownAt      time.Duration
+	// sentTotals are the totals in the latest report that named the tenant, and sentSequence is that report's sequence
+	// number. answeredTotals are the totals that the coordinator last answered, at the time answeredAt.
+	sentTotals     reportedTotals
+	sentSequence   uint64
+	answeredTotals reportedTotals
+	answeredAt     time.Duration
 }
 
-// told is the part of a report that tells whether there is news for the next one.
-type told struct {
+// reportedTotals are the totals of an account whose change makes the tenant due for the next report.
+type reportedTotals struct {
 	asked    float64
 	supplied float64
 	granted  float64
 }
 
-// endow gives an account that the coordinator has not answered yet this router's part of the limit, unless the number of routers
-// isn't known. What the router may supply itself with counts from now on.
-func (c *account) endow(now time.Duration, rule Rule, limit Limit, size fleetSize) {
-	if !size.known || c.answered {
+// applyInitialShare gives an account that the coordinator has not answered yet this router's part of the limit, unless
+// the number of routers is unknown. The router's own supply is counted from now on.
+func (a *account) applyInitialShare(now time.Duration, rule Rule, limit Limit, size fleetSize) {
+	if !size.known || a.answered {
 		return
 	}
 	routers := size.routers()
-	c.balance += rule.startBalance(limit, routers)
-	c.equal = limit.PerSecond / float64(routers)
-	c.standing = c.part * c.equal
-	c.ceiling = c.part * rule.capacity(limit) / float64(routers)
-	c.suppliedAt = now
+	a.balance += rule.startBalance(limit, routers)
+	a.equalRate = limit.PerSecond / float64(routers)
+	a.standing = a.initialFraction * a.equalRate
+	a.ceiling = a.initialFraction * rule.capacity(limit) / float64(routers)
+	a.suppliedAt = now
 }
 
-func (c *account) tells() told { return told{asked: c.asked, supplied: c.supplied, granted: c.granted} }
+func (a *account) totals() reportedTotals {
+	return reportedTotals{asked: a.asked, supplied: a.supplied, granted: a.granted}
+}
 
 const (
-	// refreshEvery is how often a router reports a tenant of which there is nothing new.
-	refreshEvery = time.Second
-	// maxRefreshes bounds the tenants in a report of which there is nothing new: a router may know hundreds.
+	// refreshInterval is how often a router reports a tenant whose totals have not changed.
+	refreshInterval = time.Second
+	// maxRefreshes bounds the number of tenants in a report whose totals have not changed: a router may know hundreds.
 	maxRefreshes = 4
 )
 
-// want notes an amount that was refused. Requests that wait for the first answer all want to run once it has come; later ones have been
-// answered, and the largest tells what a balance must hold to be of use.
-func (c *account) want(amount float64) {
-	if c.answered {
-		c.wanted = max(c.wanted, amount)
+// noteRefused records the amount of a refused request. Before the first answer the amounts add up, since all waiting
+// requests are retried once it has arrived. Later refusals have been answered, so the largest amount is what a balance
+// must hold to be useful.
+func (a *account) noteRefused(amount float64) {
+	if a.answered {
+		a.wanted = max(a.wanted, amount)
 		return
 	}
-	c.wanted += amount
+	a.wanted += amount
 }
 
-// hasNews tells whether the next report must name the tenant.
-func (c *account) hasNews() bool { return !c.answered || c.wanted > 0 || c.tells() != c.known }
+// needsReport reports whether the next report must name the tenant.
+func (a *account) needsReport() bool {
+	return !a.answered || a.wanted > 0 || a.totals() != a.answeredTotals
+}
 
-// firstOverdraftShare is the share of the fleet's bucket that the first request of a tenant at a router may take
-// when the coordinator is in contact and the tenant isn't at its limit.
-const firstOverdraftShare = 0.3
+// firstOverdraftFraction is the fraction of the fleet's bucket that the first request of a tenant at a router may
+// overdraw, provided that the coordinator is in contact and the tenant is not at its limit.
+const firstOverdraftFraction = 0.3
 
-// supply adds what the router may supply itself with once it has heard nothing for a while: its part of the
-// coordinator's store at once, and the standing rate since what the last answer covers.
-func (c *account) supply(now time.Duration) {
-	if now-c.heardAt < silenceAfter || now <= c.suppliedAt {
+// supply adds what the router may supply itself with once it has heard nothing for silenceTimeout: its reserve of the
+// coordinator's store at once, and the standing rate from the end of the time that the last answer covers.
+func (a *account) supply(now time.Duration) {
+	if now-a.lastContactAt < silenceTimeout || now <= a.suppliedAt {
 		return
 	}
-	from := max(c.suppliedAt, c.heardAt+coveredFor)
-	c.suppliedAt = now
-	c.drawReserve(now)
-	rate := c.standing
-	if now-c.heardAt >= evenAfter {
-		rate = min(rate, c.equal)
+	from := max(a.suppliedAt, a.lastContactAt+grantCoverage)
+	a.suppliedAt = now
+	a.drawReserve(now)
+	rate := a.standing
+	if now-a.lastContactAt >= equalRateAfter {
+		rate = min(rate, a.equalRate)
 	}
-	rate *= silentShare(now - c.heardAt)
-	c.add(rate * max(0, now-from).Seconds())
+	rate *= selfSupplyFraction(now - a.lastContactAt)
+	a.addSupply(rate * max(0, now-from).Seconds())
 }
 
-// drawReserve takes this router's part of the coordinator's store where reports go unanswered, and tells whether there was any. Its
-// next report tells what it took.
-func (c *account) drawReserve(now time.Duration) bool {
-	if now-c.heardAt < reserveAfter || c.reserve <= 0 {
+// drawReserve draws this router's reserve from the coordinator's store if reports have gone unanswered for
+// reserveAfter, and reports whether anything was drawn. The next report tells the coordinator the amount.
+func (a *account) drawReserve(now time.Duration) bool {
+	if now-a.lastContactAt < reserveAfter || a.reserve <= 0 {
 		return false
 	}
-	drawn := c.add(c.reserve)
-	c.drawn += drawn
-	c.reserve = 0
+	drawn := a.addSupply(a.reserve)
+	a.drawn += drawn
+	a.reserve = 0
 	return drawn > 0
 }
 
-// add raises the balance up to the ceiling and returns by how much.
-func (c *account) add(amount float64) float64 {
-	amount = max(0, min(amount, c.ceiling-c.balance))
-	c.balance += amount
-	c.supplied += amount
+// addSupply raises the balance by the amount, at most up to the ceiling, and returns the increase.
+func (a *account) addSupply(amount float64) float64 {
+	amount = max(0, min(amount, a.ceiling-a.balance))
+	a.balance += amount
+	a.supplied += amount
 	return amount
 }
 
-// take draws the amount from the balance, or from the overdraft, which covers one request.
-func (c *account) take(now time.Duration, amount float64) bool {
-	if c.balance >= amount {
-		c.balance -= amount
+// spend takes the amount from the balance or, for one request per answer, from the overdraft. It reports whether the
+// amount was covered.
+func (a *account) spend(now time.Duration, amount float64) bool {
+	if a.balance >= amount {
+		a.balance -= amount
 		return true
 	}
-	if now-c.heardAt >= overdraftFor || c.balance+c.overdraft < amount {
+	if now-a.lastContactAt >= overdraftFor || a.balance+a.overdraft < amount {
 		return false
 	}
-	c.balance -= amount
-	c.overdraft = 0
+	a.balance -= amount
+	a.overdraft = 0
 	return true
 }
 
-func (c *account) apply(now time.Duration, share TenantShare) {
-	c.supply(now)
-	c.answered = true
-	c.balance += share.Granted - c.granted
-	c.granted = share.Granted
-	c.standing = share.Standing
-	c.ceiling = share.Ceiling
-	c.overdraft = share.Overdraft
-	c.store = share.Store
-	c.number = share.Number
-	c.reserve = share.Reserve
-	c.drawn = 0
-	c.heardAt = now
-	c.suppliedAt = now
-	c.known, c.knownAt = c.sent, now
-}
-
-// hear notes contact with the coordinator, which has nothing new to tell. Of a scarce tenant's store, nothing may be left.
-func (c *account) hear(now time.Duration, isScarce bool) {
-	c.supply(now)
+func (a *account) applyShare(now time.Duration, share TenantShare) {
+	a.supply(now)
+	a.answered = true
+	a.balance += share.Granted - a.granted
+	a.granted = share.Granted
+	a.standing = share.Standing
+	a.ceiling = share.Ceiling
+	a.overdraft = share.Overdraft
+	a.store = share.Store
+	a.number = share.Number
+	a.reserve = share.Reserve
+	a.drawn = 0
+	a.lastContactAt = now
+	a.suppliedAt = now
+	a.answeredTotals, a.answeredAt = a.sentTotals, now
+}
+
+// noteContact records an answer of the coordinator that has no new share of the tenant. If the tenant is scarce, its
+// store may be empty, so the reserve is dropped.
+func (a *account) noteContact(now time.Duration, isScarce bool) {
+	a.supply(now)
 	if isScarce {
-		c.reserve = 0
+		a.reserve = 0
 	}
-	c.heardAt = now
-	c.suppliedAt = now
+	a.lastContactAt = now
+	a.suppliedAt = now
 }
 
-func (c *account) report(tenant string) TenantDemand {
+func (a *account) demand(tenant string) TenantDemand {
 	return TenantDemand{
 		Tenant:   tenant,
-		Asked:    c.asked,
-		Requests: c.requests,
-		Balance:  c.balance,
-		Granted:  c.granted,
-		Supplied: c.supplied,
-		Standing: c.standing,
-		Wanted:   c.wanted,
-		Store:    c.store,
-		Number:   c.number,
-		Drawn:    c.drawn,
+		Asked:    a.asked,
+		Requests: a.requests,
+		Balance:  a.balance,
+		Granted:  a.granted,
+		Supplied: a.supplied,
+		Standing: a.standing,
+		Wanted:   a.wanted,
+		Store:    a.store,
+		Number:   a.number,
+		Drawn:    a.drawn,
 	}
 }
 
-// rescale fits the account to a changed limit. A higher limit brings no tokens by itself.
-func (c *account) rescale(rule Rule, before, after Limit) {
+// rescale adapts the account to a changed limit. A higher limit adds no tokens by itself.
+func (a *account) rescale(rule Rule, before, after Limit) {
 	if before == after {
 		return
 	}
 	capacity := ratio(rule.capacity(after), rule.capacity(before))
-	c.ceiling *= capacity
-	c.overdraft *= min(1, capacity)
-	c.balance *= min(1, capacity)
+	a.ceiling *= capacity
+	a.overdraft *= min(1, capacity)
+	a.balance *= min(1, capacity)
 	rate := ratio(after.PerSecond, before.PerSecond)
-	c.standing *= rate
-	c.equal *= rate
+	a.standing *= rate
+	a.equalRate *= rate
 }
 
-func (c *account) retryAfter(amount float64) time.Duration {
-	rate := max(c.standing, math.SmallestNonzeroFloat64)
-	seconds := (amount - c.balance) / rate
-	wait := retryAfterMost
-	if seconds < retryAfterMost.Seconds() {
+func (a *account) retryAfter(amount float64) time.Duration {
+	rate := max(a.standing, math.SmallestNonzeroFloat64)
+	seconds := (amount - a.balance) / rate
+	wait := maxRetryAfter
+	if seconds < maxRetryAfter.Seconds() {
 		wait = time.Duration(seconds * float64(time.Second))
 	}
-	return max(wait, retryAfterLeast)
+	return max(wait, minRetryAfter)
 }
 
 func ratio(after, before float64) float64 {
--- a/internal/router/quota/admission.go
+++ b/internal/router/quota/admission.go
@@ -9,49 +9,49 @@
 )
 
 const (
-	// idleAfter is how long a tenant's state is kept without a request.
-	idleAfter = time.Minute
-	// busyFor is how long after a request of a tenant the router counts as busy.
-	busyFor = 2 * time.Second
-	// lateShare is the share of its equal part with which a router supplies itself after it has lost contact, for a
-	// tenant of which the coordinator hasn't heard from it. The coordinator keeps as much back.
-	lateShare = 0.25
-	// urgentShare is the share of the ceiling below which a balance calls for an answer before its time.
-	urgentShare = 0.3
+	// idleTimeout is how long a tenant's account is kept without a request.
+	idleTimeout = time.Minute
+	// busyWindow is how long after a request of a tenant the router counts as busy.
+	busyWindow = 2 * time.Second
+	// unreportedTenantFraction is the fraction of its equal part with which a router supplies itself after it has lost
+	// contact, for a tenant that it has not reported to the coordinator. The coordinator withholds as much.
+	unreportedTenantFraction = 0.25
+	// urgentFraction is the fraction of the ceiling below which a balance makes an early report due.
+	urgentFraction = 0.3
 )
 
-// Admission decides at one router which requests of tenants run.
+// Admission decides at one router which requests of tenants are admitted.
 type Admission struct {
-	rule        Rule
-	incarnation uint64
-	limits      map[string]Limit
-	accounts    map[string]*account
-	scarce      map[string]bool
-	size        fleetSize
-	sequence    uint64
-	term        uint64
-	heardAt     time.Duration
-	heardEver   bool
-	urgent      bool
-	// owesWhole says that the next report names all tenants.
-	owesWhole bool
-	floors    floorKeeper
+	rule         Rule
+	incarnation  uint64
+	limits       map[string]Limit
+	accounts     map[string]*account
+	scarce       map[string]bool
+	size         fleetSize
+	sequence     uint64
+	term         uint64
+	lastAnswerAt time.Duration
+	hasAnswer    bool
+	urgent       bool
+	// wholeReportDue is true if the next report must name all tenants.
+	wholeReportDue bool
+	floors         floorKeeper
 }
 
-// NewAdmission returns the admission of a router that has just started. The incarnation differs from that of all
+// NewAdmission returns the admission of a router that has just started. The incarnation must differ from those of all
 // earlier processes of the router.
 func NewAdmission(rule Rule, incarnation uint64) *Admission {
 	return &Admission{
-		rule:        rule,
-		incarnation: incarnation,
-		limits:      map[string]Limit{},
-		accounts:    map[string]*account{},
-		owesWhole:   true,
+		rule:           rule,
+		incarnation:    incarnation,
+		limits:         map[string]Limit{},
+		accounts:       map[string]*account{},
+		wholeReportDue: true,
 	}
 }
 
-// SetRouters tells the number of live routers, and of those that have left. Before the first call the router admits only what
-// the coordinator grants.
+// SetRouters sets the number of live routers, and of those that have left. Before the first call the router admits only
+// what the coordinator grants.
 func (a *Admission) SetRouters(now time.Duration, live, left int) {
 	wasKnown := a.size.known
 	a.size.observe(now, live, left)
@@ -59,11 +59,11 @@
 		return
 	}
 	for tenant, account := range a.accounts {
-		account.endow(now, a.rule, a.limits[tenant], a.size)
+		account.applyInitialShare(now, a.rule, a.limits[tenant], a.size)
 	}
 }
 
-// SetLimits puts the limits of all tenants in force. Accounts whose limit changes change in proportion.
+// SetLimits replaces the limits of all tenants. Accounts whose limit changes are scaled in proportion.
 func (a *Admission) SetLimits(limits map[string]Limit) {
 	for tenant, account := range a.accounts {
 		limit := limits[tenant]
@@ -79,13 +79,13 @@
 	}
 }
 
-// Keep tells that the router keeps floors, under which address, and the table that is on its disk.
-func (a *Admission) Keep(address string, table FloorTable) { a.floors.keep(address, table) }
+// Keep enables the keeping of floors: it sets the router's address and the floor table that is on its disk.
+func (a *Admission) Keep(address string, table FloorTable) { a.floors.setKept(address, table) }
 
-// Unkept is the table that the coordinator wants kept, nil if the disk has it.
-func (a *Admission) Unkept() *FloorTable { return a.floors.unkept }
+// Unkept returns the floor table that the coordinator wants written to the disk, or nil if the disk has it.
+func (a *Admission) Unkept() *FloorTable { return a.floors.pending }
 
-// Learn puts the limit of a tenant in force that the last limits set didn't name.
+// Learn sets the limit of a tenant that the last call of SetLimits did not name.
 func (a *Admission) Learn(tenant string, limit Limit) {
 	if _, known := a.limits[tenant]; known {
 		return
@@ -95,53 +95,54 @@
 	a.limits = limits
 }
 
-// Urgent tells whether a report is due before its time, and forgets it.
+// Urgent reports whether a report is due before its regular time, and resets the mark.
 func (a *Admission) Urgent() bool {
 	urgent := a.urgent
 	a.urgent = false
 	return urgent
 }
 
-// AwaitsShare tells whether the coordinator has not answered yet to a tenant's first requests here, and those have come within the
-// given time. What it grants is mostly under way then.
+// AwaitsShare reports whether the coordinator has not yet answered a tenant's first requests at this router, and the
+// first of them came less than the given time ago. The grant is usually on its way then.
 func (a *Admission) AwaitsShare(now time.Duration, tenant string, within time.Duration) bool {
 	account := a.accounts[tenant]
 	return account != nil && !account.answered && now-account.openedAt < within
 }
 
-// Busy tells whether any tenant with a limit had requests lately.
+// Busy reports whether any tenant with a limit had requests within the last busyWindow.
 func (a *Admission) Busy(now time.Duration) bool {
 	for _, account := range a.accounts {
-		if now-account.askedAt < busyFor {
+		if now-account.lastRequestAt < busyWindow {
 			return true
 		}
 	}
 	return false
 }
 
-// Admit decides whether a request of the given amount runs. If not, retryAfter says when another try may succeed.
+// Admit decides whether a request of the given amount is admitted. If not, retryAfter says when another attempt may
+// succeed.
 func (a *Admission) Admit(now time.Duration, tenant string, amount float64) (ok bool, retryAfter time.Duration) {
 	limit := a.limits[tenant]
 	if limit.Unlimited() {
 		return true, 0
 	}
-	account := a.account(now, tenant, limit)
+	account := a.accountOf(now, tenant, limit)
 	account.supply(now)
-	account.askedAt = now
+	account.lastRequestAt = now
 	account.asked += amount
 	account.requests++
-	ok = account.take(now, amount) || account.drawReserve(now) && account.take(now, amount)
-	if account.balance < urgentShare*account.ceiling && !a.scarce[tenant] {
+	ok = account.spend(now, amount) || account.drawReserve(now) && account.spend(now, amount)
+	if account.balance < urgentFraction*account.ceiling && !a.scarce[tenant] {
 		a.urgent = true
 	}
 	if ok {
 		return true, 0
 	}
-	account.want(amount)
+	account.noteRefused(amount)
 	return false, account.retryAfter(amount)
 }
 
-// Demand returns the report for the coordinator.
+// Demand returns the next report for the coordinator.
 func (a *Admission) Demand(now time.Duration) DemandReport {
 	a.sequence++
 	report := DemandReport{
@@ -149,95 +150,97 @@
 		Sequence:    a.sequence,
 		Term:        a.term,
 		Routers:     a.size.routers(),
-		Whole:       a.owesWhole || now-a.heardAt >= wholeAfter,
+		Whole:       a.wholeReportDue || now-a.lastAnswerAt >= wholeReportAfter,
 	}
 	report.Keeper, report.Kept = a.floors.report(a.term, report.Whole)
-	a.forgetIdle(now)
-	for _, tenant := range a.due(now, report.Whole) {
+	a.removeIdleAccounts(now)
+	for _, tenant := range a.tenantsDue(now, report.Whole) {
 		account := a.accounts[tenant]
-		report.Tenants = append(report.Tenants, account.report(tenant))
+		report.Tenants = append(report.Tenants, account.demand(tenant))
 		account.wanted = 0
-		account.sent, account.sentSequence = account.tells(), a.sequence
+		account.sentTotals, account.sentSequence = account.totals(), a.sequence
 	}
 	return report
 }
 
-func (a *Admission) forgetIdle(now time.Duration) {
-	maps.DeleteFunc(a.accounts, func(_ string, account *account) bool { return now-account.askedAt >= idleAfter })
+func (a *Admission) removeIdleAccounts(now time.Duration) {
+	maps.DeleteFunc(a.accounts, func(_ string, account *account) bool { return now-account.lastRequestAt >= idleTimeout })
 }
 
-// due lists the tenants that the next report names, in order: those of which there is news, and some that were not reported for a while.
-func (a *Admission) due(now time.Duration, whole bool) []string {
-	var named, stale []string
+// tenantsDue returns the tenants that the next report names, sorted: all tenants for a whole report, otherwise those
+// with changed totals and some that have not been reported for refreshInterval.
+func (a *Admission) tenantsDue(now time.Duration, whole bool) []string {
+	var named, refreshable []string
 	for tenant, account := range a.accounts {
 		account.supply(now)
 		switch {
-		case whole || account.hasNews():
+		case whole || account.needsReport():
 			named = append(named, tenant)
-		case now-account.knownAt >= refreshEvery:
-			stale = append(stale, tenant)
+		case now-account.answeredAt >= refreshInterval:
+			refreshable = append(refreshable, tenant)
 		}
 	}
-	slices.SortFunc(stale, func(x, y string) int {
-		return cmp.Or(cmp.Compare(a.accounts[x].knownAt, a.accounts[y].knownAt), strings.Compare(x, y))
+	slices.SortFunc(refreshable, func(x, y string) int {
+		return cmp.Or(cmp.Compare(a.accounts[x].answeredAt, a.accounts[y].answeredAt), strings.Compare(x, y))
 	})
-	named = append(named, stale[:min(len(stale), maxRefreshes)]...)
+	named = append(named, refreshable[:min(len(refreshable), maxRefreshes)]...)
 	slices.Sort(named)
 	return named
 }
 
-// Apply takes the answer to the latest report. Answers to earlier reports and those of earlier terms are ignored;
-// what they grant comes with a later one.
+// Apply applies the answer to the latest report. Answers to earlier reports and those of earlier terms are ignored;
+// what they grant is included in a later answer.
 func (a *Admission) Apply(now time.Duration, answer ShareAnswer) {
 	if answer.Sequence != a.sequence || answer.Term < a.term {
 		return
 	}
 	if answer.WantsWhole {
-		a.oweWhole()
+		a.scheduleWholeReport()
 		return
 	}
 	if answer.Term > a.term {
 		a.enterTerm(answer.Term)
 	}
-	a.owesWhole = false
-	a.floors.want(answer.Floors)
-	a.heardAt = now
-	a.heardEver = true
+	a.wholeReportDue = false
+	a.floors.setPending(answer.Floors)
+	a.lastAnswerAt = now
+	a.hasAnswer = true
 	a.scarce = map[string]bool{}
 	for _, tenant := range answer.Scarce {
 		a.scarce[tenant] = true
 	}
-	a.hearOfOthers(now)
+	a.noteContactForOthers(now)
 	for _, share := range answer.Shares {
 		if account := a.accounts[share.Tenant]; account != nil {
-			account.apply(now, share)
-			account.equal = a.equalRate(a.limits[share.Tenant])
+			account.applyShare(now, share)
+			account.equalRate = a.equalRate(a.limits[share.Tenant])
 		}
 	}
 }
 
-// hearOfOthers notes the contact for the tenants that the last report didn't name: what was told of them goes on.
-func (a *Admission) hearOfOthers(now time.Duration) {
+// noteContactForOthers records contact with the coordinator for the tenants that the last report did not name: their
+// shares stay in force.
+func (a *Admission) noteContactForOthers(now time.Duration) {
 	for tenant, account := range a.accounts {
 		if account.sentSequence != a.sequence {
-			account.hear(now, a.scarce[tenant])
+			account.noteContact(now, a.scarce[tenant])
 		}
 	}
 }
 
-// oweWhole has the next report name all tenants, soon.
-func (a *Admission) oweWhole() {
-	a.owesWhole = true
+// scheduleWholeReport makes the next report name all tenants and be sent early.
+func (a *Admission) scheduleWholeReport() {
+	a.wholeReportDue = true
 	a.urgent = true
 }
 
-// Lost tells that a report got no answer: the next one may reach another coordinator.
-func (a *Admission) Lost() { a.owesWhole = true }
+// Lost records that a report got no answer. The next report names all tenants, since it may reach another coordinator.
+func (a *Admission) Lost() { a.wholeReportDue = true }
 
-// Term returns the term of the last answer applied.
+// Term returns the term of the last applied answer.
 func (a *Admission) Term() uint64 { return a.term }
 
-// enterTerm begins the count of granted amounts anew.
+// enterTerm resets the granted amounts, which are counted per term.
 func (a *Admission) enterTerm(term uint64) {
 	a.term = term
 	for _, account := range a.accounts {
@@ -245,37 +248,37 @@
 	}
 }
 
-func (a *Admission) account(now time.Duration, tenant string, limit Limit) *account {
+func (a *Admission) accountOf(now time.Duration, tenant string, limit Limit) *account {
 	if account := a.accounts[tenant]; account != nil {
 		return account
 	}
-	account := a.open(now, tenant, limit)
+	account := a.openAccount(now, tenant, limit)
 	a.accounts[tenant] = account
 	a.urgent = true
 	return account
 }
 
-// open returns the account of a tenant that has its first request here. Until the coordinator answers, the router
-// counts on an equal part, if it knows how many routers there are.
-func (a *Admission) open(now time.Duration, tenant string, limit Limit) *account {
-	account := &account{part: 1, heardAt: now, suppliedAt: now, openedAt: now}
+// openAccount creates the account of a tenant that has its first request here. Until the coordinator answers, the
+// router counts on an equal part or a fraction of it, if it knows the number of routers.
+func (a *Admission) openAccount(now time.Duration, tenant string, limit Limit) *account {
+	account := &account{initialFraction: 1, lastContactAt: now, suppliedAt: now, openedAt: now}
 	switch {
-	case !a.heardEver:
-		account.heardAt = now - silenceAfter
-	case now-a.heardAt >= silenceAfter:
-		account.heardAt = now - silenceAfter
-		account.part = lateShare
+	case !a.hasAnswer:
+		account.lastContactAt = now - silenceTimeout
+	case now-a.lastAnswerAt >= silenceTimeout:
+		account.lastContactAt = now - silenceTimeout
+		account.initialFraction = unreportedTenantFraction
 	default:
-		account.part = lateShare
+		account.initialFraction = unreportedTenantFraction
 		if !a.scarce[tenant] {
-			account.overdraft = a.rule.capacity(limit) * firstOverdraftShare
+			account.overdraft = a.rule.capacity(limit) * firstOverdraftFraction
 		}
 	}
-	account.endow(now, a.rule, limit, a.size)
+	account.applyInitialShare(now, a.rule, limit, a.size)
 	return account
 }
 
-// equalRate is this router's part of a limit when all routers have the same.
+// equalRate returns this router's part of a limit that is divided equally among all routers.
 func (a *Admission) equalRate(limit Limit) float64 {
 	return limit.PerSecond / float64(a.size.routers())
 }
--- a/internal/router/quota/fleet_test.go
+++ b/internal/router/quota/fleet_test.go
@@ -8,67 +8,68 @@
 	"gotest.tools/v3/assert"
 )
 
-// testRule is a rule of the kind that deployments have.
+// testRule is a rule like those of deployments.
 var testRule = Rule{Window: 8 * time.Second, Over: 0.1, Slack: 110000}
 
 const (
-	// seeds and seedsOfMany are the numbers of plays of each scenario.
-	seeds       = 3
-	seedsOfMany = 3
-	simEnd      = 40 * time.Second
-	// simLead is the time between the start of the routers and that of the traffic.
-	simLead = 6 * time.Second
+	// seedsPerScenario and seedsPerLargeScenario are the numbers of runs of each scenario, in a small and in a large
+	// fleet.
+	seedsPerScenario      = 3
+	seedsPerLargeScenario = 3
+	simEnd                = 40 * time.Second
+	// trafficDelay is the time from the start of the routers to that of the traffic.
+	trafficDelay = 6 * time.Second
 )
 
-// scenario is one kind of trouble in a fleet.
+// scenario is one kind of disturbance of a fleet.
 type scenario struct {
 	name string
-	// least is the least share of what is owed that must be admitted, for each tenant.
-	least float64
-	// leastOfMany is the same for a fleet of many routers, in which a router's part is about one request.
-	leastOfMany float64
-	trouble     func(s *simulation)
+	// minServed is the minimum fraction of the reference amount that must be admitted, summed over the tenants.
+	minServed float64
+	// minServedLarge is the same for a large fleet, in which a router's part of a limit is about one request.
+	minServedLarge float64
+	disturb        func(s *simulation)
 }
 
-// manyRouters is the size from which on a fleet counts as one of many routers.
-const manyRouters = 50
+// largeFleet is the number of routers from which on a fleet counts as large.
+const largeFleet = 50
 
 func scenarios() []scenario {
-	calm := func(*simulation) {}
-	loss := func(s *simulation) { s.loss = 0.1 }
+	noDisturbance := func(*simulation) {}
+	loss := func(s *simulation) { s.lossRate = 0.1 }
 	return []scenario{
-		{name: "calm", least: 0.99, leastOfMany: 0.99, trouble: calm},
-		{name: "demand shifts between routers", least: 0.99, leastOfMany: 0.99, trouble: shifting},
-		{name: "hot tenant", least: 0.99, leastOfMany: 0.99, trouble: hotTenant},
-		{name: "loss", least: 0.95, leastOfMany: 0.95, trouble: loss},
-		{name: "cut router", least: 0.95, leastOfMany: 0.95, trouble: cutRouter},
-		{name: "coordinator frozen", least: 0.95, leastOfMany: 0.95, trouble: frozenCoordinator},
-		{name: "coordinator killed", least: 0.95, leastOfMany: 0.95, trouble: killedCoordinator},
-		{name: "restart of all", least: 0.98, leastOfMany: 0.97, trouble: restartAll(soonCoordinator)},
-		{name: "restart of all, late coordinator", least: 0.97, leastOfMany: 0.915, trouble: restartAll(lateCoordinator)},
-		{name: "routers leave", least: 0.99, leastOfMany: 0.99, trouble: routersLeave},
-		{name: "routers leave, next coordinator", least: 0.99, leastOfMany: 0.97, trouble: both(routersLeave, nextCoordinator)},
-		{name: "routers leave, restart of all", least: 0.95, leastOfMany: 0.90, trouble: both(routersLeave, restartAll(lateCoordinator))},
-		{name: "routers leave, restart of all, soon coordinator", least: 0.95, leastOfMany: 0.90, trouble: both(routersLeave, restartAll(soonCoordinator))},
-		{name: "hot tenant, cut router", least: 0.95, leastOfMany: 0.95, trouble: both(hotTenant, cutRouter)},
-		{name: "hot tenant, coordinator frozen", least: 0.95, leastOfMany: 0.93, trouble: both(hotTenant, frozenCoordinator)},
-		{name: "hot tenant, coordinator killed", least: 0.95, leastOfMany: 0.95, trouble: both(hotTenant, killedCoordinator)},
-		{name: "hot tenant, restart of all", least: 0.97, leastOfMany: 0.95, trouble: both(hotTenant, restartAll(soonCoordinator))},
-		{name: "hot tenant, restarts of all", least: 0.94, leastOfMany: 0.88, trouble: both(hotTenant, restartsOfAll)},
-		{name: "hot tenant, coordinator killed, restart of all", least: 0.94, leastOfMany: 0.90, trouble: both(hotTenant, killedThenRestarted)},
-		{name: "hot tenant, routers killed", least: 0.97, leastOfMany: 0.97, trouble: both(hotTenant, killedRouters)},
-		{name: "hot tenant, restart of all, late coordinator", least: 0.965, leastOfMany: 0.92, trouble: both(hotTenant, restartAll(lateCoordinator))},
+		{name: "no disturbance", minServed: 0.99, minServedLarge: 0.99, disturb: noDisturbance},
+		{name: "demand shifts between routers", minServed: 0.99, minServedLarge: 0.99, disturb: shiftDemand},
+		{name: "hot tenant", minServed: 0.99, minServedLarge: 0.99, disturb: hotTenant},
+		{name: "message loss", minServed: 0.95, minServedLarge: 0.95, disturb: loss},
+		{name: "partitioned routers", minServed: 0.95, minServedLarge: 0.95, disturb: partitionRouters},
+		{name: "coordinator frozen", minServed: 0.95, minServedLarge: 0.95, disturb: freezeCoordinator},
+		{name: "coordinator killed", minServed: 0.95, minServedLarge: 0.95, disturb: killCoordinator},
+		{name: "restart of all", minServed: 0.98, minServedLarge: 0.97, disturb: restartAllOnce(fastElection)},
+		{name: "restart of all, slow election", minServed: 0.97, minServedLarge: 0.915, disturb: restartAllOnce(slowElection)},
+		{name: "routers leave", minServed: 0.99, minServedLarge: 0.99, disturb: stopRouters},
+		{name: "routers leave, next coordinator", minServed: 0.99, minServedLarge: 0.97, disturb: combine(stopRouters, replaceCoordinator)},
+		{name: "routers leave, restart of all", minServed: 0.95, minServedLarge: 0.90, disturb: combine(stopRouters, restartAllOnce(slowElection))},
+		{name: "routers leave, restart of all, fast election", minServed: 0.95, minServedLarge: 0.90, disturb: combine(stopRouters, restartAllOnce(fastElection))},
+		{name: "hot tenant, partitioned routers", minServed: 0.95, minServedLarge: 0.95, disturb: combine(hotTenant, partitionRouters)},
+		{name: "hot tenant, coordinator frozen", minServed: 0.95, minServedLarge: 0.93, disturb: combine(hotTenant, freezeCoordinator)},
+		{name: "hot tenant, coordinator killed", minServed: 0.95, minServedLarge: 0.95, disturb: combine(hotTenant, killCoordinator)},
+		{name: "hot tenant, restart of all", minServed: 0.97, minServedLarge: 0.95, disturb: combine(hotTenant, restartAllOnce(fastElection))},
+		{name: "hot tenant, restarts of all", minServed: 0.94, minServedLarge: 0.88, disturb: combine(hotTenant, restartAllRepeatedly)},
+		{name: "hot tenant, coordinator killed, restart of all", minServed: 0.94, minServedLarge: 0.90, disturb: combine(hotTenant, killCoordinatorThenRestartAll)},
+		{name: "hot tenant, routers killed", minServed: 0.97, minServedLarge: 0.97, disturb: combine(hotTenant, killRouters)},
+		{name: "hot tenant, restart of all, slow election", minServed: 0.965, minServedLarge: 0.92, disturb: combine(hotTenant, restartAllOnce(slowElection))},
 	}
 }
 
-func both(first, second func(*simulation)) func(*simulation) {
+func combine(first, second func(*simulation)) func(*simulation) {
 	return func(s *simulation) {
 		first(s)
 		second(s)
 	}
 }
 
-// hotTenant makes the first and the last tenant send 7.5 times their usual.
+// hotTenant makes the first and the last tenant send 7.5 times their usual demand.
 func hotTenant(s *simulation) {
 	for _, i := range []int{0, len(s.tenants) - 1} {
 		usual := s.tenants[i].factor
@@ -81,7 +82,7 @@
 	}
 }
 
-func shifting(s *simulation) {
+func shiftDemand(s *simulation) {
 	for at := 8 * time.Second; at < simEnd; at += 3 * time.Second {
 		s.at(at, func() {
 			for _, r := range s.routers {
@@ -91,28 +92,28 @@
 	}
 }
 
-func cutRouter(s *simulation) {
-	cut := max(1, len(s.routers)/9)
+func partitionRouters(s *simulation) {
+	partitioned := max(1, len(s.routers)/9)
 	s.at(13*time.Second, func() {
-		for _, r := range s.routers[:cut] {
-			r.cut = true
+		for _, r := range s.routers[:partitioned] {
+			r.partitioned = true
 		}
 	})
 	s.at(19*time.Second, func() {
-		for _, r := range s.routers[:cut] {
-			r.cut = false
+		for _, r := range s.routers[:partitioned] {
+			r.partitioned = false
 		}
 	})
 }
 
-// frozenCoordinator freezes the coordinator; another one takes over after the lease, and the first one, which wakes
-// later, doesn't act.
-func frozenCoordinator(s *simulation) {
+// freezeCoordinator freezes the coordinator. Another one takes over after the lease has expired, and the first one does
+// not act any more when it resumes.
+func freezeCoordinator(s *simulation) {
 	s.at(12*time.Second, func() { s.frozen = true })
 	s.at(14500*time.Millisecond, s.startCoordinator)
 }
 
-func killedCoordinator(s *simulation) {
+func killCoordinator(s *simulation) {
 	s.at(15*time.Second, func() {
 		s.coordinator = nil
 		s.routers[0].down = true
@@ -121,8 +122,8 @@
 	s.at(19*time.Second, func() { s.startRouter(s.routers[0]) })
 }
 
-// killedRouters restarts a third of the routers at once while a tenant is at its limit.
-func killedRouters(s *simulation) {
+// killRouters kills and restarts a third of the routers at once while a tenant is at its limit.
+func killRouters(s *simulation) {
 	killed := s.routers[len(s.routers)-len(s.routers)/3:]
 	s.at(14*time.Second, func() {
 		for _, r := range killed {
@@ -136,28 +137,29 @@
 	})
 }
 
-// restartsOfAll restarts all routers several times, soon after one another.
-func restartsOfAll(s *simulation) {
+// restartAllRepeatedly restarts all routers several times in quick succession.
+func restartAllRepeatedly(s *simulation) {
 	for _, at := range []time.Duration{12500 * time.Millisecond, 14 * time.Second, 18 * time.Second} {
-		s.restartAt(at, 600*time.Millisecond, soonCoordinator)
+		s.restartAllAt(at, 600*time.Millisecond, fastElection)
 	}
 }
 
-// killedThenRestarted loses the coordinator when a tenant has just come to its limit, and all routers before another one has followed.
-func killedThenRestarted(s *simulation) {
+// killCoordinatorThenRestartAll loses the coordinator when a tenant has just reached its limit, and restarts all
+// routers before another coordinator has followed.
+func killCoordinatorThenRestartAll(s *simulation) {
 	s.at(12200*time.Millisecond, func() { s.coordinator = nil })
-	s.restartAt(13200*time.Millisecond, 600*time.Millisecond, soonCoordinator)
+	s.restartAllAt(13200*time.Millisecond, 600*time.Millisecond, fastElection)
 }
 
 const (
-	// soonCoordinator and lateCoordinator are the times between a restart of all routers and the next coordinator: with
-	// a proof that nobody holds the lease, and without.
-	soonCoordinator = 300 * time.Millisecond
-	lateCoordinator = 3 * time.Second
+	// fastElection and slowElection are the times from a restart of all routers to the next coordinator: with a proof
+	// that nobody holds the lease, and without.
+	fastElection = 300 * time.Millisecond
+	slowElection = 3 * time.Second
 )
 
-// routersLeave stops the last third of the routers one after the other, for good.
-func routersLeave(s *simulation) {
+// stopRouters stops the last third of the routers one after the other, for good.
+func stopRouters(s *simulation) {
 	at := 10 * time.Second
 	for _, r := range s.routers[len(s.routers)-len(s.routers)/3:] {
 		s.at(at, func() { s.leave(r) })
@@ -165,16 +167,17 @@
 	}
 }
 
-// nextCoordinator has another router take over from a coordinator that gives its role up.
-func nextCoordinator(s *simulation) { s.at(16*time.Second, s.startCoordinator) }
+// replaceCoordinator makes another router take over from a coordinator that gives up its role.
+func replaceCoordinator(s *simulation) { s.at(16*time.Second, s.startCoordinator) }
 
-// restartAll restarts all routers that run, and lets a coordinator follow after a while.
-func restartAll(coordinatorAfter time.Duration) func(*simulation) {
-	return func(s *simulation) { s.restartAt(18*time.Second, time.Second, coordinatorAfter) }
+// restartAllOnce restarts all running routers; a coordinator follows coordinatorAfter later.
+func restartAllOnce(coordinatorAfter time.Duration) func(*simulation) {
+	return func(s *simulation) { s.restartAllAt(18*time.Second, time.Second, coordinatorAfter) }
 }
 
-// restartAt stops all routers that run, starts them again after a while, and lets a coordinator follow.
-func (s *simulation) restartAt(stop, down, coordinatorAfter time.Duration) {
+// restartAllAt stops all running routers and starts them again after the time down; a coordinator follows
+// coordinatorAfter later.
+func (s *simulation) restartAllAt(stop, down, coordinatorAfter time.Duration) {
 	var running []*simRouter
 	s.at(stop, func() {
 		s.coordinator = nil
@@ -196,45 +199,46 @@
 	})
 }
 
-// TestFleet plays fleets in trouble: no window ever goes over the rule, and little of what is owed is refused.
+// TestFleet simulates fleets under disturbances: no window may exceed the rule's bound, and only little of what a
+// single token bucket would admit may be refused.
 func TestFleet(t *testing.T) {
 	for _, routers := range []int{9, 11, 92} {
 		for _, scenario := range scenarios() {
 			t.Run(fmt.Sprintf("%d routers, %s", routers, scenario.name), func(t *testing.T) {
 				t.Parallel()
-				playFleet(t, routers, scenario)
+				runScenario(t, routers, scenario)
 			})
 		}
 	}
 }
 
-func playFleet(t *testing.T, routers int, scenario scenario) {
-	plays, wanted := seeds, scenario.least
-	if routers >= manyRouters {
-		plays, wanted = seedsOfMany, scenario.leastOfMany
+func runScenario(t *testing.T, routers int, scenario scenario) {
+	seedCount, required := seedsPerScenario, scenario.minServed
+	if routers >= largeFleet {
+		seedCount, required = seedsPerLargeScenario, scenario.minServedLarge
 	}
-	owed, served := 0.0, 0.0
+	reference, served := 0.0, 0.0
 	worst, least := 0.0, 1.0
 	leastTenant := ""
-	for seed := range plays {
+	for seed := range seedCount {
 		s := newSimulation(uint64(seed), routers, testRule)
 		for i, share := range []float64{0.45, 0.25, 0.15, 0.1, 0.05} {
 			s.addTenant(fmt.Sprintf("tenant-%d", i), 262*share, 1.3, 29000)
 		}
-		scenario.trouble(s)
+		scenario.disturb(s)
 		s.at(2*time.Second, s.startCoordinator)
-		s.start(simLead)
+		s.start(trafficDelay)
 		s.run(simEnd)
 		for tenant, r := range s.results() {
-			owed += r.owed
+			reference += r.reference
 			served += r.served
 			worst = max(worst, r.worst)
-			if share := r.servedShare(); share < least {
+			if share := r.servedFraction(); share < least {
 				least, leastTenant = share, tenant
 			}
 		}
 	}
-	t.Logf("worst window %.3f of the bound, served %.4f, least %.4f (%s)", worst, served/owed, least, leastTenant)
+	t.Logf("worst window %.3f of the bound, served %.4f, least %.4f (%s)", worst, served/reference, least, leastTenant)
 	assert.Assert(t, worst <= 1, "a window holds %.3f of the bound", worst)
-	assert.Assert(t, served/owed >= wanted, "served %.4f of what is owed", served/owed)
+	assert.Assert(t, served/reference >= required, "served %.4f of the reference amount", served/reference)
 }
--- a/internal/router/quota/fleetsize.go
+++ b/internal/router/quota/fleetsize.go
@@ -2,39 +2,39 @@
 
 import "time"
 
-// fleetSize is the greatest number of routers seen within the last one or two periods. A cut makes the number of
-// live routers fall while those behind the cut still admit requests. Routers that have left admit none, so that the
-// number falls by those at once.
+// fleetSize is the greatest number of routers seen in the current period of fullRateFor and the one before. In a
+// network partition the number of live routers falls while those cut off still admit requests. Routers that have left
+// admit none, so the number falls by those at once.
 type fleetSize struct {
-	// known says that the number of routers has been told. A router that has just started may know no other yet, and would take
-	// the whole fleet's part for its own.
-	known    bool
-	current  int
-	previous int
-	turnAt   time.Duration
-	left     int
+	// known is true once the number of routers has been set. A router that has just started may not have met the
+	// others, and would take the part of the whole fleet for its own.
+	known        bool
+	currentMax   int
+	previousMax  int
+	nextPeriodAt time.Duration
+	left         int
 }
 
-// observe takes the number of live routers, and the number of those known to have left and not come back.
+// observe records the number of live routers, and of those known to have left and not returned.
 func (f *fleetSize) observe(now time.Duration, live, left int) {
 	f.known = true
-	f.turn(now)
+	f.startPeriodIfDue(now)
 	if left > f.left {
-		f.current = max(0, f.current-(left-f.left))
-		f.previous = max(0, f.previous-(left-f.left))
+		f.currentMax = max(0, f.currentMax-(left-f.left))
+		f.previousMax = max(0, f.previousMax-(left-f.left))
 	}
 	f.left = left
-	f.current = max(f.current, live)
+	f.currentMax = max(f.currentMax, live)
 }
 
-func (f *fleetSize) turn(now time.Duration) {
-	if now < f.turnAt {
+func (f *fleetSize) startPeriodIfDue(now time.Duration) {
+	if now < f.nextPeriodAt {
 		return
 	}
-	f.previous = f.current
-	f.current = 0
-	f.turnAt = now + standingFor
+	f.previousMax = f.currentMax
+	f.currentMax = 0
+	f.nextPeriodAt = now + fullRateFor
 }
 
-// routers is one until the number is known.
-func (f *fleetSize) routers() int { return max(1, f.current, f.previous) }
+// routers returns the number of routers, and one while it is unknown.
+func (f *fleetSize) routers() int { return max(1, f.currentMax, f.previousMax) }
--- a/internal/router/quota/floor.go
+++ b/internal/router/quota/floor.go
@@ -6,36 +6,38 @@
 )
 
 const (
-	// floorShare is the share of a tenant's store below which the coordinator doesn't go before routers have kept a lower floor.
-	floorShare = 0.35
-	// A floor is lowered when it is more than lowerAbove of the store, and raised when it is less than raiseBelow of it.
+	// floorFraction is the fraction of a tenant's store that the coordinator leaves ungranted until keepers have stored
+	// a lower floor.
+	floorFraction = 0.35
+	// A floor is lowered when it exceeds lowerAbove of the store, and raised when it is below raiseBelow of it.
 	lowerAbove = 0.75
 	raiseBelow = 0.12
-	// The least times between two tables that lower a floor, and between two that raise one.
-	lowerEvery = 60 * time.Millisecond
-	raiseEvery = time.Second
-	// leastFloor is the share of the capacity below which a floor isn't worth keeping.
-	leastFloor = 0.05
+	// The minimum times from one floor table to the next that lowers a floor, or raises one.
+	lowerInterval = 60 * time.Millisecond
+	raiseInterval = time.Second
+	// minFloorFraction is the fraction of the capacity below which a store gets no floor.
+	minFloorFraction = 0.05
 )
 
-// TenantFloor is a tenant's part of a floor table. Its fields go in order, without their names.
+// TenantFloor is a tenant's part of a floor table. It is encoded as an array: the order of its fields is part of the
+// format.
 type TenantFloor struct {
 	_msgpack struct{} `msgpack:",as_array"`
 	Tenant   string
 	Floor    float64
 }
 
-// FloorTable tells what the coordinator has promised to leave in the stores. Keepers, routers with a disk, keep it, so that after a
-// restart of the whole fleet the next coordinator knows of it.
+// FloorTable holds the amounts that the coordinator has promised to leave in the stores. Keepers, which are routers
+// with a disk, store it, so that after a restart of the whole fleet the next coordinator can recover these amounts.
 type FloorTable struct {
 	Term   uint64        `msgpack:"term"`
 	Number uint64        `msgpack:"number"`
 	Floors []TenantFloor `msgpack:"floors,omitempty"`
 }
 
-// After tells whether the table follows another.
+// After reports whether the table is newer than another.
 func (t FloorTable) After(other FloorTable) bool {
-	return origin{term: t.Term, number: t.Number}.after(origin{term: other.Term, number: other.Number})
+	return version{term: t.Term, number: t.Number}.after(version{term: other.Term, number: other.Number})
 }
 
 func (t FloorTable) floor(tenant string) float64 {
@@ -47,132 +49,134 @@
 	return 0
 }
 
-// floorBook is the coordinator's knowledge of the tables that keepers have. A table counts as kept once a majority of the keepers has it:
-// whoever asks a majority then finds it or a later one.
-type floorBook struct {
+// floorTracker is the coordinator's knowledge of the floor tables that keepers have stored. A table counts as kept once
+// a majority of the keepers has it: reading from any majority then finds it or a later one.
+type floorTracker struct {
 	term    uint64
 	keepers []string
-	// possible are the tables that a majority may find newest: the last one kept, and those after it.
-	possible []FloorTable
-	// kept is the number of the last table of this term that a keeper has.
-	kept map[string]uint64
-	// earlier are the tables of earlier terms that keepers have told.
-	earlier map[string]FloorTable
-	// newest is the newest of them once a majority has told its own.
-	newest    FloorTable
-	recovered bool
-	sentAt    time.Duration
-}
-
-func newFloorBook(term uint64) floorBook {
-	return floorBook{term: term, kept: map[string]uint64{}, earlier: map[string]FloorTable{}}
-}
-
-// held is the highest floor of a tenant that a majority of the keepers may find.
-func (b *floorBook) held(tenant string) float64 {
-	held := 0.0
-	for _, table := range b.possible {
-		held = max(held, table.floor(tenant))
+	// candidates are the tables that a majority may report as its newest: the last one kept, and those after it.
+	candidates []FloorTable
+	// keptNumbers has the number of the last table of this term that each keeper has stored.
+	keptNumbers map[string]uint64
+	// earlierTables are the tables of earlier terms that keepers have reported.
+	earlierTables map[string]FloorTable
+	// newestEarlier is the newest of earlierTables once a majority of the keepers has reported, which sets recovered.
+	newestEarlier FloorTable
+	recovered     bool
+	lastTableAt   time.Duration
+}
+
+func newFloorTracker(term uint64) floorTracker {
+	return floorTracker{term: term, keptNumbers: map[string]uint64{}, earlierTables: map[string]FloorTable{}}
+}
+
+// effectiveFloor returns the highest floor of a tenant in any table that a majority of the keepers may report as
+// newest.
+func (f *floorTracker) effectiveFloor(tenant string) float64 {
+	highest := 0.0
+	for _, table := range f.candidates {
+		highest = max(highest, table.floor(tenant))
 	}
-	return held
+	return highest
 }
 
-// latest is the newest table made, empty if there is none.
-func (b *floorBook) latest() FloorTable {
-	if len(b.possible) == 0 {
+// latestTable returns the last table made, empty if there is none.
+func (f *floorTracker) latestTable() FloorTable {
+	if len(f.candidates) == 0 {
 		return FloorTable{}
 	}
-	return b.possible[len(b.possible)-1]
+	return f.candidates[len(f.candidates)-1]
 }
 
-// hear notes what a keeper has. It tells whether the tables of earlier terms are known from now on.
-func (b *floorBook) hear(keeper string, table FloorTable) bool {
-	if keeper == "" || !slices.Contains(b.keepers, keeper) {
+// recordKept records the table that a keeper reports. It returns true when this makes the tables of earlier terms
+// known.
+func (f *floorTracker) recordKept(keeper string, table FloorTable) bool {
+	if keeper == "" || !slices.Contains(f.keepers, keeper) {
 		return false
 	}
-	if table.Term == b.term {
-		b.kept[keeper] = max(b.kept[keeper], table.Number)
-		b.dropSuperseded()
+	if table.Term == f.term {
+		f.keptNumbers[keeper] = max(f.keptNumbers[keeper], table.Number)
+		f.dropSuperseded()
 		return false
 	}
-	if b.recovered {
-		b.hearLate(table)
+	if f.recovered {
+		f.recordLate(table)
 		return false
 	}
-	b.earlier[keeper] = table
-	return b.recover()
+	f.earlierTables[keeper] = table
+	return f.recoverEarlier()
 }
 
-// hearLate takes an earlier coordinator's table that only few keepers have, so that it wasn't found. Until a majority has a table of this
-// term, it may be found the next time.
-func (b *floorBook) hearLate(table FloorTable) {
-	if table.After(b.newest) && b.possible[0].Term < b.term {
-		b.newest = table
-		b.possible = slices.Insert(b.possible, 0, table)
+// recordLate records an earlier coordinator's table that was not found, because only a minority of keepers has it.
+// Until a majority has a table of this term, it may be found the next time.
+func (f *floorTracker) recordLate(table FloorTable) {
+	if table.After(f.newestEarlier) && f.candidates[0].Term < f.term {
+		f.newestEarlier = table
+		f.candidates = slices.Insert(f.candidates, 0, table)
 	}
 }
 
 // dropSuperseded drops the tables before the last one that a majority has.
-func (b *floorBook) dropSuperseded() {
-	for len(b.possible) > 1 && b.isKept(b.possible[1]) {
-		b.possible = b.possible[1:]
+func (f *floorTracker) dropSuperseded() {
+	for len(f.candidates) > 1 && f.isKeptByMajority(f.candidates[1]) {
+		f.candidates = f.candidates[1:]
 	}
 }
 
-func (b *floorBook) isKept(table FloorTable) bool {
-	return b.isMajority(func(keeper string) bool { return b.kept[keeper] >= table.Number })
+func (f *floorTracker) isKeptByMajority(table FloorTable) bool {
+	return f.hasMajority(func(keeper string) bool { return f.keptNumbers[keeper] >= table.Number })
 }
 
-func (b *floorBook) isMajority(has func(keeper string) bool) bool {
+func (f *floorTracker) hasMajority(has func(keeper string) bool) bool {
 	count := 0
-	for _, keeper := range b.keepers {
+	for _, keeper := range f.keepers {
 		if has(keeper) {
 			count++
 		}
 	}
-	return count > len(b.keepers)/2
+	return count > len(f.keepers)/2
 }
 
-// recover takes over the newest table of earlier terms once a majority of the keepers has told its own.
-func (b *floorBook) recover() bool {
-	told := func(keeper string) bool {
-		_, known := b.earlier[keeper]
-		return known || b.kept[keeper] > 0
+// recoverEarlier takes over the newest table of earlier terms once a majority of the keepers has reported.
+func (f *floorTracker) recoverEarlier() bool {
+	hasReported := func(keeper string) bool {
+		_, known := f.earlierTables[keeper]
+		return known || f.keptNumbers[keeper] > 0
 	}
-	if b.recovered || !b.isMajority(told) {
+	if f.recovered || !f.hasMajority(hasReported) {
 		return false
 	}
-	b.recovered = true
-	for _, table := range b.earlier {
-		if table.After(b.newest) {
-			b.newest = table
+	f.recovered = true
+	for _, table := range f.earlierTables {
+		if table.After(f.newestEarlier) {
+			f.newestEarlier = table
 		}
 	}
-	b.possible = []FloorTable{b.newest}
+	f.candidates = []FloorTable{f.newestEarlier}
 	return true
 }
 
-// recoveredFloor is what earlier coordinators have left in a tenant's store.
-func (b *floorBook) recoveredFloor(tenant string) float64 { return b.newest.floor(tenant) }
+// recoveredFloor returns the amount that earlier coordinators have left in a tenant's store.
+func (f *floorTracker) recoveredFloor(tenant string) float64 { return f.newestEarlier.floor(tenant) }
 
-// isDue tells whether the floor of a store must change.
-func (b *floorBook) isDue(now time.Duration, tenant string, store float64) bool {
-	held := b.held(tenant)
-	if held > lowerAbove*store {
-		return now-b.sentAt >= lowerEvery
+// isDue reports whether the floor of a store must change.
+func (f *floorTracker) isDue(now time.Duration, tenant string, store float64) bool {
+	floor := f.effectiveFloor(tenant)
+	if floor > lowerAbove*store {
+		return now-f.lastTableAt >= lowerInterval
 	}
-	return held < raiseBelow*store && now-b.sentAt >= raiseEvery
+	return floor < raiseBelow*store && now-f.lastTableAt >= raiseInterval
 }
 
-// add makes the next table.
-func (b *floorBook) add(now time.Duration, floors []TenantFloor) {
-	b.sentAt = now
-	b.possible = append(b.possible, FloorTable{Term: b.term, Number: b.latestNumber() + 1, Floors: floors})
+// addTable makes the next table.
+func (f *floorTracker) addTable(now time.Duration, floors []TenantFloor) {
+	f.lastTableAt = now
+	f.candidates = append(f.candidates, FloorTable{Term: f.term, Number: f.latestNumber() + 1, Floors: floors})
 }
 
-// latestNumber is that of the last table of this term.
-func (b *floorBook) latestNumber() uint64 {
-	if latest := b.latest(); latest.Term == b.term {
+// latestNumber returns the number of the last table of this term, zero if there is none.
+func (f *floorTracker) latestNumber() uint64 {
+	if latest := f.latestTable(); latest.Term == f.term {
 		return latest.Number
 	}
 	return 0
--- a/internal/router/quota/floor_test.go
+++ b/internal/router/quota/floor_test.go
@@ -11,107 +11,108 @@
 
 var floorKeepers = []string{"a", "b", "c"}
 
-// floorWorld is one state of a coordinator with floors, three keepers and their disks.
-type floorWorld struct {
-	book  floorBook
-	store int
-	// unspent is what nobody has been granted, whether a coordinator knows of it or not.
-	unspent int
-	disks   map[string]FloorTable
-	// crashes is how often the whole fleet may still restart.
-	crashes int
-	tables  int
+// floorModel is one state of a model of a coordinator with floors, three keepers and their disks.
+type floorModel struct {
+	tracker floorTracker
+	store   int
+	// ungranted is the amount that has not been granted, whether a coordinator knows of it or not.
+	ungranted int
+	disks     map[string]FloorTable
+	// restartsLeft is how often the whole fleet may still restart.
+	restartsLeft int
+	tablesMade   int
 }
 
 const (
-	floorStore   = 2
-	floorTables  = 2
-	floorCrashes = 2
+	modelStore       = 2
+	modelMaxTables   = 2
+	modelMaxRestarts = 2
 )
 
-func newFloorWorld() *floorWorld {
-	world := &floorWorld{book: newFloorBook(1), store: floorStore, unspent: floorStore, disks: map[string]FloorTable{}, crashes: floorCrashes}
-	world.book.keepers = floorKeepers
+func newFloorModel() *floorModel {
+	model := &floorModel{tracker: newFloorTracker(1), store: modelStore, ungranted: modelStore, disks: map[string]FloorTable{}, restartsLeft: modelMaxRestarts}
+	model.tracker.keepers = floorKeepers
 	for _, keeper := range floorKeepers {
-		world.book.hear(keeper, FloorTable{})
+		model.tracker.recordKept(keeper, FloorTable{})
 	}
-	return world
+	return model
 }
 
-func (w *floorWorld) clone() *floorWorld {
-	next := *w
-	next.book.possible = slices.Clone(w.book.possible)
-	next.book.kept = map[string]uint64{}
-	for keeper, number := range w.book.kept {
-		next.book.kept[keeper] = number
+func (m *floorModel) clone() *floorModel {
+	next := *m
+	next.tracker.candidates = slices.Clone(m.tracker.candidates)
+	next.tracker.keptNumbers = map[string]uint64{}
+	for keeper, number := range m.tracker.keptNumbers {
+		next.tracker.keptNumbers[keeper] = number
 	}
-	next.book.earlier = map[string]FloorTable{}
-	for keeper, table := range w.book.earlier {
-		next.book.earlier[keeper] = table
+	next.tracker.earlierTables = map[string]FloorTable{}
+	for keeper, table := range m.tracker.earlierTables {
+		next.tracker.earlierTables[keeper] = table
 	}
 	next.disks = map[string]FloorTable{}
-	for keeper, table := range w.disks {
+	for keeper, table := range m.disks {
 		next.disks[keeper] = table
 	}
 	return &next
 }
 
-func (w *floorWorld) key() string {
-	return fmt.Sprint(w.book.term, w.book.possible, w.book.kept, w.book.recovered, w.book.newest, w.book.earlier, w.store, w.unspent, w.disks, w.crashes, w.tables)
+func (m *floorModel) key() string {
+	return fmt.Sprint(m.tracker.term, m.tracker.candidates, m.tracker.keptNumbers, m.tracker.recovered, m.tracker.newestEarlier, m.tracker.earlierTables, m.store, m.ungranted, m.disks, m.restartsLeft, m.tablesMade)
 }
 
-// next lists the states that follow: one unit is granted, a table of any floor is made, a keeper writes the newest table, a keeper tells
-// what it has, or the whole fleet restarts and any keepers are heard first.
-func (w *floorWorld) next() []*floorWorld {
-	var next []*floorWorld
-	step := func(change func(w *floorWorld)) {
-		follower := w.clone()
+// successors returns the states that may follow: one unit is granted, a table with any floor is made, a keeper writes
+// the newest table, a keeper reports its table, or the whole fleet restarts, after which the keepers may report in any
+// order.
+func (m *floorModel) successors() []*floorModel {
+	var next []*floorModel
+	step := func(change func(m *floorModel)) {
+		follower := m.clone()
 		change(follower)
 		next = append(next, follower)
 	}
-	if float64(w.store) > w.book.held("t") {
-		step(func(w *floorWorld) {
-			w.store--
-			w.unspent--
+	if float64(m.store) > m.tracker.effectiveFloor("t") {
+		step(func(m *floorModel) {
+			m.store--
+			m.ungranted--
 		})
 	}
-	for floor := range w.store + 1 {
-		if w.book.recovered && w.tables < floorTables {
-			step(func(w *floorWorld) {
-				w.tables++
-				w.book.add(0, []TenantFloor{{Tenant: "t", Floor: float64(floor)}})
+	for floor := range m.store + 1 {
+		if m.tracker.recovered && m.tablesMade < modelMaxTables {
+			step(func(m *floorModel) {
+				m.tablesMade++
+				m.tracker.addTable(0, []TenantFloor{{Tenant: "t", Floor: float64(floor)}})
 			})
 		}
 	}
 	for _, keeper := range floorKeepers {
-		if latest := w.book.latest(); latest.Term == w.book.term && latest.After(w.disks[keeper]) {
-			step(func(w *floorWorld) { w.disks[keeper] = latest })
+		if latest := m.tracker.latestTable(); latest.Term == m.tracker.term && latest.After(m.disks[keeper]) {
+			step(func(m *floorModel) { m.disks[keeper] = latest })
 		}
-		step(func(w *floorWorld) {
-			if w.book.hear(keeper, w.disks[keeper]) {
-				w.store += int(w.book.recoveredFloor("t"))
+		step(func(m *floorModel) {
+			if m.tracker.recordKept(keeper, m.disks[keeper]) {
+				m.store += int(m.tracker.recoveredFloor("t"))
 			}
 		})
 	}
-	if w.crashes > 0 {
-		step(func(w *floorWorld) {
-			w.crashes--
-			w.book = newFloorBook(w.book.term + 1)
-			w.book.keepers = floorKeepers
-			w.store = 0
+	if m.restartsLeft > 0 {
+		step(func(m *floorModel) {
+			m.restartsLeft--
+			m.tracker = newFloorTracker(m.tracker.term + 1)
+			m.tracker.keepers = floorKeepers
+			m.store = 0
 		})
 	}
 	return next
 }
 
-// recoverable is the highest floor that a majority of the disks may tell after a restart.
-func (w *floorWorld) recoverable() float64 {
+// maxRecoverable returns the highest floor that a majority of the disks may report after a restart.
+func (m *floorModel) maxRecoverable() float64 {
 	highest := 0.0
 	for left := range floorKeepers {
 		var newest FloorTable
 		for i, keeper := range floorKeepers {
-			if i != left && w.disks[keeper].After(newest) {
-				newest = w.disks[keeper]
+			if i != left && m.disks[keeper].After(newest) {
+				newest = m.disks[keeper]
 			}
 		}
 		highest = max(highest, newest.floor("t"))
@@ -119,67 +120,69 @@
 	return highest
 }
 
-// TestNothingIsFoundTwice explores every ordering of grants, tables, writes, reports and restarts: neither what a coordinator has in its
-// store nor what a majority of the disks may tell is ever more than what nobody has been granted.
+// TestNothingIsFoundTwice explores every order of grants, tables, writes, reports and restarts. Neither the
+// coordinator's store nor what a majority of the disks may report ever exceeds the amount that has not been granted;
+// otherwise a restart would grant an amount twice.
 func TestNothingIsFoundTwice(t *testing.T) {
 	seen := map[string]bool{}
-	queue := []*floorWorld{newFloorWorld()}
-	for len(queue) > 0 {
-		world := queue[len(queue)-1]
-		queue = queue[:len(queue)-1]
-		if key := world.key(); seen[key] {
+	pending := []*floorModel{newFloorModel()}
+	for len(pending) > 0 {
+		model := pending[len(pending)-1]
+		pending = pending[:len(pending)-1]
+		if key := model.key(); seen[key] {
 			continue
 		} else {
 			seen[key] = true
 		}
-		assert.Assert(t, world.store <= world.unspent, "%s", world.key())
-		assert.Assert(t, world.recoverable() <= float64(world.unspent), "%s", world.key())
-		queue = append(queue, world.next()...)
+		assert.Assert(t, model.store <= model.ungranted, "%s", model.key())
+		assert.Assert(t, model.maxRecoverable() <= float64(model.ungranted), "%s", model.key())
+		pending = append(pending, model.successors()...)
 	}
 	t.Logf("%d states", len(seen))
 	assert.Assert(t, len(seen) > 5000)
 }
 
 func TestFloorsAreLoweredOnceKept(t *testing.T) {
-	book := newFloorBook(7)
+	book := newFloorTracker(7)
 	book.keepers = floorKeepers
-	assert.Assert(t, !book.hear("a", FloorTable{}))
-	assert.Assert(t, !book.hear("x", FloorTable{}), "no keeper")
-	assert.Assert(t, book.hear("b", FloorTable{Term: 3, Number: 2, Floors: []TenantFloor{{Tenant: "t", Floor: 40}}}))
+	assert.Assert(t, !book.recordKept("a", FloorTable{}))
+	assert.Assert(t, !book.recordKept("x", FloorTable{}), "not a keeper")
+	assert.Assert(t, book.recordKept("b", FloorTable{Term: 3, Number: 2, Floors: []TenantFloor{{Tenant: "t", Floor: 40}}}))
 	assert.Equal(t, book.recoveredFloor("t"), 40.0)
-	assert.Equal(t, book.held("t"), 40.0)
-	book.add(0, []TenantFloor{{Tenant: "t", Floor: 10}})
-	lower := book.latest()
+	assert.Equal(t, book.effectiveFloor("t"), 40.0)
+	book.addTable(0, []TenantFloor{{Tenant: "t", Floor: 10}})
+	lower := book.latestTable()
 	assert.Equal(t, lower.Number, uint64(1))
-	book.hear("a", lower)
-	assert.Equal(t, book.held("t"), 40.0, "one of three has it")
-	book.hear("c", lower)
-	assert.Equal(t, book.held("t"), 10.0)
-	book.add(0, []TenantFloor{{Tenant: "t", Floor: 30}})
-	assert.Equal(t, book.held("t"), 30.0, "a higher floor holds at once")
+	book.recordKept("a", lower)
+	assert.Equal(t, book.effectiveFloor("t"), 40.0, "one of three has it")
+	book.recordKept("c", lower)
+	assert.Equal(t, book.effectiveFloor("t"), 10.0)
+	book.addTable(0, []TenantFloor{{Tenant: "t", Floor: 30}})
+	assert.Equal(t, book.effectiveFloor("t"), 30.0, "a higher floor applies at once")
 }
 
-// TestATableOfFewIsHeldBackToo was not among those of the first majority, and may be found the next time.
-func TestATableOfFewIsHeldBackToo(t *testing.T) {
-	book := newFloorBook(7)
+// TestFloorOfMinorityTableIsHeld checks that a table that the first majority did not report is held back too, since it
+// may be found the next time.
+func TestFloorOfMinorityTableIsHeld(t *testing.T) {
+	book := newFloorTracker(7)
 	book.keepers = floorKeepers
-	book.hear("a", FloorTable{})
-	book.hear("b", FloorTable{})
-	book.hear("c", FloorTable{Term: 3, Number: 2, Floors: []TenantFloor{{Tenant: "t", Floor: 40}}})
-	assert.Equal(t, book.held("t"), 40.0)
+	book.recordKept("a", FloorTable{})
+	book.recordKept("b", FloorTable{})
+	book.recordKept("c", FloorTable{Term: 3, Number: 2, Floors: []TenantFloor{{Tenant: "t", Floor: 40}}})
+	assert.Equal(t, book.effectiveFloor("t"), 40.0)
 	assert.Equal(t, book.recoveredFloor("t"), 40.0)
 }
 
 func TestFloorsFollowTheStore(t *testing.T) {
-	book := newFloorBook(1)
+	book := newFloorTracker(1)
 	book.keepers = []string{"a"}
-	book.hear("a", FloorTable{})
-	assert.Assert(t, book.isDue(raiseEvery, "t", 100), "there is none yet")
-	book.add(raiseEvery, []TenantFloor{{Tenant: "t", Floor: 35}})
-	book.hear("a", book.latest())
+	book.recordKept("a", FloorTable{})
+	assert.Assert(t, book.isDue(raiseInterval, "t", 100), "there is none yet")
+	book.addTable(raiseInterval, []TenantFloor{{Tenant: "t", Floor: 35}})
+	book.recordKept("a", book.latestTable())
 	for store, isDue := range map[float64]bool{100: false, 50: false, 40: true, 0: true, 280: false, 300: true} {
-		assert.Equal(t, book.isDue(3*raiseEvery, "t", store), isDue, "store %v", store)
+		assert.Equal(t, book.isDue(3*raiseInterval, "t", store), isDue, "store %v", store)
 	}
-	assert.Assert(t, !book.isDue(raiseEvery+lowerEvery-1, "t", 0))
-	assert.Assert(t, !book.isDue(2*raiseEvery-time.Millisecond, "t", 1000))
+	assert.Assert(t, !book.isDue(raiseInterval+lowerInterval-1, "t", 0))
+	assert.Assert(t, !book.isDue(2*raiseInterval-time.Millisecond, "t", 1000))
 }
--- a/internal/router/quota/floorkeeper.go
+++ b/internal/router/quota/floorkeeper.go
@@ -1,33 +1,33 @@
 package quota
 
-// floorKeeper is a router's part in keeping the coordinator's floors on disks.
+// floorKeeper is a router's part in storing floor tables on its disk.
 type floorKeeper struct {
-	// address is the router's if it has a disk, else empty.
+	// address is the router's address if it has a disk, otherwise empty.
 	address string
 	// kept is the table on the disk.
 	kept FloorTable
-	// unkept is a table that is to be kept, nil if there is none.
-	unkept *FloorTable
+	// pending is a table that is still to be written, nil if there is none.
+	pending *FloorTable
 }
 
-// keep notes the table that is on the disk.
-func (k *floorKeeper) keep(address string, table FloorTable) {
+// setKept records the table that is on the disk.
+func (k *floorKeeper) setKept(address string, table FloorTable) {
 	k.address = address
 	k.kept = table
-	if k.unkept != nil && !k.unkept.After(table) {
-		k.unkept = nil
+	if k.pending != nil && !k.pending.After(table) {
+		k.pending = nil
 	}
 }
 
-// want notes the table that an answer of the coordinator carries, if any and if it is newer than the one on the disk.
-func (k *floorKeeper) want(table *FloorTable) {
+// setPending records the table of a coordinator's answer if it is newer than the one on the disk. It may be nil.
+func (k *floorKeeper) setPending(table *FloorTable) {
 	if table != nil && table.After(k.kept) {
-		k.unkept = table
+		k.pending = table
 	}
 }
 
-// report is what a report to the coordinator of a term tells of the table on the disk. A coordinator that knows the router needs no
-// floors of its own tables.
+// report returns the address and the table for a report to the coordinator of a term. A coordinator that knows the
+// router does not need the floors of a table that it made itself.
 func (k *floorKeeper) report(term uint64, whole bool) (address string, table FloorTable) {
 	table = k.kept
 	if table.Term == term && !whole {
--- a/internal/router/quota/silence.go
+++ b/internal/router/quota/silence.go
@@ -3,52 +3,54 @@
 import "time"
 
 const (
-	// silenceAfter is how long after the last answer a router supplies itself.
-	silenceAfter = 500 * time.Millisecond
-	// reserveAfter is how long after the last answer a router that runs short draws on its reserve. A router that runs short reports
-	// at once, so that this is a few times as long as an answer takes.
+	// silenceTimeout is how long after the last answer a router begins to supply itself.
+	silenceTimeout = 500 * time.Millisecond
+	// reserveAfter is how long after the last answer a router that runs short draws its reserve. A router that runs
+	// short reports at once, so this is a few times the duration of a round trip.
 	reserveAfter = 150 * time.Millisecond
-	// wholeAfter is how long after the last answer a report names all tenants: the coordinator may have kept something back for a
-	// silent router.
-	wholeAfter = 400 * time.Millisecond
-	// coveredFor is how long what an answer grants is meant to last, about the time between two reports.
-	coveredFor = 250 * time.Millisecond
-	// evenAfter is how long after the last answer a router uses at most an equal part. Routers that have started in the
-	// meantime without a coordinator use equal parts too, so that the sum stays within the limit.
-	evenAfter = 4 * time.Second
-	// standingFor is how long a router that hears nothing uses its whole standing rate.
-	standingFor = 30 * time.Second
-	// reducedFor is how long it uses the reduced rate after that.
-	reducedFor = 5 * time.Minute
-	// reducedShare is the share of the standing rate in that time.
-	reducedShare = 0.25
-	// finalShare is the share of the standing rate that remains; it is small enough that nobody keeps it back.
-	finalShare = 0.02
+	// wholeReportAfter is how long after the last answer a report names all tenants: the coordinator may have withheld
+	// something for a silent router.
+	wholeReportAfter = 400 * time.Millisecond
+	// grantCoverage is how long a grant is meant to last, about the time between two reports.
+	grantCoverage = 250 * time.Millisecond
+	// equalRateAfter is how long after the last answer a router is limited to an equal part. Routers that have
+	// meanwhile started without a coordinator use equal parts too, so the sum stays within the limit.
+	equalRateAfter = 4 * time.Second
+	// fullRateFor is how long a router that hears nothing uses its full standing rate.
+	fullRateFor = 30 * time.Second
+	// reducedRateFor is how long it uses the reduced rate after that.
+	reducedRateFor = 5 * time.Minute
+	// reducedFraction is the fraction of the standing rate in that time.
+	reducedFraction = 0.25
+	// finalFraction is the fraction of the standing rate that remains; it is so small that the coordinator does not
+	// withhold it.
+	finalFraction = 0.02
 	// overdraftFor is how long after the last answer an overdraft is allowed.
 	overdraftFor = 500 * time.Millisecond
 )
 
-// silentShare is the share of its standing rate that a router uses when it has heard nothing for a time.
-func silentShare(silence time.Duration) float64 {
+// selfSupplyFraction returns the fraction of its standing rate that a router uses when it has heard nothing for the
+// given time.
+func selfSupplyFraction(silence time.Duration) float64 {
 	switch {
-	case silence < silenceAfter:
+	case silence < silenceTimeout:
 		return 0
-	case silence < standingFor:
+	case silence < fullRateFor:
 		return 1
-	case silence < standingFor+reducedFor:
-		return reducedShare
+	case silence < fullRateFor+reducedRateFor:
+		return reducedFraction
 	default:
-		return finalShare
+		return finalFraction
 	}
 }
 
-// keptShare is the share of a silent router's standing rate that the coordinator keeps back.
-func keptShare(silence time.Duration) float64 {
-	if forgotten(silence) {
+// withheldFraction returns the fraction of a silent router's standing rate that the coordinator withholds.
+func withheldFraction(silence time.Duration) float64 {
+	if isNegligible(silence) {
 		return 0
 	}
-	return silentShare(silence)
+	return selfSupplyFraction(silence)
 }
 
-// forgotten tells whether a silent router uses so little that the coordinator need not count it.
-func forgotten(silence time.Duration) bool { return silence >= standingFor+reducedFor }
+// isNegligible reports whether a silent router uses so little that the coordinator need not count it.
+func isNegligible(silence time.Duration) bool { return silence >= fullRateFor+reducedRateFor }
--- a/internal/router/quota/simulation_test.go
+++ b/internal/router/quota/simulation_test.go
@@ -8,8 +8,8 @@
 	"time"
 )
 
-// simulation plays a fleet of routers in virtual time: requests of tenants arrive at routers, routers exchange
-// reports with a coordinator over a network that delays, loses and cuts.
+// simulation simulates a fleet of routers in virtual time: tenants' requests arrive at the routers, and the routers
+// exchange reports with a coordinator over a network that delays and loses messages and can be partitioned.
 type simulation struct {
 	random      *rand.Rand
 	rule        Rule
@@ -20,7 +20,7 @@
 	frozen      bool
 	queue       eventQueue
 	now         time.Duration
-	loss        float64
+	lossRate    float64
 	liveRouters func(s *simulation) int
 	requests    []simRequest
 	incarnation uint64
@@ -28,22 +28,23 @@
 	left        int // routers that have left
 }
 
-// simRouter is one router with its traffic weight and its connection.
+// simRouter is one router with its traffic weight and the state of its connection.
 type simRouter struct {
-	name       string
-	admission  *Admission
-	weight     float64
-	cut        bool
-	down       bool
-	lastReport time.Duration
-	scheduled  time.Duration
-	limits     map[string]Limit
-	// keeper says that the router keeps floors, which disk holds.
+	name         string
+	admission    *Admission
+	weight       float64
+	partitioned  bool
+	down         bool
+	lastReportAt time.Duration
+	nextReportAt time.Duration
+	limits       map[string]Limit
+	// keeper is true if the router stores floor tables; disk is the table stored.
 	keeper bool
 	disk   FloorTable
 }
 
-// simTenant asks for perSecond amounts a second, times a factor that depends on the time.
+// simTenant sends the given number of requests per second, times a factor that depends on the time. size draws the
+// amount of a request.
 type simTenant struct {
 	name     string
 	requests float64
@@ -86,9 +87,9 @@
 }
 
 const (
-	simReportEvery = 250 * time.Millisecond
-	simUrgentGap   = 50 * time.Millisecond
-	// simKeepers is the number of routers with a disk, which takes simDiskDelay.
+	simReportInterval = 250 * time.Millisecond
+	simUrgentInterval = 50 * time.Millisecond
+	// simKeepers is the number of routers with a disk; a write takes simDiskDelay.
 	simKeepers   = 3
 	simDiskDelay = 3 * time.Millisecond
 )
@@ -107,9 +108,9 @@
 	return s
 }
 
-// addTenant adds a tenant whose limit is a multiple of its usual demand.
+// addTenant adds a tenant whose limit is a multiple of its usual demand, but at least leastLimit.
 func (s *simulation) addTenant(name string, requests, limitFactor, leastLimit float64) {
-	mean := requests * meanSize
+	mean := requests * meanRequestSize
 	perSecond := max(leastLimit, limitFactor*mean)
 	s.limits[name] = Limit{PerSecond: perSecond, Burst: perSecond}
 	phase := s.random.Float64() * 2 * math.Pi
@@ -123,7 +124,7 @@
 	})
 }
 
-// drawSize is a mix of large prompts, short ones and plain requests.
+// drawSize draws an amount from a mix of large prompts, short prompts and plain requests.
 func drawSize(random *rand.Rand) float64 {
 	kind := random.Float64()
 	switch {
@@ -136,15 +137,15 @@
 	}
 }
 
-// meanSize is about the mean of drawSize.
-const meanSize = 0.75*11000 + 0.05*3400 + 0.2*200
+// meanRequestSize is approximately the mean of drawSize.
+const meanRequestSize = 0.75*11000 + 0.05*3400 + 0.2*200
 
 func (s *simulation) at(at time.Duration, run func()) {
 	s.queue.order++
 	heap.Push(&s.queue, event{at: at, order: s.queue.order, run: run})
 }
 
-// start starts all routers, and the traffic some time later.
+// start starts all routers, and the traffic after the given time.
 func (s *simulation) start(lead time.Duration) {
 	for _, r := range s.routers {
 		s.startRouter(r)
@@ -163,10 +164,10 @@
 	if r.keeper {
 		r.admission.Keep(r.name, r.disk)
 	}
-	s.scheduleReport(r, s.now+time.Duration(s.random.Int64N(int64(simReportEvery))))
+	s.scheduleReport(r, s.now+time.Duration(s.random.Int64N(int64(simReportInterval))))
 }
 
-// leave stops a router for good: it tells the coordinator, and the others know that it has left.
+// leave stops a router for good: it tells the coordinator that it leaves, and the other routers know of it.
 func (s *simulation) leave(r *simRouter) {
 	report := r.admission.Demand(s.now)
 	report.Leaving = true
@@ -216,7 +217,7 @@
 
 func (s *simulation) reportIfUrgent(r *simRouter) {
 	if r.admission.Urgent() {
-		s.scheduleReport(r, max(s.now, r.lastReport+simUrgentGap))
+		s.scheduleReport(r, max(s.now, r.lastReportAt+simUrgentInterval))
 	}
 }
 
@@ -241,13 +242,13 @@
 }
 
 func (s *simulation) scheduleReport(r *simRouter, at time.Duration) {
-	if r.scheduled > s.now && r.scheduled <= at {
+	if r.nextReportAt > s.now && r.nextReportAt <= at {
 		return
 	}
-	r.scheduled = at
+	r.nextReportAt = at
 	admission := r.admission
 	s.at(at, func() {
-		if r.down || r.admission != admission || r.scheduled != at {
+		if r.down || r.admission != admission || r.nextReportAt != at {
 			return
 		}
 		s.report(r)
@@ -255,11 +256,11 @@
 }
 
 func (s *simulation) report(r *simRouter) {
-	r.lastReport = s.now
+	r.lastReportAt = s.now
 	r.admission.SetRouters(s.now, s.liveRouters(s), s.left)
 	report := r.admission.Demand(s.now)
 	admission := r.admission
-	s.scheduleReport(r, s.now+simReportEvery)
+	s.scheduleReport(r, s.now+simReportInterval)
 	s.send(r, func() {
 		if s.coordinator == nil || s.frozen {
 			return
@@ -276,7 +277,7 @@
 	})
 }
 
-// keepFloors writes the table that the coordinator wants kept.
+// keepFloors writes the floor table that the coordinator wants stored, if there is one.
 func (s *simulation) keepFloors(r *simRouter) {
 	admission := r.admission
 	table := admission.Unkept()
@@ -289,19 +290,19 @@
 		}
 		r.disk = *table
 		admission.Keep(r.name, r.disk)
-		s.scheduleReport(r, max(s.now, r.lastReport+simUrgentGap))
+		s.scheduleReport(r, max(s.now, r.lastReportAt+simUrgentInterval))
 	})
 }
 
-// send runs the arrival of a message after a delay, unless it gets lost.
-func (s *simulation) send(r *simRouter, arrive func()) {
-	if r.cut || s.random.Float64() < s.loss {
+// send delivers a message after a delay, unless it is lost.
+func (s *simulation) send(r *simRouter, deliver func()) {
+	if r.partitioned || s.random.Float64() < s.lossRate {
 		return
 	}
 	delay := time.Millisecond + time.Duration(s.random.Int64N(int64(4*time.Millisecond)))
 	s.at(s.now+delay, func() {
-		if !r.cut {
-			arrive()
+		if !r.partitioned {
+			deliver()
 		}
 	})
 }
@@ -315,31 +316,32 @@
 	s.now = until
 }
 
-// result is what came of one tenant.
+// result is the outcome for one tenant.
 type result struct {
-	// owed is what one token bucket of rate and burst would admit, served the part of it that was admitted.
-	owed, served float64
-	// asked counts all amounts, admitted those admitted.
+	// reference is the amount that a single token bucket of rate and burst would admit, and served the amount admitted,
+	// at most the reference.
+	reference, served float64
+	// asked is the amount of all requests, admitted that of the admitted ones.
 	asked, admitted float64
-	// worst is the greatest amount within a window as a share of the rule's bound.
+	// worst is the greatest amount within a window, as a fraction of the rule's bound.
 	worst float64
 }
 
-func (r result) servedShare() float64 { return r.served / r.owed }
+func (r result) servedFraction() float64 { return r.served / r.reference }
 
-// results judges the requests with the limits given.
+// results evaluates the requests of all tenants.
 func (s *simulation) results() map[string]result {
 	results := map[string]result{}
 	for _, tenant := range s.tenants {
-		results[tenant.name] = s.judge(tenant.name)
+		results[tenant.name] = s.evaluate(tenant.name)
 	}
 	return results
 }
 
-func (s *simulation) judge(tenant string) result {
+func (s *simulation) evaluate(tenant string) result {
 	limit := s.limits[tenant]
 	var r result
-	bucket := plainBucket{level: limit.Burst, limit: limit}
+	bucket := referenceBucket{level: limit.Burst, limit: limit}
 	var window []simRequest
 	inWindow := 0.0
 	for _, request := range s.requests {
@@ -348,7 +350,7 @@
 		}
 		r.asked += request.amount
 		if bucket.take(request.at, request.amount) {
-			r.owed += request.amount
+			r.reference += request.amount
 		}
 		if !request.admitted {
 			continue
@@ -362,18 +364,18 @@
 		}
 		r.worst = max(r.worst, inWindow/s.rule.bound(limit))
 	}
-	r.served = min(r.admitted, r.owed)
+	r.served = min(r.admitted, r.reference)
 	return r
 }
 
-// plainBucket is one token bucket for the whole fleet.
-type plainBucket struct {
+// referenceBucket is a single token bucket for the whole fleet.
+type referenceBucket struct {
 	level float64
 	at    time.Duration
 	limit Limit
 }
 
-func (b *plainBucket) take(now time.Duration, amount float64) bool {
+func (b *referenceBucket) take(now time.Duration, amount float64) bool {
 	b.level = min(b.limit.Burst, b.level+b.limit.PerSecond*(now-b.at).Seconds())
 	b.at = now
 	if b.level < amount {
--- a/internal/router/quota/smalllimit_test.go
+++ b/internal/router/quota/smalllimit_test.go
@@ -10,14 +10,16 @@
 )
 
 const (
-	// smallLimit is the least limit that deployments have, in tokens a second: their rule's slack is several seconds of it.
+	// smallLimit is the smallest limit that deployments have, in tokens per second: the slack of their rule is several
+	// seconds of it.
 	smallLimit = 29000
-	// smallLimitSurge is by how much the tenant exceeds its limit, from surgeAt on.
+	// smallLimitSurge is the demand from surgeAt on, as a multiple of the limit.
 	smallLimitSurge = 20.0
 	surgeAt         = 12 * time.Second
 )
 
-// smallLimitTenant asks for little, so that its store is full, and for far more than its limit from surgeAt on.
+// smallLimitTenant returns a tenant that requests little, so that its store fills up, and far more than its limit from
+// surgeAt on.
 func smallLimitTenant() simTenant {
 	const least, spread = 200.0, 400.0
 	return simTenant{
@@ -33,8 +35,9 @@
 	}
 }
 
-// TestSmallLimitThroughLossAndRestart loses the coordinator when a tenant with a full store begins to exceed its limit, and restarts all
-// routers soon after: they have drawn their reserves by then, and the next coordinator finds the floor that the store had.
+// TestSmallLimitThroughLossAndRestart loses the coordinator when a tenant with a full store begins to exceed its limit,
+// and restarts all routers soon after. They have drawn their reserves by then, and the next coordinator recovers the
+// floor that the full store had.
 func TestSmallLimitThroughLossAndRestart(t *testing.T) {
 	const lostAfter, down, coordinatorAfter = 50 * time.Millisecond, 400 * time.Millisecond, 200 * time.Millisecond
 	for _, routers := range []int{9, 72} {
@@ -48,10 +51,10 @@
 					s.tenants = append(s.tenants, smallLimitTenant())
 					s.at(2*time.Second, s.startCoordinator)
 					s.at(surgeAt+lostAfter, func() { s.coordinator = nil })
-					s.restartAt(surgeAt+lostAfter+restartAfter, down, coordinatorAfter)
-					s.start(simLead)
+					s.restartAllAt(surgeAt+lostAfter+restartAfter, down, coordinatorAfter)
+					s.start(trafficDelay)
 					s.run(surgeAt + 12*time.Second)
-					worst = max(worst, s.judge("tenant").worst)
+					worst = max(worst, s.evaluate("tenant").worst)
 				}
 				t.Logf("worst window %.3f of the bound", worst)
 				assert.Assert(t, worst <= 1, "a window holds %.3f of the bound", worst)
--- a/internal/router/quota/standing.go
+++ b/internal/router/quota/standing.go
@@ -7,7 +7,7 @@
 	"time"
 )
 
-// Standing is what a router has of a tenant's limit.
+// Standing describes a tenant at a router: its limit, and the router's balance and standing rate.
 type Standing struct {
 	Tenant   string
 	Limit    Limit
@@ -17,7 +17,7 @@
 	asked    float64
 }
 
-// Standings describes the tenants with the most requests here.
+// Standings returns the tenants with the most requests at this router, at most the given number.
 func (a *Admission) Standings(most int) []Standing {
 	list := make([]Standing, 0, len(a.accounts))
 	for tenant, account := range a.accounts {
@@ -36,7 +36,7 @@
 	return list[:min(most, len(list))]
 }
 
-// Silence is the time since the last answer; false: there was none.
+// Silence returns the time since the last answer, and false if there was none.
 func (a *Admission) Silence(now time.Duration) (time.Duration, bool) {
-	return now - a.heardAt, a.heardEver
+	return now - a.lastAnswerAt, a.hasAnswer
 }
--- a/internal/router/quota/standing_test.go
+++ b/internal/router/quota/standing_test.go
@@ -8,7 +8,8 @@
 	"gotest.tools/v3/assert"
 )
 
-// TestStandingsNameTheBusiestTenants lists those that were asked for most, and what the router has of them.
+// TestStandingsNameTheBusiestTenants checks that Standings returns the tenants with the most requests, and what the
+// router has of each.
 func TestStandingsNameTheBusiestTenants(t *testing.T) {
 	admission := NewAdmission(testRule, 1)
 	admission.SetRouters(0, 1, 0)
