--- a/internal/router/softstate/digest.go
+++ b/internal/router/softstate/digest.go
@@ -2,31 +2,33 @@
 
 import "slices"
 
-// Two tables are compared in three steps, each naming only what differed in the one before: Digest (a hash for each kind),
-// BucketHashes (a hash for each bucket of some kinds) and Summaries (the versions in some buckets).
+// Two tables are compared in three steps, each of which covers only what differed in the one before: Digest (a hash for
+// each kind), BucketHashes (a hash for each bucket of some kinds) and Summaries (the versions in some buckets).
 
-// KindHash is the hash of all records of a kind.
+// KindHash is the hash of all advertised records of a kind. It is encoded as an array: the order of its fields is part
+// of the format.
 type KindHash struct {
 	_msgpack struct{} `msgpack:",as_array"`
 	Kind     Kind
 	Hash     uint64
 }
 
-// KindBuckets holds the hashes of a kind's buckets; an empty list means that all are empty.
+// KindBuckets holds the hashes of a kind's buckets, by bucket; an empty list means that all buckets are empty. It is
+// encoded as an array.
 type KindBuckets struct {
 	_msgpack struct{} `msgpack:",as_array"`
 	Kind     Kind
 	Hashes   []uint64
 }
 
-// BucketID names a bucket.
+// BucketID identifies a bucket of a kind. It is encoded as an array.
 type BucketID struct {
 	_msgpack struct{} `msgpack:",as_array"`
 	Kind     Kind
 	Bucket   uint8
 }
 
-// Summary says which record a table holds, without its payload.
+// Summary identifies a record and its version without the payload. Hash covers the whole record.
 type Summary struct {
 	Kind    Kind
 	Key     string
@@ -34,13 +36,14 @@
 	Hash    uint64
 }
 
-// ID names the summarized record.
+// ID returns the ID of the summarized record.
 func (s Summary) ID() ID { return ID{Kind: s.Kind, Key: s.Key} }
 
-// Hash covers all offered records; equal tables have equal hashes.
+// Hash returns the hash of all advertised records. Tables with the same records have equal hashes; an empty table has
+// zero.
 func (t *Table) Hash() uint64 { return t.hash }
 
-// Digest has a hash for each kind, by kind.
+// Digest returns the hash of each kind that has advertised records, sorted by kind.
 func (t *Table) Digest() []KindHash {
 	list := make([]KindHash, 0, len(t.kinds))
 	for kind, table := range t.kinds {
@@ -52,7 +55,7 @@
 	return list
 }
 
-// DifferingKinds lists the kinds whose hashes differ from those of the other table.
+// DifferingKinds returns the kinds whose hashes differ from those of the other table.
 func (t *Table) DifferingKinds(other []KindHash) []Kind {
 	var list []Kind
 	seen := make(map[Kind]bool, len(other))
@@ -71,7 +74,7 @@
 	return list
 }
 
-// BucketHashes returns the hashes of the kinds' buckets.
+// BucketHashes returns the hashes of the buckets of the given kinds.
 func (t *Table) BucketHashes(kinds []Kind) []KindBuckets {
 	list := make([]KindBuckets, 0, len(kinds))
 	for _, kind := range kinds {
@@ -92,7 +95,7 @@
 	return hashes
 }
 
-// DifferingBuckets lists the buckets whose hashes differ from those of the other table.
+// DifferingBuckets returns the buckets whose hashes differ from those of the other table.
 func (t *Table) DifferingBuckets(other []KindBuckets) []BucketID {
 	var list []BucketID
 	for _, theirs := range other {
@@ -113,7 +116,7 @@
 	return 0
 }
 
-// AllBuckets names every bucket that holds anything.
+// AllBuckets returns every bucket that holds a record.
 func (t *Table) AllBuckets() []BucketID {
 	var list []BucketID
 	for kind, table := range t.kinds {
@@ -126,12 +129,12 @@
 	return list
 }
 
-// Summaries says what the buckets hold.
+// Summaries returns the summaries of the advertised records in the buckets.
 func (t *Table) Summaries(buckets []BucketID) []Summary {
 	var list []Summary
 	for _, id := range buckets {
 		for _, e := range t.bucket(id) {
-			if !e.silent {
+			if !e.withdrawn {
 				list = append(list, e.summary())
 			}
 		}
@@ -151,8 +154,9 @@
 	return Summary{Kind: e.record.Kind, Key: e.record.Key, Version: e.record.Version, Hash: e.hash}
 }
 
-// Difference compares the buckets with the summaries that another table gave of them: records that the other lacks or holds
-// older, and the names of those that it holds newer. Equal versions with different contents are in both lists.
+// Difference compares the buckets with the summaries that another table gave of them. It returns the records that the
+// other table lacks or holds in an older version, and the IDs of those that it holds in a newer one. Records of equal
+// version and different content are in both lists.
 func (t *Table) Difference(buckets []BucketID, theirs []Summary) (newer []Record, wanted []ID) {
 	known := make(map[ID]bool, len(theirs))
 	for _, summary := range theirs {
@@ -171,7 +175,7 @@
 			newer = append(newer, e.record)
 		}
 	}
-	return append(newer, t.unknownTo(known, buckets)...), wanted
+	return append(newer, t.recordsMissingFrom(known, buckets)...), wanted
 }
 
 func (t *Table) lookup(id ID) *entry {
@@ -182,11 +186,11 @@
 	return table.buckets[bucketOf(id.Key)].entries[id.Key]
 }
 
-func (t *Table) unknownTo(known map[ID]bool, buckets []BucketID) []Record {
+func (t *Table) recordsMissingFrom(known map[ID]bool, buckets []BucketID) []Record {
 	var list []Record
 	for _, id := range buckets {
 		for _, e := range t.bucket(id) {
-			if !e.silent && !known[e.record.ID()] {
+			if !e.withdrawn && !known[e.record.ID()] {
 				list = append(list, e.record)
 			}
 		}
@@ -194,7 +198,7 @@
 	return list
 }
 
-// Select returns the named records that the table holds.
+// Select returns the records of the given IDs that the table holds.
 func (t *Table) Select(ids []ID) []Record {
 	list := make([]Record, 0, len(ids))
 	for _, id := range ids {
--- a/internal/router/softstate/encoding.go
+++ b/internal/router/softstate/encoding.go
@@ -5,7 +5,7 @@
 	"github.com/vmihailenco/msgpack/v5"
 )
 
-// Records and summaries are encoded by hand: they make up most of what routers send one another.
+// Records and summaries have their own encoders and decoders, since they make up most of what routers send each other.
 
 const (
 	recordFields  = 6 // kind, key, epoch, sequence, payload, removed
@@ -25,7 +25,7 @@
 
 // DecodeMsgpack implements msgpack.CustomDecoder.
 func (r *Record) DecodeMsgpack(decoder *msgpack.Decoder) error {
-	if err := decodeLength(decoder, recordFields); err != nil {
+	if err := decodeArrayLength(decoder, recordFields); err != nil {
 		return err
 	}
 	var id ID
@@ -56,7 +56,7 @@
 
 // DecodeMsgpack implements msgpack.CustomDecoder.
 func (s *Summary) DecodeMsgpack(decoder *msgpack.Decoder) error {
-	if err := decodeLength(decoder, summaryFields); err != nil {
+	if err := decodeArrayLength(decoder, summaryFields); err != nil {
 		return err
 	}
 	var id ID
@@ -98,13 +98,13 @@
 	return Version{Epoch: epoch, Sequence: sequence}, err
 }
 
-func decodeLength(decoder *msgpack.Decoder, fields int) error {
+func decodeArrayLength(decoder *msgpack.Decoder, fields int) error {
 	length, err := decoder.DecodeArrayLen()
 	if err != nil {
 		return err
 	}
 	if length != fields {
-		return errors.Errorf("%d fields instead of %d", length, fields)
+		return errors.Errorf("array has %d fields instead of %d", length, fields)
 	}
 	return nil
 }
--- a/internal/router/softstate/record.go
+++ b/internal/router/softstate/record.go
@@ -1,5 +1,5 @@
-// Package softstate holds versioned records that their sources announce again after a loss, and finds the differences between two
-// tables of them with few bytes. It is pure: time comes in as an argument.
+// Package softstate holds versioned records that their sources announce again after a loss, and finds the differences
+// between two tables of records with little data. It reads no clock: times are arguments.
 package softstate
 
 import (
@@ -10,7 +10,7 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// Kind tells sorts of records apart.
+// Kind is the type of a record. Its values are assigned by the users of the package.
 type Kind uint8
 
 // Version orders the records of one key: by epoch, then by sequence.
@@ -19,7 +19,7 @@
 	Sequence uint64
 }
 
-// Compare returns -1, 0 or 1 as v is older than, as old as or newer than other.
+// Compare returns -1, 0 or 1 if v is older than, as old as, or newer than other.
 func (v Version) Compare(other Version) int {
 	if order := cmp.Compare(v.Epoch, other.Epoch); order != 0 {
 		return order
@@ -27,20 +27,21 @@
 	return cmp.Compare(v.Sequence, other.Sequence)
 }
 
-// Zero tells whether the version is unset.
+// Zero reports whether the version is unset.
 func (v Version) Zero() bool { return v.Epoch == 0 && v.Sequence == 0 }
 
-// Next is the smallest version after v within its epoch.
+// Next returns the smallest version after v within its epoch.
 func (v Version) Next() Version { return Version{Epoch: v.Epoch, Sequence: v.Sequence + 1} }
 
-// ID names a record.
+// ID identifies a record by its kind and key. It is encoded as an array: the order of its fields is part of the format.
 type ID struct {
 	_msgpack struct{} `msgpack:",as_array"`
 	Kind     Kind
 	Key      string
 }
 
-// Record is one versioned value. A removed one says that the key is gone. The payload must not be changed after it was handed over.
+// Record is one versioned value. A removed record (tombstone) says that the key has been deleted. The payload must not
+// be modified after it was passed to a table.
 type Record struct {
 	Kind    Kind
 	Key     string
@@ -49,11 +50,11 @@
 	Removed bool
 }
 
-// ID names the record.
+// ID returns the record's ID.
 func (r Record) ID() ID { return ID{Kind: r.Kind, Key: r.Key} }
 
-// Supersedes tells whether r takes the place of other. Of two with one version, which a proper source never makes, a removal wins,
-// then the larger payload, so that all tables agree whatever the order of arrival.
+// Supersedes reports whether r replaces other. Of two records with one version, which a correct source never makes, a
+// removal wins, then the larger payload, so that all tables agree whatever the order of arrival.
 func (r Record) Supersedes(other Record) bool {
 	if order := r.Version.Compare(other.Version); order != 0 {
 		return order > 0
@@ -64,7 +65,7 @@
 	return bytes.Compare(r.Payload, other.Payload) > 0
 }
 
-// hash covers everything about the record.
+// hash returns a hash of all fields of the record.
 func (r Record) hash() uint64 {
 	var digest xxhash.Digest
 	digest.Reset()
--- a/internal/router/softstate/table.go
+++ b/internal/router/softstate/table.go
@@ -8,29 +8,29 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// Buckets is the number of parts into which the keys of a kind are hashed.
+// Buckets is the number of buckets into which the keys of a kind are hashed.
 const Buckets = 64
 
-// TombstoneOffered is how long a removed record is offered to other tables. It is kept twice as long, so that a table that has
-// dropped it is not offered it again by one that learned it later.
-const TombstoneOffered = 5 * time.Minute
+// TombstoneAdvertisedFor is how long a removed record is advertised to other tables. It is kept for twice as long, so
+// that a table that no longer advertises it does not accept it again from one that learned it later.
+const TombstoneAdvertisedFor = 5 * time.Minute
 
-// passedHashes is the number of changes after which the table's hash is remembered.
-const passedHashes = 32
+// recentHashCount is the number of latest changes whose table hashes are remembered.
+const recentHashCount = 32
 
-const tombstoneKept = 2 * TombstoneOffered
+const tombstoneRetention = 2 * TombstoneAdvertisedFor
 
 type entry struct {
-	record  Record
-	hash    uint64
-	learned time.Time
-	silent  bool // a tombstone that is kept but no longer offered
+	record    Record
+	hash      uint64
+	mergedAt  time.Time
+	withdrawn bool // a tombstone that is kept but no longer advertised
 }
 
-// bucket holds the records of a kind whose keys hash alike.
+// bucket holds the records of a kind whose keys have the same hash modulo Buckets.
 type bucket struct {
 	entries map[string]*entry
-	hash    uint64 // exclusive or of the hashes of the offered entries
+	hash    uint64 // exclusive or of the hashes of the advertised entries
 }
 
 type kindTable struct {
@@ -38,15 +38,15 @@
 	hash    uint64
 }
 
-// Table is a set of records. It is not safe for use by several goroutines.
+// Table is a set of records. It is not safe for concurrent use.
 type Table struct {
-	kinds      map[Kind]*kindTable
-	hash       uint64
-	count      int
-	tombstones map[ID]*entry
-	lastChange time.Time
-	passed     [passedHashes]uint64 // the latest hashes, a ring
-	passedNext int
+	kinds          map[Kind]*kindTable
+	hash           uint64
+	count          int
+	tombstones     map[ID]*entry
+	lastChange     time.Time
+	recentHashes   [recentHashCount]uint64 // ring buffer of the latest hashes
+	hashesRecorded int
 }
 
 // NewTable returns an empty table.
@@ -54,29 +54,29 @@
 	return &Table{kinds: make(map[Kind]*kindTable), tombstones: make(map[ID]*entry)}
 }
 
-// Merge takes the record in if it supersedes what is held, and tells whether it did.
+// Merge stores the record if it supersedes the present one of its key, and reports whether it did.
 func (t *Table) Merge(record Record, now time.Time) bool {
 	table := t.kind(record.Kind)
-	part := &table.buckets[bucketOf(record.Key)]
-	held := part.entries[record.Key]
+	b := &table.buckets[bucketOf(record.Key)]
+	held := b.entries[record.Key]
 	if held != nil && !record.Supersedes(held.record) {
 		return false
 	}
 	if held != nil {
-		t.unhash(table, part, held)
+		t.removeFromHashes(table, b, held)
 	} else {
 		t.count++
 	}
-	added := &entry{record: record, hash: record.hash(), learned: now}
-	if part.entries == nil {
-		part.entries = make(map[string]*entry)
+	added := &entry{record: record, hash: record.hash(), mergedAt: now}
+	if b.entries == nil {
+		b.entries = make(map[string]*entry)
 	}
-	part.entries[record.Key] = added
-	t.flip(table, part, added.hash)
-	t.noteTombstone(added)
+	b.entries[record.Key] = added
+	t.toggleHash(table, b, added.hash)
+	t.updateTombstones(added)
 	t.lastChange = now
-	t.passed[t.passedNext%passedHashes] = t.hash
-	t.passedNext++
+	t.recentHashes[t.hashesRecorded%recentHashCount] = t.hash
+	t.hashesRecorded++
 	return true
 }
 
@@ -89,7 +89,7 @@
 	return table
 }
 
-func (t *Table) noteTombstone(e *entry) {
+func (t *Table) updateTombstones(e *entry) {
 	if e.record.Removed {
 		t.tombstones[e.record.ID()] = e
 		return
@@ -97,39 +97,40 @@
 	delete(t.tombstones, e.record.ID())
 }
 
-// unhash takes an entry out of the hashes if it was in them.
-func (t *Table) unhash(table *kindTable, part *bucket, e *entry) {
-	if !e.silent {
-		t.flip(table, part, e.hash)
+// removeFromHashes removes an entry from the hashes if they include it.
+func (t *Table) removeFromHashes(table *kindTable, b *bucket, e *entry) {
+	if !e.withdrawn {
+		t.toggleHash(table, b, e.hash)
 	}
 }
 
-func (t *Table) flip(table *kindTable, part *bucket, hash uint64) {
-	part.hash ^= hash
+func (t *Table) toggleHash(table *kindTable, b *bucket, hash uint64) {
+	b.hash ^= hash
 	table.hash ^= hash
 	t.hash ^= hash
 }
 
-// Expire stops offering old tombstones and drops the oldest.
+// Expire stops advertising tombstones that were merged TombstoneAdvertisedFor ago or earlier, and drops those merged
+// tombstoneRetention ago or earlier.
 func (t *Table) Expire(now time.Time) {
 	for id, e := range t.tombstones {
-		age := now.Sub(e.learned)
-		if age < TombstoneOffered {
+		age := now.Sub(e.mergedAt)
+		if age < TombstoneAdvertisedFor {
 			continue
 		}
 		table := t.kinds[id.Kind]
-		part := &table.buckets[bucketOf(id.Key)]
-		t.unhash(table, part, e)
-		e.silent = true
-		if age >= tombstoneKept {
-			delete(part.entries, id.Key)
+		b := &table.buckets[bucketOf(id.Key)]
+		t.removeFromHashes(table, b, e)
+		e.withdrawn = true
+		if age >= tombstoneRetention {
+			delete(b.entries, id.Key)
 			delete(t.tombstones, id)
 			t.count--
 		}
 	}
 }
 
-// Get returns the record of a key; a removed one is returned too.
+// Get returns the record of a key, even if it is a removed one.
 func (t *Table) Get(kind Kind, key string) (Record, bool) {
 	table := t.kinds[kind]
 	if table == nil {
@@ -142,7 +143,7 @@
 	return e.record, true
 }
 
-// Records returns the records of a kind that are not removed, by key.
+// Records returns the records of a kind that are not removed, sorted by key.
 func (t *Table) Records(kind Kind) []Record {
 	var list []Record
 	for e := range t.entries(kind) {
@@ -154,19 +155,19 @@
 	return list
 }
 
-// Learned tells when the record of a key was merged.
+// Learned returns the time at which the record of a key was merged.
 func (t *Table) Learned(id ID) (at time.Time, known bool) {
 	e := t.lookup(id)
 	if e == nil {
 		return time.Time{}, false
 	}
-	return e.learned, true
+	return e.mergedAt, true
 }
 
-// Passed tells whether the table had the hash at one of its latest changes.
-func (t *Table) Passed(hash uint64) bool { return slices.Contains(t.passed[:], hash) }
+// Passed reports whether the table had the hash after one of its latest changes.
+func (t *Table) Passed(hash uint64) bool { return slices.Contains(t.recentHashes[:], hash) }
 
-// LastChange tells when a record was last merged.
+// LastChange returns the time at which a record was last merged.
 func (t *Table) LastChange() time.Time { return t.lastChange }
 
 func (t *Table) entries(kind Kind) func(yield func(*entry) bool) {
@@ -185,7 +186,7 @@
 	}
 }
 
-// Len counts the records, tombstones included.
+// Len returns the number of records, including tombstones.
 func (t *Table) Len() int { return t.count }
 
 func bucketOf(key string) uint8 { return uint8(xxhash.Sum64String(key) % Buckets) }
--- a/internal/router/softstate/table_test.go
+++ b/internal/router/softstate/table_test.go
@@ -11,10 +11,11 @@
 	"pgregory.net/rapid"
 )
 
-var start = time.Date(2026, 1, 1, 0, 0, 0, 0, time.UTC)
+var startTime = time.Date(2026, 1, 1, 0, 0, 0, 0, time.UTC)
 
-// drawRecord draws from a small world, so that records meet.
-func drawRecord() *rapid.Generator[Record] {
+// recordGenerator returns a generator of records with few kinds, keys and versions, so that drawn records often share a
+// key.
+func recordGenerator() *rapid.Generator[Record] {
 	return rapid.Custom(func(t *rapid.T) Record {
 		return Record{
 			Kind:    Kind(rapid.IntRange(0, 2).Draw(t, "kind")),
@@ -26,8 +27,8 @@
 	})
 }
 
-// merged is a slow plain model: for each key, the record that no other supersedes.
-func merged(records []Record) map[ID]Record {
+// expectedRecords is a slow reference model: for each key, the record that no other supersedes.
+func expectedRecords(records []Record) map[ID]Record {
 	model := make(map[ID]Record)
 	for _, record := range records {
 		best := true
@@ -43,22 +44,23 @@
 	return model
 }
 
-func fill(table *Table, records []Record) {
+func mergeAll(table *Table, records []Record) {
 	for _, record := range records {
-		table.Merge(record, start)
+		table.Merge(record, startTime)
 	}
 }
 
-// TestMergeInAnyOrder checks that tables agree with the model and one another, whatever the order and the repetitions.
+// TestMergeInAnyOrder checks that tables agree with the model and with each other, whatever the order and the
+// repetitions of records.
 func TestMergeInAnyOrder(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		records := rapid.SliceOf(drawRecord()).Draw(t, "records")
+		records := rapid.SliceOf(recordGenerator()).Draw(t, "records")
 		one, other := NewTable(), NewTable()
-		fill(one, records)
-		fill(other, rapid.Permutation(records).Draw(t, "order"))
-		fill(other, records)
+		mergeAll(one, records)
+		mergeAll(other, rapid.Permutation(records).Draw(t, "order"))
+		mergeAll(other, records)
 		assert.Equal(t, one.Hash(), other.Hash())
-		model := merged(records)
+		model := expectedRecords(records)
 		assert.Equal(t, one.Len(), len(model))
 		for id, want := range model {
 			got, known := one.Get(id.Kind, id.Key)
@@ -73,107 +75,109 @@
 	})
 }
 
-// exchange lets one table find and take what differs from the other, and the other way round.
-func exchange(one, other *Table) {
+// synchronize compares two tables, and stores in each what the other holds newer.
+func synchronize(one, other *Table) {
 	kinds := other.DifferingKinds(one.Digest())
 	buckets := one.DifferingBuckets(other.BucketHashes(kinds))
 	newer, wanted := other.Difference(buckets, one.Summaries(buckets))
 	pushed := one.Select(wanted)
-	fill(one, newer)
-	fill(other, pushed)
+	mergeAll(one, newer)
+	mergeAll(other, pushed)
 }
 
 func TestExchangeFindsAllDifferences(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		first := rapid.SliceOf(drawRecord()).Draw(t, "first")
-		second := rapid.SliceOf(drawRecord()).Draw(t, "second")
+		first := rapid.SliceOf(recordGenerator()).Draw(t, "first")
+		second := rapid.SliceOf(recordGenerator()).Draw(t, "second")
 		one, other, both := NewTable(), NewTable(), NewTable()
-		fill(one, first)
-		fill(other, second)
-		fill(both, append(first, second...))
-		exchange(one, other)
+		mergeAll(one, first)
+		mergeAll(other, second)
+		mergeAll(both, append(first, second...))
+		synchronize(one, other)
 		assert.Equal(t, one.Hash(), both.Hash())
 		assert.Equal(t, other.Hash(), both.Hash())
 		assert.Equal(t, len(other.DifferingKinds(one.Digest())), 0)
 	})
 }
 
-func TestWholeTableForEmptyOne(t *testing.T) {
+func TestEmptyTableReceivesAllRecords(t *testing.T) {
 	full, empty := NewTable(), NewTable()
 	for i := range 500 {
-		full.Merge(Record{Kind: Kind(i % 5), Key: fmt.Sprint(i), Version: Version{Epoch: 1}}, start)
+		full.Merge(Record{Kind: Kind(i % 5), Key: fmt.Sprint(i), Version: Version{Epoch: 1}}, startTime)
 	}
 	newer, wanted := full.Difference(full.AllBuckets(), nil)
-	fill(empty, newer)
+	mergeAll(empty, newer)
 	assert.Equal(t, len(wanted), 0)
 	assert.Equal(t, empty.Hash(), full.Hash())
 }
 
-// TestDigestIsSmall checks what it costs to compare equal tables, and nearly equal ones.
+// TestDigestIsSmall checks the size of what is exchanged to compare equal tables, and nearly equal ones.
 func TestDigestIsSmall(t *testing.T) {
 	one, other := NewTable(), NewTable()
 	for i := range 500 {
 		record := Record{Kind: Kind(i % 6), Key: fmt.Sprintf("some-longer-key-%d", i), Version: Version{Epoch: rand.Uint64()}}
-		fill(one, []Record{record})
-		fill(other, []Record{record})
+		mergeAll(one, []Record{record})
+		mergeAll(other, []Record{record})
 	}
-	assert.Assert(t, size(t, one.Digest()) < 200)
+	assert.Assert(t, encodedSize(t, one.Digest()) < 200)
 	assert.Equal(t, len(other.DifferingKinds(one.Digest())), 0)
 
-	fill(one, []Record{{Kind: 3, Key: "new", Version: Version{Epoch: 1}}})
+	mergeAll(one, []Record{{Kind: 3, Key: "new", Version: Version{Epoch: 1}}})
 	kinds := other.DifferingKinds(one.Digest())
 	hashes := other.BucketHashes(kinds)
-	assert.Assert(t, size(t, hashes) < 700)
+	assert.Assert(t, encodedSize(t, hashes) < 700)
 	summaries := one.Summaries(one.DifferingBuckets(hashes))
 	assert.Assert(t, len(summaries) < 20)
 }
 
-func size(t *testing.T, value any) int {
+func encodedSize(t *testing.T, value any) int {
 	body, err := msgpack.Marshal(value)
 	assert.NilError(t, err)
 	return len(body)
 }
 
-// TestTombstone checks that a removal outlives older records, isn't offered for ever, and goes in the end.
+// TestTombstone checks that a removal supersedes older records, is advertised for a limited time, and is dropped in the
+// end.
 func TestTombstone(t *testing.T) {
 	table := NewTable()
 	older := Record{Kind: 1, Key: "key", Version: Version{Epoch: 1}}
 	removal := Record{Kind: 1, Key: "key", Version: Version{Epoch: 2}, Removed: true}
-	assert.Assert(t, table.Merge(removal, start))
-	assert.Assert(t, !table.Merge(older, start))
+	assert.Assert(t, table.Merge(removal, startTime))
+	assert.Assert(t, !table.Merge(older, startTime))
 	assert.Equal(t, len(table.Summaries(table.AllBuckets())), 1)
 
-	table.Expire(start.Add(TombstoneOffered))
+	table.Expire(startTime.Add(TombstoneAdvertisedFor))
 	assert.Equal(t, table.Hash(), uint64(0))
 	assert.Equal(t, len(table.Summaries(table.AllBuckets())), 0)
-	assert.Assert(t, !table.Merge(older, start))
+	assert.Assert(t, !table.Merge(older, startTime))
 
-	// one that missed the removal is still told
+	// a table that missed the removal still learns of it
 	behind := NewTable()
-	fill(behind, []Record{older})
-	exchange(behind, table)
+	mergeAll(behind, []Record{older})
+	synchronize(behind, table)
 	assert.Equal(t, len(behind.Records(1)), 0)
 
-	table.Expire(start.Add(tombstoneKept))
+	table.Expire(startTime.Add(tombstoneRetention))
 	assert.Equal(t, table.Len(), 0)
 }
 
-// TestReplacedTombstone checks that a key that came back is not dropped with its old tombstone.
-func TestReplacedTombstone(t *testing.T) {
+// TestRecordReplacingTombstoneIsKept checks that a record that replaced a tombstone is not dropped when the tombstone
+// would expire.
+func TestRecordReplacingTombstoneIsKept(t *testing.T) {
 	table, want := NewTable(), NewTable()
 	back := Record{Kind: 1, Key: "key", Version: Version{Epoch: 3}}
-	fill(table, []Record{{Kind: 1, Key: "key", Version: Version{Epoch: 2}, Removed: true}})
-	table.Expire(start.Add(TombstoneOffered))
-	fill(table, []Record{back})
-	table.Expire(start.Add(tombstoneKept))
-	fill(want, []Record{back})
+	mergeAll(table, []Record{{Kind: 1, Key: "key", Version: Version{Epoch: 2}, Removed: true}})
+	table.Expire(startTime.Add(TombstoneAdvertisedFor))
+	mergeAll(table, []Record{back})
+	table.Expire(startTime.Add(tombstoneRetention))
+	mergeAll(want, []Record{back})
 	assert.Equal(t, table.Hash(), want.Hash())
 	assert.Equal(t, table.Len(), 1)
 }
 
 func TestEncoding(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		record := drawRecord().Draw(t, "record")
+		record := recordGenerator().Draw(t, "record")
 		body, err := msgpack.Marshal(&record)
 		assert.NilError(t, err)
 		var decoded Record
@@ -181,7 +185,7 @@
 		assert.DeepEqual(t, decoded, record)
 
 		table := NewTable()
-		fill(table, []Record{record})
+		mergeAll(table, []Record{record})
 		summaries := table.Summaries(table.AllBuckets())
 		body, err = msgpack.Marshal(summaries)
 		assert.NilError(t, err)
