--- a/internal/router/quota/admission.go
+++ b/internal/router/quota/admission.go
@@ -79,7 +79,8 @@
 	}
 }
 
-// Keep enables the keeping of floors: it sets the router's address and the floor table that is on its disk.
+// Keep sets the router's address and the floor table that is on its disk. From the first call on the router reports
+// itself as a keeper of floor tables.
 func (a *Admission) Keep(address string, table FloorTable) { a.floors.setKept(address, table) }
 
 // Unkept returns the floor table that the coordinator wants written to the disk, or nil if the disk has it.
--- a/internal/router/quota/ledger.go
+++ b/internal/router/quota/ledger.go
@@ -185,8 +185,8 @@
 	l.requestRate = addToMeanRate(l.requestRate, requests, seconds)
 }
 
-// settleWithheld compares what was withheld for a silent router with what it has used, and returns the difference to
-// the store.
+// settleWithheld compares what was withheld for a silent router with what it has used. An unused amount goes back to
+// the store as far as it is returnable; an amount used in excess is deducted from the store.
 func (l *ledger) settleWithheld(now time.Duration, e *routerEntry, demand TenantDemand) {
 	l.setWithheldRate(now, e, 0)
 	unused := e.withheld - (demand.Supplied - e.supplied)
--- a/internal/router/quota/share.go
+++ b/internal/router/quota/share.go
@@ -94,12 +94,12 @@
 // that has not observed the demand for long enough leaves a router at least the rate that it came with: a reduction
 // would be withheld for the missing routers and not be restored.
 func (l *ledger) standingRate(e *routerEntry, fleet fleetView) float64 {
-	wanted := l.limit.PerSecond * l.demandWeight(e.demandRate, l.demandRate, fleet.routers)
+	rate := l.limit.PerSecond * l.demandWeight(e.demandRate, l.demandRate, fleet.routers)
 	if fleet.isLearning {
-		wanted = max(wanted, e.inheritedStanding)
+		rate = max(rate, e.inheritedStanding)
 	}
 	free := l.limit.PerSecond - (l.reservedRate - e.reservedRate) - l.missingRate(fleet)
-	return max(0, min(wanted, free))
+	return max(0, min(rate, free))
 }
 
 // reservable returns the part of the store that routers may draw as reserves when they hear nothing. It overlaps the
