--- a/internal/router/configstore/acceptor.go
+++ b/internal/router/configstore/acceptor.go
@@ -12,80 +12,82 @@
 )
 
 const (
-	// queuedRequests bounds the requests that wait for the acceptor's goroutine.
-	queuedRequests = 64
-	// openPause is the pause before a disk that refused is opened again.
-	openPause = 300 * time.Millisecond
+	// requestQueueSize is the capacity of the queue to the acceptor's goroutine.
+	requestQueueSize = 64
+	// openRetryInterval is the pause before the record is loaded again after a disk error.
+	openRetryInterval = 300 * time.Millisecond
 )
 
-// step is a request on its way through the acceptor's goroutine.
-type step struct {
+// pendingRequest is a request queued for, or being processed by, the acceptor's goroutine.
+type pendingRequest struct {
 	request casregister.Request
-	// answer has room for one outcome, so that the goroutine never waits for the asker.
-	answer chan stepOutcome
+	// result has a buffer of one, so that the acceptor's goroutine never blocks on the caller.
+	result chan requestResult
 	output casregister.Output
 }
 
-type stepOutcome struct {
+type requestResult struct {
 	reply casregister.Reply
 	err   error
 }
 
-// acceptor owns the acceptor's machine and disk. Only its goroutine touches them.
+// acceptor owns the acceptor's state machine and its disk. Only its goroutine accesses them.
 type acceptor struct {
 	options Options
 	log     logrus.FieldLogger
-	queue   chan *step
-	// opened is closed once the record was read; stopped once the goroutine has ended.
-	opened  chan struct{}
-	stopped chan struct{}
-	machine *casregister.AcceptorMachine
-	// saved is nil for a volatile acceptor.
-	saved *disk.Disk
-	// durable is the record as last synced, for readers. Nil until the record was read.
-	durable atomic.Pointer[casregister.Record]
-	// writingSince is when the write under way began, in nanoseconds of the Unix clock; zero: there is none. refused says that the last
-	// one failed.
-	writingSince atomic.Int64
-	refused      atomic.Bool
-	// onOpened is called from the goroutine with the record as read, onAccepted after a state was accepted and synced.
-	onOpened   func(casregister.Record)
-	onAccepted func()
+	queue   chan *pendingRequest
+	// recordLoaded is closed once the record has been read, stopped once the goroutine has returned.
+	recordLoaded chan struct{}
+	stopped      chan struct{}
+	machine      *casregister.AcceptorMachine
+	// recordDisk is nil for a volatile acceptor.
+	recordDisk *disk.Disk
+	// syncedRecord is the record as last synced, for other goroutines. Nil until the record has been loaded.
+	syncedRecord atomic.Pointer[casregister.Record]
+	// writeStartedAt is when the current write began, in Unix nanoseconds; zero means that no write is in progress.
+	// lastWriteFailed reports whether the last write failed.
+	writeStartedAt  atomic.Int64
+	lastWriteFailed atomic.Bool
+	// onRecordLoaded is called from the acceptor's goroutine with the loaded record, onAccepted after a state has been
+	// accepted and synced.
+	onRecordLoaded func(casregister.Record)
+	onAccepted     func()
 }
 
 func newAcceptor(options Options, log logrus.FieldLogger) *acceptor {
 	return &acceptor{
-		options: options,
-		log:     log,
-		queue:   make(chan *step, queuedRequests),
-		opened:  make(chan struct{}),
-		stopped: make(chan struct{}),
+		options:      options,
+		log:          log,
+		queue:        make(chan *pendingRequest, requestQueueSize),
+		recordLoaded: make(chan struct{}),
+		stopped:      make(chan struct{}),
 	}
 }
 
-// accepted is the state that the acceptor holds on disk, zero if it holds none or its disk was not read yet.
+// accepted returns the state that the acceptor has accepted and synced. It is zero if there is none or the record has
+// not been loaded yet.
 func (acceptor *acceptor) accepted() casregister.State {
-	durable := acceptor.durable.Load()
-	if durable == nil {
+	synced := acceptor.syncedRecord.Load()
+	if synced == nil {
 		return casregister.State{}
 	}
-	return durable.Accepted
+	return synced.Accepted
 }
 
-// do has the goroutine take a request and returns its reply once that is synced. Reports are answered from the synced
-// record without waiting for the disk.
-func (acceptor *acceptor) do(ctx context.Context, request casregister.Request) (casregister.Reply, error) {
-	durable := acceptor.durable.Load()
-	if durable == nil {
-		return casregister.Reply{}, errUnavailable
+// submit queues a request for the acceptor's goroutine and returns its reply once the record is synced. Report requests
+// are answered from the synced record without waiting for the disk.
+func (acceptor *acceptor) submit(ctx context.Context, request casregister.Request) (casregister.Reply, error) {
+	synced := acceptor.syncedRecord.Load()
+	if synced == nil {
+		return casregister.Reply{}, errDiskUnavailable
 	}
-	if request.To != durable.ID {
-		return casregister.Reply{}, &casregister.IdentityError{Wanted: request.To, Actual: durable.ID}
+	if request.To != synced.ID {
+		return casregister.Reply{}, &casregister.IdentityError{Wanted: request.To, Actual: synced.ID}
 	}
 	if request.Kind == casregister.Report {
-		return casregister.ReportOf(*durable, request), nil
+		return casregister.ReportOf(*synced, request), nil
 	}
-	queued := &step{request: request, answer: make(chan stepOutcome, 1)}
+	queued := &pendingRequest{request: request, result: make(chan requestResult, 1)}
 	select {
 	case acceptor.queue <- queued:
 	case <-acceptor.stopped:
@@ -94,8 +96,8 @@
 		return casregister.Reply{}, ctx.Err()
 	}
 	select {
-	case outcome := <-queued.answer:
-		return outcome.reply, outcome.err
+	case result := <-queued.result:
+		return result.reply, result.err
 	case <-acceptor.stopped:
 		return casregister.Reply{}, ErrClosed
 	case <-ctx.Done():
@@ -103,40 +105,40 @@
 	}
 }
 
-// run reads the record and takes requests until the context ends.
+// run loads the record and processes requests until the context is done.
 func (acceptor *acceptor) run(ctx context.Context) {
 	defer close(acceptor.stopped)
-	acceptor.open(ctx)
+	acceptor.loadRecord(ctx)
 	for {
 		select {
 		case first := <-acceptor.queue:
-			acceptor.takeBatch(acceptor.gather(first))
+			acceptor.processBatch(acceptor.drainQueue(first))
 		case <-ctx.Done():
 			return
 		}
 	}
 }
 
-// open reads the record, again and again while the disk refuses.
-func (acceptor *acceptor) open(ctx context.Context) {
+// loadRecord loads the record, and retries until the disk succeeds or the context is done.
+func (acceptor *acceptor) loadRecord(ctx context.Context) {
 	for ctx.Err() == nil {
-		saved, record, err := openRecord(acceptor.options)
+		recordDisk, record, err := openRecord(acceptor.options)
 		if err == nil {
-			acceptor.saved = saved
+			acceptor.recordDisk = recordDisk
 			acceptor.machine = casregister.NewAcceptorMachine(record)
-			acceptor.onOpened(record)
-			acceptor.durable.Store(&record)
-			close(acceptor.opened)
+			acceptor.onRecordLoaded(record)
+			acceptor.syncedRecord.Store(&record)
+			close(acceptor.recordLoaded)
 			return
 		}
 		acceptor.log.WithError(err).Warn("acceptor cannot open its record")
-		sleep(ctx, openPause)
+		sleep(ctx, openRetryInterval)
 	}
 }
 
-// gather returns the first step with all others that already wait.
-func (acceptor *acceptor) gather(first *step) []*step {
-	batch := []*step{first}
+// drainQueue returns the first request together with all others already in the queue.
+func (acceptor *acceptor) drainQueue(first *pendingRequest) []*pendingRequest {
+	batch := []*pendingRequest{first}
 	for {
 		select {
 		case next := <-acceptor.queue:
@@ -147,70 +149,70 @@
 	}
 }
 
-// takeBatch steps the machine with all requests, syncs once, and hands the replies out.
-func (acceptor *acceptor) takeBatch(batch []*step) {
+// processBatch applies all requests to the state machine, syncs the record once, and delivers the replies.
+func (acceptor *acceptor) processBatch(batch []*pendingRequest) {
 	needsSync := false
-	stepped := batch[:0]
+	processed := batch[:0]
 	for _, queued := range batch {
 		output, err := acceptor.machine.Step(queued.request)
 		if err != nil {
-			queued.answer <- stepOutcome{err: err}
+			queued.result <- requestResult{err: err}
 			continue
 		}
 		queued.output = output
 		needsSync = needsSync || output.NeedsSync
-		stepped = append(stepped, queued)
+		processed = append(processed, queued)
 	}
 	var syncError error
 	if needsSync {
-		syncError = acceptor.sync()
+		syncError = acceptor.syncRecord()
 	}
-	for _, queued := range stepped {
-		queued.answer <- outcomeOf(queued.output, syncError)
+	for _, queued := range processed {
+		queued.result <- resultOf(queued.output, syncError)
 	}
 }
 
-func outcomeOf(output casregister.Output, syncError error) stepOutcome {
+func resultOf(output casregister.Output, syncError error) requestResult {
 	if output.NeedsSync && syncError != nil {
-		return stepOutcome{err: errUnavailable}
+		return requestResult{err: errDiskUnavailable}
 	}
-	return stepOutcome{reply: output.Reply}
+	return requestResult{reply: output.Reply}
 }
 
-// sync saves the machine's pending record.
-func (acceptor *acceptor) sync() error {
+// syncRecord writes the state machine's pending record to the disk, and discards it if the write fails.
+func (acceptor *acceptor) syncRecord() error {
 	record := acceptor.machine.Pending()
-	hasAccepted := record.Accepted.Ballot != acceptor.machine.Durable().Accepted.Ballot
+	acceptedChanged := record.Accepted.Ballot != acceptor.machine.Durable().Accepted.Ballot
 	err := acceptor.save(record)
-	acceptor.refused.Store(err != nil)
+	acceptor.lastWriteFailed.Store(err != nil)
 	if err != nil {
 		acceptor.machine.Discard()
 		acceptor.log.WithError(err).Warn("acceptor cannot save its record")
 		return err
 	}
 	acceptor.machine.Synced()
-	acceptor.durable.Store(&record)
-	if hasAccepted {
+	acceptor.syncedRecord.Store(&record)
+	if acceptedChanged {
 		acceptor.onAccepted()
 	}
 	return nil
 }
 
-// save writes the record to the disk, if there is one.
+// save writes the record to the disk. A volatile acceptor has none, and nothing is written.
 func (acceptor *acceptor) save(record casregister.Record) error {
-	if acceptor.saved == nil {
+	if acceptor.recordDisk == nil {
 		return nil
 	}
-	acceptor.writingSince.Store(time.Now().UnixNano())
-	defer acceptor.writingSince.Store(0)
-	return saveRecord(acceptor.saved, record)
+	acceptor.writeStartedAt.Store(time.Now().UnixNano())
+	defer acceptor.writeStartedAt.Store(0)
+	return saveRecord(acceptor.recordDisk, record)
 }
 
-// writeUnderWay is how long the write under way has taken so far, zero if there is none.
-func (acceptor *acceptor) writeUnderWay() time.Duration {
-	since := acceptor.writingSince.Load()
-	if since == 0 {
+// pendingWriteDuration returns how long the current write has taken so far, zero if there is none.
+func (acceptor *acceptor) pendingWriteDuration() time.Duration {
+	startedAt := acceptor.writeStartedAt.Load()
+	if startedAt == 0 {
 		return 0
 	}
-	return time.Since(time.Unix(0, since))
+	return time.Since(time.Unix(0, startedAt))
 }
--- a/internal/router/configstore/compress.go
+++ b/internal/router/configstore/compress.go
@@ -9,14 +9,15 @@
 	"github.com/pkg/errors"
 )
 
-// maxDocument bounds a document, so that a small payload cannot unfold into more than a router can hold.
-const maxDocument = 32 << 20
+// maxDocumentSize bounds an uncompressed document, in bytes, so that a small payload cannot expand beyond a router's
+// memory.
+const maxDocumentSize = 32 << 20
 
-// errDocumentTooLarge is a document beyond the bound.
-var errDocumentTooLarge = errors.New("configstore: the document is too large")
+// errDocumentTooLarge is returned for a document larger than maxDocumentSize.
+var errDocumentTooLarge = errors.New("configstore: document exceeds the maximum size")
 
-// compressors keeps writers, whose tables are large.
-var compressors = sync.Pool{New: func() any {
+// compressorPool reuses writers, which allocate large tables.
+var compressorPool = sync.Pool{New: func() any {
 	writer, err := flate.NewWriter(nil, flate.BestSpeed)
 	if err != nil {
 		panic(err) // the level is a valid constant
@@ -24,32 +25,33 @@
 	return writer
 }}
 
-// compress packs a document: it crosses between zones several times for each change, and repeats itself much.
+// compress deflates a document. Documents are very repetitive, and are sent between zones several times for each
+// change.
 func compress(document []byte) ([]byte, error) {
-	if len(document) > maxDocument {
+	if len(document) > maxDocumentSize {
 		return nil, errDocumentTooLarge
 	}
-	var packed bytes.Buffer
-	writer := compressors.Get().(*flate.Writer)
-	defer compressors.Put(writer)
-	writer.Reset(&packed)
+	var compressed bytes.Buffer
+	writer := compressorPool.Get().(*flate.Writer)
+	defer compressorPool.Put(writer)
+	writer.Reset(&compressed)
 	if _, err := writer.Write(document); err != nil {
 		return nil, errors.Wrap(err, "configstore: compress")
 	}
 	if err := writer.Close(); err != nil {
 		return nil, errors.Wrap(err, "configstore: compress")
 	}
-	return packed.Bytes(), nil
+	return compressed.Bytes(), nil
 }
 
-// decompress unpacks a document.
-func decompress(packed []byte) ([]byte, error) {
-	reader := flate.NewReader(bytes.NewReader(packed))
-	document, err := io.ReadAll(io.LimitReader(reader, maxDocument+1))
+// decompress inflates a document of at most maxDocumentSize bytes.
+func decompress(compressed []byte) ([]byte, error) {
+	reader := flate.NewReader(bytes.NewReader(compressed))
+	document, err := io.ReadAll(io.LimitReader(reader, maxDocumentSize+1))
 	if err != nil {
 		return nil, errors.Wrap(err, "configstore: decompress")
 	}
-	if len(document) > maxDocument {
+	if len(document) > maxDocumentSize {
 		return nil, errDocumentTooLarge
 	}
 	return document, nil
--- a/internal/router/configstore/discover.go
+++ b/internal/router/configstore/discover.go
@@ -6,40 +6,40 @@
 )
 
 const (
-	// discoverPause is the pause between rounds of questions to the seeds.
-	discoverPause = 150 * time.Millisecond
-	// discoverTimeout bounds one question.
+	// discoverInterval is the average pause between two queries of all seeds.
+	discoverInterval = 150 * time.Millisecond
+	// discoverTimeout bounds one query to a seed.
 	discoverTimeout = 500 * time.Millisecond
 )
 
-// discover asks the seeds what they know of the register, while this process knows no acceptor set, and whenever a
-// proposal found no quorum.
-func (store *Store) discover(ctx context.Context) {
+// discoverState queries the seeds for the newest state that they know, for as long as this process knows no acceptor
+// set, and whenever a proposal found no quorum.
+func (store *Store) discoverState(ctx context.Context) {
 	for ctx.Err() == nil {
 		if !store.startingSet().IsZero() {
 			waitForWake(ctx, store.wakeDiscover)
 		}
 		for _, address := range store.options.Initial {
-			go store.askKnowledge(ctx, address)
+			go store.queryKnownState(ctx, address)
 		}
-		sleep(ctx, jitter(discoverPause))
+		sleep(ctx, jitter(discoverInterval))
 	}
 }
 
-func (store *Store) askKnowledge(ctx context.Context, address string) {
+func (store *Store) queryKnownState(ctx context.Context, address string) {
 	if store.options.Self != nil && store.options.Self.Address == address {
 		return
 	}
 	ctx, cancel := context.WithTimeout(ctx, discoverTimeout)
 	defer cancel()
-	answer, err := store.call(ctx, address, envelope{Knowledge: true})
+	answer, err := store.call(ctx, address, envelope{KnownStateQuery: true})
 	if err != nil {
 		return
 	}
 	if answer.Chosen != nil {
 		store.Learn(answer.Chosen)
 	}
-	if answer.Start != nil {
-		store.raiseStart(*answer.Start)
+	if answer.NewestSet != nil {
+		store.raiseNewestSet(*answer.NewestSet)
 	}
 }
--- a/internal/router/configstore/fleet_test.go
+++ b/internal/router/configstore/fleet_test.go
@@ -19,68 +19,68 @@
 )
 
 const (
-	linkDelay    = 10 * time.Millisecond
-	syncDelay    = time.Millisecond
-	broadcastLag = 100 * time.Millisecond
-	viewInterval = 100 * time.Millisecond
-	// orderTime is what an order of the operator may take.
-	orderTime = 3 * time.Second
-	// settleTime is enough for a change of the acceptor set.
+	linkDelay          = 10 * time.Millisecond
+	syncDelay          = time.Millisecond
+	broadcastDelay     = 100 * time.Millisecond
+	membershipInterval = 100 * time.Millisecond
+	// requestTimeout bounds one change or read of an operator.
+	requestTimeout = 3 * time.Second
+	// settleTime is enough for one change of the acceptor set.
 	settleTime = 1500 * time.Millisecond
 )
 
 var errUnreachable = errors.New("unreachable")
 
-// fleet is some routers in virtual time, with simulated links, disks and membership.
+// fleet is a set of routers in virtual time, with simulated links, disks and membership.
 type fleet struct {
-	t        *testing.T
-	initial  []string
-	tolerate int
-	watching sync.Once
-	stopping sync.Once
-	stopped  chan struct{}
+	t                 *testing.T
+	initial           []string
+	toleratedFailures int
+	membershipOnce    sync.Once
+	stopOnce          sync.Once
+	stopped           chan struct{}
 
 	mutex   sync.Mutex
 	routers []*router
-	// volatile says that machines without a disk have volatile acceptors.
+	// volatile gives machines without a disk a volatile acceptor. Otherwise they have none.
 	volatile bool
-	// hears says whether chosen states are told to all routers, as the cluster does.
-	hears bool
-	// half holds the addresses of the machines that reach only each other; empty: all reach all.
-	half map[string]bool
-	// calls counts the calls of each machine, received the bytes of the answers to them.
+	// broadcastsChosen sends chosen states to all routers, as the cluster does.
+	broadcastsChosen bool
+	// partition contains the addresses of the machines on one side of a partition. If it is empty, there is none.
+	partition map[string]bool
+	// calls counts the calls of each machine, received the bytes of the responses to them, both by address.
 	calls    map[string]int
 	received map[string]int
-	// onCall is called before each call, if it is set.
+	// onCall is called before each call if it is not nil.
 	onCall func(from *router, address string, message envelope)
 }
 
-// router is a machine: its store while it runs, and its disk if it has one.
+// router is a machine with its store, and its disk if it has one.
 type router struct {
-	fleet   *fleet
-	address string
-	zone    string
-	disk    *simdisk.Disk // nil if it has none
-	store   *Store        // nil while it is down
-	cut     bool
+	fleet    *fleet
+	address  string
+	zone     string
+	disk     *simdisk.Disk // nil if it has none
+	store    *Store        // nil while it is down
+	isolated bool
 }
 
 func newFleet(t *testing.T, initial ...string) *fleet {
-	fleet := &fleet{t: t, initial: initial, tolerate: 1, hears: true, stopped: make(chan struct{}), calls: map[string]int{}, received: map[string]int{}}
+	fleet := &fleet{t: t, initial: initial, toleratedFailures: 1, broadcastsChosen: true, stopped: make(chan struct{}), calls: map[string]int{}, received: map[string]int{}}
 	t.Cleanup(fleet.stop)
 	return fleet
 }
 
-// stop stops all machines and lets the calls under way end.
+// stop stops all machines and waits for calls in progress to end.
 func (fleet *fleet) stop() {
-	fleet.stopping.Do(func() { close(fleet.stopped) })
+	fleet.stopOnce.Do(func() { close(fleet.stopped) })
 	for _, router := range fleet.routers {
 		router.stop()
 	}
-	time.Sleep(orderTime)
+	time.Sleep(requestTimeout)
 }
 
-// add adds a machine that is down.
+// add adds a machine without starting it.
 func (fleet *fleet) add(address string, hasDisk bool) *router {
 	added := &router{fleet: fleet, address: address, zone: "zone of " + address}
 	if hasDisk {
@@ -92,7 +92,7 @@
 	return added
 }
 
-// startAll adds and starts machines with a disk.
+// startAll adds and starts machines with a disk, and starts the membership.
 func (fleet *fleet) startAll(bootstrap bool, addresses ...string) []*router {
 	var started []*router
 	for _, address := range addresses {
@@ -100,17 +100,17 @@
 		added.start(bootstrap)
 		started = append(started, added)
 	}
-	fleet.watch()
+	fleet.startMembership()
 	return started
 }
 
-// watch starts the membership, which tells each router what acceptors there are.
-func (fleet *fleet) watch() {
-	fleet.watching.Do(func() { go fleet.tellCandidates() })
+// startMembership starts the simulated membership, which reports the acceptors to each router.
+func (fleet *fleet) startMembership() {
+	fleet.membershipOnce.Do(func() { go fleet.updateCandidates() })
 }
 
-func (fleet *fleet) tellCandidates() {
-	ticker := time.NewTicker(viewInterval)
+func (fleet *fleet) updateCandidates() {
+	ticker := time.NewTicker(membershipInterval)
 	defer ticker.Stop()
 	for {
 		select {
@@ -127,23 +127,23 @@
 	}
 }
 
-// running is the machine's store if it runs and is not cut off.
+// running returns the machine's store, nil if it is down or isolated.
 func (router *router) running() *Store {
 	router.fleet.mutex.Lock()
 	defer router.fleet.mutex.Unlock()
-	if router.cut {
+	if router.isolated {
 		return nil
 	}
 	return router.store
 }
 
-func (router *router) setCut(cut bool) {
+func (router *router) setIsolated(isolated bool) {
 	router.fleet.mutex.Lock()
 	defer router.fleet.mutex.Unlock()
-	router.cut = cut
+	router.isolated = isolated
 }
 
-// setCallHook has a function called before each call.
+// setCallHook sets a function that is called before each call; nil removes it.
 func (fleet *fleet) setCallHook(hook func(from *router, address string, message envelope)) {
 	fleet.mutex.Lock()
 	defer fleet.mutex.Unlock()
@@ -161,7 +161,7 @@
 	defer fleet.mutex.Unlock()
 	var candidates []Candidate
 	for _, router := range fleet.routers {
-		if router.store == nil || router.cut || router.store.Identity() == "" {
+		if router.store == nil || router.isolated || router.store.Identity() == "" {
 			continue
 		}
 		candidates = append(candidates, Candidate{
@@ -183,24 +183,24 @@
 	return slices.DeleteFunc(slices.Clone(fleet.routers), func(router *router) bool { return router.store == nil })
 }
 
-func (fleet *fleet) find(address string) *router {
+func (fleet *fleet) findRunning(address string) *router {
 	fleet.mutex.Lock()
 	defer fleet.mutex.Unlock()
 	for _, router := range fleet.routers {
-		if router.address == address && router.store != nil && !router.cut {
+		if router.address == address && router.store != nil && !router.isolated {
 			return router
 		}
 	}
 	return nil
 }
 
-// tell tells a chosen state to all other routers.
-func (fleet *fleet) tell(from *router, chosen *Chosen) {
-	if !fleet.hears {
+// broadcast sends a chosen state to all other routers after broadcastDelay.
+func (fleet *fleet) broadcast(from *router, chosen *Chosen) {
+	if !fleet.broadcastsChosen {
 		return
 	}
 	encoded := chosen.Encode()
-	time.AfterFunc(broadcastLag, func() {
+	time.AfterFunc(broadcastDelay, func() {
 		if from.running() == nil {
 			return
 		}
@@ -232,7 +232,7 @@
 		Node:      router.address,
 		Bootstrap: bootstrap,
 		Initial:   router.fleet.initial,
-		Tolerate:  router.fleet.tolerate,
+		Tolerate:  router.fleet.toleratedFailures,
 		Caller:    router,
 		Log:       log,
 	}
@@ -244,13 +244,13 @@
 	}
 	store, err := Open(options)
 	assert.NilError(router.fleet.t, err)
-	store.OnChosen(func(chosen *Chosen) { router.fleet.tell(router, chosen) })
+	store.OnChosen(func(chosen *Chosen) { router.fleet.broadcast(router, chosen) })
 	router.fleet.mutex.Lock()
 	defer router.fleet.mutex.Unlock()
 	router.store = store
 }
 
-// stop ends the process. What it was writing is finished or not, as the disk was told.
+// stop ends the process. Whether a write in progress completes depends on the simulated disk.
 func (router *router) stop() {
 	router.fleet.mutex.Lock()
 	store := router.store
@@ -261,7 +261,7 @@
 	}
 }
 
-// losePower stops the machine and loses what its disk had not synced.
+// losePower stops the machine and loses the data that its disk had not synced.
 func (router *router) losePower(random *rand.Rand) {
 	if router.disk != nil {
 		router.disk.CutPower()
@@ -272,7 +272,7 @@
 	}
 }
 
-// Call is the transport: a machine that is down or cut off says nothing.
+// Call is the transport. Calls to or from a machine that is down or isolated, or across a partition, get no response.
 func (router *router) Call(ctx context.Context, address string, request []byte) ([]byte, error) {
 	if onCall := router.fleet.callHook(); onCall != nil {
 		var message envelope
@@ -281,8 +281,8 @@
 	}
 	router.fleet.countCall(router.address)
 	sleep(ctx, jitter(linkDelay))
-	target := router.fleet.find(address)
-	if target == nil || router.running() == nil || router.fleet.isApart(router.address, address) {
+	target := router.fleet.findRunning(address)
+	if target == nil || router.running() == nil || router.fleet.isSeparated(router.address, address) {
 		<-ctx.Done()
 		return nil, errUnreachable
 	}
@@ -323,23 +323,24 @@
 	return fleet.calls[router.address]
 }
 
-// isApart says whether two machines are in different halves.
-func (fleet *fleet) isApart(from, to string) bool {
+// isSeparated reports whether two machines are on different sides of a partition.
+func (fleet *fleet) isSeparated(from, to string) bool {
 	fleet.mutex.Lock()
 	defer fleet.mutex.Unlock()
-	return len(fleet.half) > 0 && fleet.half[from] != fleet.half[to]
+	return len(fleet.partition) > 0 && fleet.partition[from] != fleet.partition[to]
 }
 
-// put is an operator's order: a document on top of a generation. It returns how long the acknowledgement took.
+// put proposes an operator's change: the document of a generation on top of the base generation. It returns the time
+// until it was acknowledged.
 func (router *router) put(base, generation int64) (State, time.Duration, error) {
-	begun := time.Now()
-	ctx, cancel := context.WithTimeout(context.Background(), orderTime)
+	start := time.Now()
+	ctx, cancel := context.WithTimeout(context.Background(), requestTimeout)
 	defer cancel()
 	state, err := router.store.Propose(ctx, putChange(base, generation))
-	return state, time.Since(begun), err
+	return state, time.Since(start), err
 }
 
-var errOtherVersion = errors.New("another version is current")
+var errGenerationMismatch = errors.New("another generation is current")
 
 func documentOf(generation int64) []byte { return fmt.Appendf(nil, "document %d", generation) }
 
@@ -353,7 +354,7 @@
 	return putDocument(base, generation, documentOf(generation))
 }
 
-// putDocument is the order of a given document.
+// putDocument returns the change function of an operator's change that sets the given document.
 func putDocument(base, generation int64, document []byte) func(State) (State, error) {
 	change := changeIDOf(base, generation)
 	return func(state State) (State, error) {
@@ -361,15 +362,15 @@
 			return state, nil
 		}
 		if state.Generation != base {
-			return state, errOtherVersion
+			return state, errGenerationMismatch
 		}
 		return state.WithChange(document, generation, change), nil
 	}
 }
 
-// append is an order that fits on any version.
-func (router *router) append(number int64) error {
-	ctx, cancel := context.WithTimeout(context.Background(), orderTime)
+// appendChange proposes a change that applies to any generation.
+func (router *router) appendChange(number int64) error {
+	ctx, cancel := context.WithTimeout(context.Background(), requestTimeout)
 	defer cancel()
 	_, err := router.store.Propose(ctx, func(state State) (State, error) {
 		change := changeIDOf(-1, number)
@@ -381,26 +382,27 @@
 	return err
 }
 
-// read reads the generation through a quorum.
+// read returns the generation of a quorum read.
 func (router *router) read() (int64, error) {
-	ctx, cancel := context.WithTimeout(context.Background(), orderTime)
+	ctx, cancel := context.WithTimeout(context.Background(), requestTimeout)
 	defer cancel()
 	state, err := router.store.Read(ctx)
 	return state.Generation, err
 }
 
-// assertForce checks that all running routers have the generation in force.
-func (fleet *fleet) assertForce(generation int64) {
+// assertGeneration checks that the generation and its document are current at all running routers.
+func (fleet *fleet) assertGeneration(generation int64) {
 	fleet.t.Helper()
 	for _, router := range fleet.running() {
 		current := router.store.Current()
-		assert.Assert(fleet.t, current != nil, "%s knows nothing", router.address)
+		assert.Assert(fleet.t, current != nil, "%s knows no chosen state", router.address)
 		assert.Equal(fleet.t, current.State.Generation, generation, router.address)
 		assert.Equal(fleet.t, string(current.State.Document), string(documentOf(generation)))
 	}
 }
 
-// assertVoters checks that all running routers know a plain set of exactly these machines' present acceptors.
+// assertVoters checks that the voters at all running routers are exactly the acceptors of these machines' current
+// processes, and that the set is not joint.
 func (fleet *fleet) assertVoters(voters ...*router) {
 	fleet.t.Helper()
 	var expected []casregister.AcceptorID
@@ -410,7 +412,7 @@
 	slices.Sort(expected)
 	for _, router := range fleet.running() {
 		current := router.store.Current()
-		assert.Assert(fleet.t, current != nil, "%s knows nothing", router.address)
+		assert.Assert(fleet.t, current != nil, "%s knows no chosen state", router.address)
 		var actual []casregister.AcceptorID
 		for _, voter := range current.Set.Voters {
 			actual = append(actual, voter.ID)
--- a/internal/router/configstore/identity.go
+++ b/internal/router/configstore/identity.go
@@ -12,17 +12,18 @@
 	"pewterrudder/internal/router/disk"
 )
 
-// identityBytes is the size of the random part of identities and proposer names.
-const identityBytes = 8
+// randomSuffixBytes is the number of random bytes in acceptor identities and proposer names.
+const randomSuffixBytes = 8
 
 func randomSuffix() string {
-	suffix := make([]byte, identityBytes)
+	suffix := make([]byte, randomSuffixBytes)
 	_, _ = rand.Read(suffix)
 	return hex.EncodeToString(suffix)
 }
 
-// firstSet is the set of the register's first value: the seeds of the first start, each with its address as identity.
-func firstSet(options Options) casregister.Set {
+// initialSet returns the acceptor set of the register's initial value: the seeds, each with its address as identity.
+// It is zero unless the fleet is being bootstrapped.
+func initialSet(options Options) casregister.Set {
 	if !options.Bootstrap {
 		return casregister.Set{}
 	}
@@ -33,8 +34,9 @@
 	return casregister.Set{Voters: voters}
 }
 
-// chooseIdentity decides the identity of an acceptor with an empty disk.
-func chooseIdentity(options Options) casregister.AcceptorID {
+// newIdentity returns the identity of an acceptor without a record. Only a seed of a fleet that is being bootstrapped
+// gets its address as identity; otherwise a random suffix tells it from an earlier acceptor at the same address.
+func newIdentity(options Options) casregister.AcceptorID {
 	address := options.Self.Address
 	if options.Bootstrap && slices.Contains(options.Initial, address) {
 		return casregister.AcceptorID(address)
@@ -42,55 +44,56 @@
 	return casregister.AcceptorID(address + "#" + randomSuffix())
 }
 
-// openRecord reads the acceptor's record. On an empty disk it decides the identity and saves it before it is used. A volatile
-// acceptor has no disk, and each process of it is another acceptor.
+// openRecord opens the disk and reads the acceptor's record. On an empty disk it creates a record with a new
+// identity, and saves it before the identity is used. A volatile acceptor has no disk, and gets a new record in each
+// process.
 func openRecord(options Options) (*disk.Disk, casregister.Record, error) {
 	if options.Self.Volatile {
 		return nil, newRecord(options), nil
 	}
-	files, err := openFiles(options)
+	files, err := openFileSystem(options)
 	if err != nil {
 		return nil, casregister.Record{}, err
 	}
-	saved, content, err := disk.Open(files)
+	recordDisk, content, err := disk.Open(files)
 	if err != nil {
 		return nil, casregister.Record{}, err
 	}
 	if content != nil {
 		record, err := decodeRecord(content)
-		return saved, record, err
+		return recordDisk, record, err
 	}
 	record := newRecord(options)
-	if err := saveRecord(saved, record); err != nil {
+	if err := saveRecord(recordDisk, record); err != nil {
 		return nil, casregister.Record{}, err
 	}
-	return saved, record, nil
+	return recordDisk, record, nil
 }
 
-// newRecord is the record of an acceptor that has just been made.
+// newRecord returns the record of a new acceptor.
 func newRecord(options Options) casregister.Record {
-	return casregister.Record{ID: chooseIdentity(options), First: firstSet(options)}
+	return casregister.Record{ID: newIdentity(options), First: initialSet(options)}
 }
 
-func openFiles(options Options) (disk.FileSystem, error) {
+func openFileSystem(options Options) (disk.FileSystem, error) {
 	if options.Files != nil {
 		return options.Files, nil
 	}
 	return disk.OpenFolder(options.Directory)
 }
 
-func saveRecord(saved *disk.Disk, record casregister.Record) error {
+func saveRecord(recordDisk *disk.Disk, record casregister.Record) error {
 	content, err := msgpack.Marshal(&record)
 	if err != nil {
-		return errors.Wrap(err, "configstore: encode the acceptor's record")
+		return errors.Wrap(err, "configstore: encode the acceptor record")
 	}
-	return saved.Save(content)
+	return recordDisk.Save(content)
 }
 
 func decodeRecord(content []byte) (casregister.Record, error) {
 	var record casregister.Record
 	if err := msgpack.Unmarshal(content, &record); err != nil {
-		return record, errors.Wrap(err, "configstore: the acceptor's record")
+		return record, errors.Wrap(err, "configstore: decode the acceptor record")
 	}
 	return record, nil
 }
--- a/internal/router/configstore/learn.go
+++ b/internal/router/configstore/learn.go
@@ -7,31 +7,32 @@
 	"pewterrudder/internal/router/casregister"
 )
 
-// Learn takes a chosen state that was heard from the cluster, and adopts it if it is newer.
+// Learn adopts an encoded chosen state received from another router if it is newer than the current one.
 func (store *Store) Learn(encoded []byte) {
 	chosen, err := DecodeChosen(encoded)
 	if err != nil {
-		store.log.WithError(err).Warn("cannot read a chosen state from the cluster")
+		store.log.WithError(err).Warn("cannot decode a chosen state received from another router")
 		return
 	}
 	store.adopt(chosen)
 }
 
-// OnChosen has the function called for each newer chosen state, in order, from one goroutine and under no lock. A state
-// that is already known is given to it too. The function must not wait long.
+// OnChosen registers a listener that is called for each newer chosen state with other content, in order, from one
+// goroutine and without a lock held. It is also called with a current state that was known before. It must not block
+// for long, since it delays the other listeners.
 func (store *Store) OnChosen(listener func(*Chosen)) {
-	store.adopting.Lock()
-	defer store.adopting.Unlock()
-	pendingFrom := store.Current()
+	store.adoptMutex.Lock()
+	defer store.adoptMutex.Unlock()
+	current := store.Current()
 	store.listeners = append(store.listeners, listener)
-	if pendingFrom != nil && len(store.news) == 0 {
-		store.news = append(store.news, pendingFrom)
-		wake(store.newsReady)
+	if current != nil && len(store.pendingAnnouncements) == 0 {
+		store.pendingAnnouncements = append(store.pendingAnnouncements, current)
+		wake(store.wakeAnnounce)
 	}
 }
 
-// adoptRegister adopts a state that a quorum was seen to hold.
-func (store *Store) adoptRegister(register casregister.State) (*Chosen, error) {
+// adoptRegisterState adopts a state of the register that is known to be chosen.
+func (store *Store) adoptRegisterState(register casregister.State) (*Chosen, error) {
 	if current := store.Current(); current != nil && current.register.Ballot == register.Ballot {
 		return current, nil
 	}
@@ -43,33 +44,33 @@
 	return chosen, nil
 }
 
-// adopt makes a chosen state the current one if it is newer.
+// adopt makes a chosen state the current one if it is newer, and queues an announcement if its content differs.
 func (store *Store) adopt(chosen *Chosen) {
-	store.adopting.Lock()
-	defer store.adopting.Unlock()
+	store.adoptMutex.Lock()
+	defer store.adoptMutex.Unlock()
 	current := store.Current()
 	if !chosen.IsNewerThan(current) {
 		return
 	}
 	store.current.Store(chosen)
-	if !chosen.differsFrom(current) {
+	if !chosen.hasOtherContent(current) {
 		return
 	}
-	store.news = append(store.news, chosen)
-	wake(store.newsReady)
+	store.pendingAnnouncements = append(store.pendingAnnouncements, chosen)
+	wake(store.wakeAnnounce)
 	wake(store.wakeMembers)
 }
 
-// announce calls the listeners.
+// announce calls the listeners for each queued state until the context is done.
 func (store *Store) announce(ctx context.Context) {
 	for {
 		select {
-		case <-store.newsReady:
+		case <-store.wakeAnnounce:
 		case <-ctx.Done():
 			return
 		}
-		news, listeners := store.takeNews()
-		for _, chosen := range news {
+		pending, listeners := store.takeAnnouncements()
+		for _, chosen := range pending {
 			for _, listener := range listeners {
 				listener(chosen)
 			}
@@ -77,10 +78,10 @@
 	}
 }
 
-func (store *Store) takeNews() ([]*Chosen, []func(*Chosen)) {
-	store.adopting.Lock()
-	defer store.adopting.Unlock()
-	news := store.news
-	store.news = nil
-	return news, slices.Clone(store.listeners)
+func (store *Store) takeAnnouncements() ([]*Chosen, []func(*Chosen)) {
+	store.adoptMutex.Lock()
+	defer store.adoptMutex.Unlock()
+	pending := store.pendingAnnouncements
+	store.pendingAnnouncements = nil
+	return pending, slices.Clone(store.listeners)
 }
--- a/internal/router/configstore/members.go
+++ b/internal/router/configstore/members.go
@@ -10,66 +10,70 @@
 )
 
 const (
-	// membersInterval is how often the acceptor set is compared with the candidates.
-	membersInterval = 200 * time.Millisecond
-	// bystanderInterval is the same for a router without a disk in a fleet that has some.
-	bystanderInterval = time.Second
-	// membersTimeout bounds one change of the set.
-	membersTimeout = 2 * time.Second
-	// newcomerDelay is how long a new acceptor leaves its admission to the voters, half as much again at most.
-	newcomerDelay = 400 * time.Millisecond
-	// volatileDelay is how long after its start a router takes it that the fleet may have a disk of which it hasn't heard.
-	volatileDelay = 3 * time.Second
-	// otherDelay is how long the other voters leave a change to the first one.
-	otherDelay = 1500 * time.Millisecond
+	// memberCheckInterval is how often the acceptor set is compared with the candidates.
+	memberCheckInterval = 200 * time.Millisecond
+	// ineligibleCheckInterval is the same for a router without a disk in a fleet where other routers have one.
+	ineligibleCheckInterval = time.Second
+	// memberChangeTimeout bounds one change of the set.
+	memberChangeTimeout = 2 * time.Second
+	// selfAdmissionDelay is how long an acceptor that is not a voter waits for the voters to add it before it
+	// proposes the change itself. Jitter makes it between half and one and a half of this.
+	selfAdmissionDelay = 400 * time.Millisecond
+	// volatileAdmissionDelay is how long after its start a router adds no volatile voter, except in place of one at
+	// the same address, since it may not have heard yet of a router with a disk.
+	volatileAdmissionDelay = 3 * time.Second
+	// otherVoterDelay is how long the other voters wait for the reachable voter with the lowest identity to make a
+	// change. Jitter makes it between half and one and a half of this.
+	otherVoterDelay = 1500 * time.Millisecond
 )
 
-// errNothingToChange refuses a change of the set that the newest state no longer needs.
-var errNothingToChange = errors.New("configstore: the acceptor set needs no change")
+// errNoChangeNeeded rejects a change of the set that the newest state no longer needs.
+var errNoChangeNeeded = errors.New("configstore: the acceptor set needs no change")
 
-// UpdateCandidates tells the store which machines could be acceptors, as membership sees them.
+// UpdateCandidates replaces the list of machines that could be acceptors, as membership reports them.
 func (store *Store) UpdateCandidates(candidates []Candidate) {
-	store.presence.update(candidates, time.Now())
-	isBystander := store.acceptor != nil && store.options.Self.Volatile && hasDurable(candidates)
-	store.isBystander.Store(isBystander)
-	if !isBystander {
+	store.candidates.update(candidates, time.Now())
+	isIneligible := store.acceptor != nil && store.options.Self.Volatile && anyHasDisk(candidates)
+	store.isIneligible.Store(isIneligible)
+	if !isIneligible {
 		wake(store.wakeMembers)
 	}
 }
 
-// changeMembers keeps the acceptor set in line with the candidates.
-func (store *Store) changeMembers(ctx context.Context) {
+// reconcileMembers changes the acceptor set step by step to the one that the policy wants for the current candidates.
+// It returns at once in a process without an acceptor.
+func (store *Store) reconcileMembers(ctx context.Context) {
 	if store.acceptor == nil {
 		return
 	}
-	var wantedSince time.Time
+	var neededSince time.Time
 	for ctx.Err() == nil {
-		waitForMembers(ctx, store.wakeMembers, store.membersInterval())
+		waitForWakeOrTimeout(ctx, store.wakeMembers, store.currentCheckInterval())
 		if store.lacksQuorum() {
-			store.findEndings(ctx)
+			store.probeAcceptors(ctx)
 		}
-		if !store.wantsChange() {
-			wantedSince = time.Time{}
+		if !store.needsMemberChange() {
+			neededSince = time.Time{}
 			continue
 		}
-		if wantedSince.IsZero() {
-			wantedSince = time.Now()
+		if neededSince.IsZero() {
+			neededSince = time.Now()
 		}
-		if time.Since(wantedSince) >= store.changeDelay() {
-			store.changeMembersOnce(ctx)
+		if time.Since(neededSince) >= store.memberChangeDelay() {
+			store.proposeMemberChange(ctx)
 		}
 	}
 }
 
-// membersInterval is the pause between two looks at the set.
-func (store *Store) membersInterval() time.Duration {
-	if store.isBystander.Load() {
-		return bystanderInterval
+// currentCheckInterval is the pause between two checks of the set.
+func (store *Store) currentCheckInterval() time.Duration {
+	if store.isIneligible.Load() {
+		return ineligibleCheckInterval
 	}
-	return membersInterval
+	return memberCheckInterval
 }
 
-func waitForMembers(ctx context.Context, channel <-chan struct{}, interval time.Duration) {
+func waitForWakeOrTimeout(ctx context.Context, channel <-chan struct{}, interval time.Duration) {
 	timer := time.NewTimer(interval)
 	defer timer.Stop()
 	select {
@@ -79,62 +83,64 @@
 	}
 }
 
-// policy is the rule for the acceptor set under the present candidates.
-func (store *Store) policy() memberPolicy {
+// currentPolicy returns the policy for the acceptor set, with the current candidates.
+func (store *Store) currentPolicy() memberPolicy {
 	if current := store.Current(); current != nil {
-		store.presence.expect(current.Set.Voters, time.Now())
+		store.candidates.addUnlisted(current.Set.Voters, time.Now())
 	}
 	return memberPolicy{
-		ended:          store.endings.before(time.Now().Add(-recoverAfter)),
-		tolerate:       store.options.Tolerate,
-		self:           store.Identity(),
-		candidates:     store.presence.list(time.Now()),
-		admitsVolatile: time.Since(store.opened) >= volatileDelay,
+		ended:             store.endedAcceptors.provenBefore(time.Now().Add(-recoveryDelay)),
+		toleratedFailures: store.options.Tolerate,
+		self:              store.Identity(),
+		candidates:        store.candidates.list(time.Now()),
+		admitsVolatile:    time.Since(store.openedAt) >= volatileAdmissionDelay,
 	}
 }
 
-// lacksQuorum says whether too few acceptors of the set are in reach, so that some may have ended for good. In a fleet with disks, whose
-// acceptors don't end, the many routers without one don't ask.
+// lacksQuorum reports whether the reachable acceptors of the set do not form a quorum, so that some may have ended
+// for good. It is false for routers without a disk in a fleet that has disks: they are many, and acceptors with a
+// disk don't end.
 func (store *Store) lacksQuorum() bool {
 	current := store.Current()
-	if current == nil || store.isBystander.Load() {
+	if current == nil || store.isIneligible.Load() {
 		return false
 	}
-	return !current.Set.HasQuorum(store.policy().isReachable)
+	return !current.Set.HasQuorum(store.currentPolicy().isReachable)
 }
 
-// changeDelay is how long this process leaves a change of the set to others.
-func (store *Store) changeDelay() time.Duration {
+// memberChangeDelay is how long this process waits for others to make a change of the set.
+func (store *Store) memberChangeDelay() time.Duration {
 	current := store.Current()
 	switch {
 	case current == nil || !current.Set.HasVoter(store.Identity()):
-		return jitter(newcomerDelay)
-	case store.policy().firstVoter(current.Set) == store.Identity():
+		return jitter(selfAdmissionDelay)
+	case store.currentPolicy().lowestReachableVoter(current.Set) == store.Identity():
 		return 0
 	default:
-		return jitter(otherDelay)
+		return jitter(otherVoterDelay)
 	}
 }
 
-// wantsChange says whether the set needs a change that this process may make: it is a voter, or wants to be one.
-func (store *Store) wantsChange() bool {
+// needsMemberChange reports whether the set needs a change that this process may propose: it is a voter, or the change
+// makes it one.
+func (store *Store) needsMemberChange() bool {
 	current := store.Current()
 	if current == nil {
 		return false
 	}
 	self := store.Identity()
-	next, wants := store.policy().next(current.Set)
-	return wants && (current.Set.HasVoter(self) || next.HasVoter(self))
+	next, isNeeded := store.currentPolicy().nextSet(current.Set)
+	return isNeeded && (current.Set.HasVoter(self) || next.HasVoter(self))
 }
 
-func (store *Store) changeMembersOnce(ctx context.Context) {
-	ctx, cancel := context.WithTimeout(ctx, membersTimeout)
+func (store *Store) proposeMemberChange(ctx context.Context) {
+	ctx, cancel := context.WithTimeout(ctx, memberChangeTimeout)
 	defer cancel()
-	policy := store.policy()
+	policy := store.currentPolicy()
 	chosen, err := store.propose(ctx, func(base casregister.Value) (casregister.Value, error) {
-		next, wants := policy.next(base.Set)
-		if !wants {
-			return base, errNothingToChange
+		next, isNeeded := policy.nextSet(base.Set)
+		if !isNeeded {
+			return base, errNoChangeNeeded
 		}
 		return casregister.Value{Set: next, Payload: base.Payload}, nil
 	})
--- a/internal/router/configstore/movedat.go
+++ b/internal/router/configstore/movedat.go
@@ -1,10 +1,11 @@
 package configstore
 
-// MovedAt returns the epoch at which the addresses of the acceptors in force last changed. It isn't known while the set is
-// joint, while a newer one has been heard of, and before the acceptor of this process has read its disk.
+// MovedAt returns the epoch at which the addresses of the current acceptor set last changed. It is not known while
+// the set is joint, while a newer set has been heard of, or before the acceptor of this process has loaded its
+// record.
 func (store *Store) MovedAt() (epoch uint64, known bool) {
-	current, newest := store.Current(), store.start.Load()
-	if current == nil || newest == nil || !store.acceptorRead() {
+	current, newest := store.Current(), store.newestSet.Load()
+	if current == nil || newest == nil || !store.isRecordLoaded() {
 		return 0, false
 	}
 	if current.Set.IsJoint() || newest.Epoch > current.Set.Epoch {
@@ -13,13 +14,13 @@
 	return current.Set.MovedAt, true
 }
 
-// acceptorRead tells whether the acceptor of this process, if it has one, has read its disk.
-func (store *Store) acceptorRead() bool {
+// isRecordLoaded reports whether the acceptor of this process has loaded its record. It is true without an acceptor.
+func (store *Store) isRecordLoaded() bool {
 	if store.acceptor == nil {
 		return true
 	}
 	select {
-	case <-store.acceptor.opened:
+	case <-store.acceptor.recordLoaded:
 		return true
 	default:
 		return false
--- a/internal/router/configstore/movedat_test.go
+++ b/internal/router/configstore/movedat_test.go
@@ -16,7 +16,7 @@
 	cases := []struct {
 		name            string
 		current, newest *casregister.Set
-		unread          bool
+		notLoaded       bool
 		want            bool
 		epoch           uint64
 	}{
@@ -26,17 +26,17 @@
 		{name: "later set in force", current: &later, newest: &first, want: true, epoch: 2},
 		{name: "acceptor with an empty disk", current: &wiped, newest: &wiped, want: true, epoch: 2},
 		{name: "later set on the disk", current: &first, newest: &joint},
-		{name: "disk not read", current: &first, newest: &first, unread: true},
+		{name: "disk not read", current: &first, newest: &first, notLoaded: true},
 	}
 	for _, test := range cases {
 		t.Run(test.name, func(t *testing.T) {
-			store := &Store{acceptor: &acceptor{opened: make(chan struct{})}}
-			store.start.Store(test.newest)
+			store := &Store{acceptor: &acceptor{recordLoaded: make(chan struct{})}}
+			store.newestSet.Store(test.newest)
 			if test.current != nil {
 				store.current.Store(&Chosen{Set: *test.current})
 			}
-			if !test.unread {
-				close(store.acceptor.opened)
+			if !test.notLoaded {
+				close(store.acceptor.recordLoaded)
 			}
 			epoch, known := store.MovedAt()
 			assert.Equal(t, known, test.want)
--- a/internal/router/configstore/options.go
+++ b/internal/router/configstore/options.go
@@ -11,46 +11,47 @@
 	"pewterrudder/internal/router/disk"
 )
 
-// ErrUnclear is the outcome of an order that no quorum has answered in time. The order may be chosen or not, now or later.
-var ErrUnclear = errors.New("configstore: no quorum in time, the outcome is unclear")
+// ErrUnclear is returned when no quorum has answered in time. The proposed change may have been chosen, may be chosen
+// later, or never.
+var ErrUnclear = errors.New("configstore: no quorum answered in time, the outcome is unknown")
 
-// ErrClosed is the error of calls after Close.
+// ErrClosed is returned by calls after Close.
 var ErrClosed = errors.New("configstore: closed")
 
-// Caller sends a request to the acceptor service of the router at an address ("ip:port") and returns its answer.
+// Caller sends a request to the configuration store of the router at an address ("ip:port") and returns its response.
 type Caller interface {
 	Call(ctx context.Context, address string, request []byte) ([]byte, error)
 }
 
 // Options are the settings of a store.
 type Options struct {
-	// Node names this process's machine.
+	// Node is the name of this process's machine.
 	Node string
-	// Self describes this process's acceptor. Its address is to be set, its ID is decided by Open. Nil means none. A volatile one
-	// keeps its record in memory and never reads Directory.
+	// Self describes this process's acceptor; nil means none. Its address must be set, its ID is determined by Open. A
+	// volatile acceptor keeps its record in memory and never reads Directory.
 	Self *casregister.Acceptor
-	// Directory is where the acceptor's record is kept.
+	// Directory is where the acceptor's record is stored.
 	Directory string
-	// Files replaces Directory if it is set.
+	// Files is used instead of Directory if it is not nil.
 	Files disk.FileSystem
-	// Bootstrap is true only at the first start of the whole fleet.
+	// Bootstrap must be true only at the first start of the whole fleet.
 	Bootstrap bool
-	// Initial are the transport addresses of the seeds. At the first start of the fleet they are the first acceptor set and
-	// the same everywhere; later they are merely addresses to ask.
+	// Initial are the transport addresses of the seeds. At the first start of the fleet they form the initial
+	// acceptor set, and must be the same on all routers; later they are only queried for the newest state.
 	Initial []string
-	// Tolerate is how many acceptors may be lost at once.
+	// Tolerate is the number of acceptors that may fail at the same time.
 	Tolerate int
 	Caller   Caller
 	Log      logrus.FieldLogger
 }
 
-// Candidate is a machine that could be an acceptor or is one, as membership sees it.
+// Candidate is a machine that is or could become an acceptor, as membership reports it.
 type Candidate struct {
 	Acceptor  casregister.Acceptor
 	Zone      string
 	Reachable bool
-	// Unlisted says that membership has never listed the machine, so that only the set tells of it.
+	// Unlisted is true if membership has never listed the machine, so that it is known from the acceptor set only.
 	Unlisted bool
-	// SilentFor is how long nothing was heard of the machine.
+	// SilentFor is how long nothing has been received from the machine.
 	SilentFor time.Duration
 }
--- a/internal/router/configstore/policy_test.go
+++ b/internal/router/configstore/policy_test.go
@@ -40,54 +40,54 @@
 		candidates []Candidate
 		next       []casregister.Acceptor // nil: no change
 	}{
-		"nothing to do": {votersOf("a", "b", "c"), reachable("a", "b", "c"), nil},
-		"one more":      {votersOf("a", "b", "c"), reachable("a", "b", "c", "d"), votersOf("a", "b", "c", "d")},
-		"newcomer waits for a place": {
+		"no change needed": {votersOf("a", "b", "c"), reachable("a", "b", "c"), nil},
+		"one more voter":   {votersOf("a", "b", "c"), reachable("a", "b", "c", "d"), votersOf("a", "b", "c", "d")},
+		"candidate waits until the silent voter can be replaced": {
 			votersOf("a", "b", "c"),
 			append(reachable("a", "b", "d"), silent("c", "z", replaceAfter)),
 			nil,
 		},
-		"silent, but needed":  {votersOf("a", "b", "c"), append(reachable("a", "b"), silent("c", "z", long)), nil},
-		"silent, not needed":  {votersOf("a", "b", "c", "d"), append(reachable("a", "b", "d"), silent("c", "z", long)), votersOf("a", "b", "d")},
-		"not silent for long": {votersOf("a", "b", "c", "d"), append(reachable("a", "b", "d"), silent("c", "z", replaceAfter)), nil},
-		"replace the silent": {
+		"silent but needed":     {votersOf("a", "b", "c"), append(reachable("a", "b"), silent("c", "z", long)), nil},
+		"silent and not needed": {votersOf("a", "b", "c", "d"), append(reachable("a", "b", "d"), silent("c", "z", long)), votersOf("a", "b", "d")},
+		"not silent for long":   {votersOf("a", "b", "c", "d"), append(reachable("a", "b", "d"), silent("c", "z", replaceAfter)), nil},
+		"replace a silent voter": {
 			votersOf("a", "b", "c"),
 			append(reachable("a", "c", "d"), silent("b", "y", replaceAfter+1)),
 			votersOf("a", "d", "c"),
 		},
-		"replace the silent of the same zone": {
+		"replace a silent voter of the same zone": {
 			votersOf("a", "b", "c", "d", "e"),
 			append(reachable("a", "d", "e", "f"), silent("b", "y", long), silent("c", "z", long)),
 			votersOf("a", "b", "f", "d", "e"),
 		},
-		"another identity at an address": {
+		"new identity at a voter's address": {
 			votersOf("a", "b", "c"),
 			append(reachable("a", "c"), Candidate{Acceptor: acceptorAt("b#1", "b"), Reachable: true}),
 			[]casregister.Acceptor{acceptorAt("a", "a"), acceptorAt("b#1", "b"), acceptorAt("c", "c")},
 		},
-		"no quorum in reach":   {votersOf("a", "b", "c"), append(reachable("a", "d"), silent("b", "z", long), silent("c", "z", long)), nil},
-		"candidate unreadable": {votersOf("a", "b", "c"), append(reachable("a", "b", "c"), Candidate{Reachable: true}), nil},
+		"no reachable quorum":        {votersOf("a", "b", "c"), append(reachable("a", "d"), silent("b", "z", long), silent("c", "z", long)), nil},
+		"candidate without identity": {votersOf("a", "b", "c"), append(reachable("a", "b", "c"), Candidate{Reachable: true}), nil},
 	}
 	for name, test := range cases {
-		policy := memberPolicy{tolerate: 1, self: "a", candidates: test.candidates}
+		policy := memberPolicy{toleratedFailures: 1, self: "a", candidates: test.candidates}
 		set := casregister.Set{Epoch: 4, Voters: test.voters}
-		next, wants := policy.next(set)
-		assert.Equal(t, wants, test.next != nil, name)
-		if !wants {
+		next, isNeeded := policy.nextSet(set)
+		assert.Equal(t, isNeeded, test.next != nil, name)
+		if !isNeeded {
 			continue
 		}
 		assert.DeepEqual(t, next, set.Enter(test.next))
 		assert.NilError(t, set.CheckStep(next))
-		left, wants := policy.next(next)
-		assert.Assert(t, wants, name)
-		assert.DeepEqual(t, left, next.Leave())
+		nonJoint, isNeeded := policy.nextSet(next)
+		assert.Assert(t, isNeeded, name)
+		assert.DeepEqual(t, nonJoint, next.Leave())
 	}
 }
 
-func TestFirstVoter(t *testing.T) {
+func TestLowestReachableVoter(t *testing.T) {
 	set := casregister.Set{Voters: votersOf("c", "a", "b")}
 	policy := memberPolicy{self: "c", candidates: append(reachable("b"), silent("a", "z", 0))}
-	assert.Equal(t, policy.firstVoter(set), casregister.AcceptorID("b"))
+	assert.Equal(t, policy.lowestReachableVoter(set), casregister.AcceptorID("b"))
 }
 
 func volatileAt(id, zone string) Candidate {
@@ -96,8 +96,9 @@
 	return Candidate{Acceptor: acceptor, Zone: zone, Reachable: true}
 }
 
-// TestVolatileMembers has voters without a disk where no disk is known, and none beside one.
-func TestVolatileMembers(t *testing.T) {
+// TestVolatileVoterPolicy checks that acceptors without a disk become voters only if no acceptor with a disk is
+// known, and are replaced or removed when there is one.
+func TestVolatileVoterPolicy(t *testing.T) {
 	volatileSet := func(candidates ...Candidate) casregister.Set {
 		set := casregister.Set{}
 		for _, candidate := range candidates {
@@ -108,27 +109,27 @@
 	a, b, c := volatileAt("a", "x"), volatileAt("b", "y"), volatileAt("c", "x")
 	x, y := volatileAt("d", "x"), volatileAt("e", "y")
 	disk := reachable("f")[0]
-	plain := volatileSet(a, b, c)
+	volatileVoters := volatileSet(a, b, c)
 	cases := map[string]struct {
 		candidates []Candidate
-		early      bool
+		tooEarly   bool
 		next       []casregister.Acceptor // nil: no change
 	}{
-		"the zone with fewest voters first": {[]Candidate{a, b, c, x, y}, false, append(volatileSet(a, b, c).Voters, y.Acceptor)},
-		"a disk may be heard of yet":        {[]Candidate{a, b, c, x, y}, true, nil},
-		"a disk comes first":                {[]Candidate{a, b, c, x, disk}, false, []casregister.Acceptor{disk.Acceptor, b.Acceptor, c.Acceptor}},
-		"a disk is awaited":                 {[]Candidate{a, b, c, x, {Acceptor: disk.Acceptor, SilentFor: time.Hour}}, false, nil},
+		"zone with the fewest voters first": {[]Candidate{a, b, c, x, y}, false, append(volatileSet(a, b, c).Voters, y.Acceptor)},
+		"a disk may still be reported":      {[]Candidate{a, b, c, x, y}, true, nil},
+		"disk preferred":                    {[]Candidate{a, b, c, x, disk}, false, []casregister.Acceptor{disk.Acceptor, b.Acceptor, c.Acceptor}},
+		"disk currently unreachable":        {[]Candidate{a, b, c, x, {Acceptor: disk.Acceptor, SilentFor: time.Hour}}, false, nil},
 	}
 	for name, test := range cases {
-		policy := memberPolicy{tolerate: 1, self: "a", candidates: test.candidates, admitsVolatile: !test.early}
-		next, changes := policy.next(plain)
+		policy := memberPolicy{toleratedFailures: 1, self: "a", candidates: test.candidates, admitsVolatile: !test.tooEarly}
+		next, changes := policy.nextSet(volatileVoters)
 		assert.Equal(t, changes, test.next != nil, name)
 		if changes {
 			assert.DeepEqual(t, next.Voters, test.next)
 		}
 	}
-	beside := casregister.Set{Voters: append(votersOf("f"), a.Acceptor)}
-	next, changes := memberPolicy{tolerate: 1, self: "f", candidates: []Candidate{a, disk}}.next(beside)
+	mixed := casregister.Set{Voters: append(votersOf("f"), a.Acceptor)}
+	next, changes := memberPolicy{toleratedFailures: 1, self: "f", candidates: []Candidate{a, disk}}.nextSet(mixed)
 	assert.Assert(t, changes)
 	assert.DeepEqual(t, next.Voters, votersOf("f"))
 }
--- a/internal/router/configstore/propose.go
+++ b/internal/router/configstore/propose.go
@@ -9,22 +9,22 @@
 )
 
 const (
-	// roundLimit is how long one proposal waits for its quorums. Another one may start from a newer set.
-	roundLimit = 1200 * time.Millisecond
-	// conflictPatience is how long a proposal waits for a quorum after an acceptor has named a higher ballot.
-	conflictPatience = 60 * time.Millisecond
-	// The pause after a proposal was preempted is drawn from a range that doubles between these bounds.
-	shortestBackoff = 20 * time.Millisecond
-	longestBackoff  = 640 * time.Millisecond
-	// noticeTimeout bounds the telling of acceptors that a state is chosen.
-	noticeTimeout = time.Second
-	// ignoranceWait is the pause while no acceptor set is known.
-	ignoranceWait = 20 * time.Millisecond
+	// roundTimeout is how long one proposal waits for its quorums. The next one may start from a newer set.
+	roundTimeout = 1200 * time.Millisecond
+	// conflictTimeout is how long a proposal waits for a quorum after an acceptor has reported a higher ballot.
+	conflictTimeout = 60 * time.Millisecond
+	// The backoff after a preempted proposal is random, below a limit that doubles from minBackoff to maxBackoff.
+	minBackoff = 20 * time.Millisecond
+	maxBackoff = 640 * time.Millisecond
+	// notifyTimeout bounds one notification of an acceptor that a state is chosen.
+	notifyTimeout = time.Second
+	// unknownSetPollInterval is how often a proposal checks for an acceptor set while none is known.
+	unknownSetPollInterval = 20 * time.Millisecond
 )
 
-// Propose changes the state. The change function may be called several times, each time with a state that its result is to
-// be based on; the store sets the revision. Its error is returned only once the state that it was given is known to be
-// chosen. The state returned is chosen. ErrUnclear means that the context ended first.
+// Propose changes the state. The change function may be called several times, each time with the state on which its
+// result must be based; the store sets the revision. An error of the function is returned only once the state that it
+// was called with is known to be chosen. The returned state is chosen. ErrUnclear means that the context ended first.
 func (store *Store) Propose(ctx context.Context, change func(State) (State, error)) (State, error) {
 	chosen, err := store.propose(ctx, func(base casregister.Value) (casregister.Value, error) {
 		return changeState(base, change)
@@ -45,7 +45,7 @@
 	if err != nil {
 		return base, err
 	}
-	next = follow(state, next)
+	next = withNextRevision(state, next)
 	if next.Revision == state.Revision {
 		return base, nil
 	}
@@ -56,37 +56,37 @@
 	return casregister.Value{Set: base.Set, Payload: payload}, nil
 }
 
-// propose repeats a proposal under rising ballots until it is chosen or refused.
+// propose repeats a proposal under increasing ballots until it is chosen, or the change function returns an error.
 func (store *Store) propose(ctx context.Context, change casregister.Change) (*Chosen, error) {
 	if store.ctx.Err() != nil {
 		return nil, ErrClosed
 	}
 	select {
-	case store.proposing <- struct{}{}:
-		defer func() { <-store.proposing }()
+	case store.proposeSemaphore <- struct{}{}:
+		defer func() { <-store.proposeSemaphore }()
 	case <-ctx.Done():
 		return nil, ErrUnclear
 	case <-store.ctx.Done():
 		return nil, ErrClosed
 	}
-	backoff := shortestBackoff
+	backoff := minBackoff
 	for ctx.Err() == nil && store.ctx.Err() == nil {
 		if store.startingSet().IsZero() {
-			sleep(ctx, ignoranceWait)
+			sleep(ctx, unknownSetPollInterval)
 			continue
 		}
 		result := store.proposeOnce(ctx, change)
 		switch result.Outcome {
 		case casregister.Chosen:
-			return store.adoptRegister(result.State)
+			return store.adoptRegisterState(result.State)
 		case casregister.Refused:
-			chosen, err := store.adoptRegister(result.State)
+			chosen, err := store.adoptRegisterState(result.State)
 			if err == nil {
 				err = result.Err
 			}
 			return chosen, err
 		case casregister.BaseChosen:
-			if _, err := store.adoptRegister(result.State); err != nil {
+			if _, err := store.adoptRegisterState(result.State); err != nil {
 				return nil, err
 			}
 		case casregister.Pending:
@@ -94,48 +94,49 @@
 		case casregister.Preempted:
 			store.raiseBallot(result.Higher)
 			sleep(ctx, rand.N(backoff))
-			backoff = min(2*backoff, longestBackoff)
+			backoff = min(2*backoff, maxBackoff)
 		}
 	}
 	return nil, ErrUnclear
 }
 
-// proposeOnce makes a proposal under one ballot. The outcome is Pending if no quorum has answered in time.
+// proposeOnce makes a proposal under one ballot. The outcome is Pending if no quorum answered in time.
 func (store *Store) proposeOnce(ctx context.Context, change casregister.Change) casregister.Result {
-	round, end := store.newRound(ctx, roundLimit)
-	defer end()
+	round, cancel := store.newRound(ctx, roundTimeout)
+	defer cancel()
 	proposer := store.newProposer(change, false)
-	result := store.drive(round, proposer)
+	result := store.runProposer(round, proposer)
 	if proposer.IsAccepting() && !result.State.Ballot.IsZero() {
-		store.notify(result.State)
-		store.spread(round, proposer)
+		store.notifyAcceptors(result.State)
+		store.spreadChosenState(round, proposer)
 	}
 	return result
 }
 
-// newProposer begins a proposal under the next ballot. Only the holder of proposing calls it.
-func (store *Store) newProposer(change casregister.Change, rewrites bool) *casregister.Proposer {
+// newProposer begins a proposal under the next ballot. The caller must hold proposeSemaphore.
+func (store *Store) newProposer(change casregister.Change, isRewrite bool) *casregister.Proposer {
 	start := store.startingSet()
-	ended := store.ended(start)
+	ended := store.endedForRecovery(start)
 	return casregister.NewProposer(casregister.Proposal{
 		Ballot:   store.nextBallot(len(ended) > 0),
 		Start:    start,
 		Known:    store.knownState(),
 		Change:   change,
 		Ended:    ended,
-		Rewrites: rewrites,
+		Rewrites: isRewrite,
 	})
 }
 
-// drive steps a proposer with the acceptors' replies until it ends.
-func (store *Store) drive(round *round, proposer *casregister.Proposer) casregister.Result {
-	var patience <-chan time.Time
+// runProposer feeds the acceptors' replies to a proposer until it has a result, a conflict times out, or the round
+// ends.
+func (store *Store) runProposer(round *round, proposer *casregister.Proposer) casregister.Result {
+	var conflictTimer <-chan time.Time
 	for {
 		round.send(proposer)
 		select {
 		case reply := <-round.replies:
 			proposer.Receive(reply)
-		case <-patience:
+		case <-conflictTimer:
 			return casregister.Result{Outcome: casregister.Preempted, Higher: proposer.Higher()}
 		case <-round.ctx.Done():
 			return casregister.Result{}
@@ -143,22 +144,22 @@
 		if result := proposer.Result(); result.Outcome != casregister.Pending {
 			return result
 		}
-		if patience == nil && !proposer.Higher().IsZero() {
-			patience = time.After(conflictPatience)
+		if conflictTimer == nil && !proposer.Higher().IsZero() {
+			conflictTimer = time.After(conflictTimeout)
 		}
 	}
 }
 
-// nextBallot is above all ballots that this process has used or heard of, and far above them for a recovery. Only the holder of
-// proposing calls it.
+// nextBallot returns a ballot above all that this process has used or seen, and far above them for a recovery. The
+// caller must hold proposeSemaphore.
 func (store *Store) nextBallot(isRecovery bool) casregister.Ballot {
 	if current := store.Current(); current != nil {
 		store.raiseBallot(current.register.Ballot)
 	}
 	if isRecovery {
-		store.lastBallot = store.lastBallot.NextRecovery(store.proposer)
+		store.lastBallot = store.lastBallot.NextRecovery(store.proposerID)
 	} else {
-		store.lastBallot = store.lastBallot.Next(store.proposer)
+		store.lastBallot = store.lastBallot.Next(store.proposerID)
 	}
 	return store.lastBallot
 }
@@ -177,16 +178,16 @@
 	return &current.register
 }
 
-// notify tells the acceptors that a state is chosen, without waiting for them.
-func (store *Store) notify(state casregister.State) {
+// notifyAcceptors tells the members of the state's set that the state is chosen, without waiting for them.
+func (store *Store) notifyAcceptors(state casregister.State) {
 	if state.Ballot.IsZero() {
 		return
 	}
 	for _, member := range state.Value.Set.Members() {
 		go func() {
-			ctx, cancel := context.WithTimeout(store.ctx, noticeTimeout)
+			ctx, cancel := context.WithTimeout(store.ctx, notifyTimeout)
 			defer cancel()
-			_, _ = store.exchange(ctx, member, envelope{Notice: &state.Ballot})
+			_, _ = store.exchange(ctx, member, envelope{ChosenBallot: &state.Ballot})
 		}()
 	}
 }
--- a/internal/router/configstore/read.go
+++ b/internal/router/configstore/read.go
@@ -9,14 +9,14 @@
 	"pewterrudder/internal/router/casregister"
 )
 
-// readPatience is how long a quorum read waits for agreement before an identity proposal is made instead.
-const readPatience = 150 * time.Millisecond
+// readTimeout is how long a quorum read waits for matching replies. After that, Read proposes the unchanged value.
+const readTimeout = 150 * time.Millisecond
 
-// errUnresolved is the end of a read that found no chosen state.
+// errUnresolved is returned by a quorum read that found no chosen state.
 var errUnresolved = errors.New("configstore: the newest state is not known to be chosen")
 
-// Read returns a state that is as new as any change acknowledged before the call. It asks a quorum; only if the newest
-// state found is not known to be chosen, it has it chosen. ErrUnclear means that the context ended first.
+// Read returns a state that includes every change acknowledged before the call. It queries a quorum, and makes a
+// proposal only if the newest state found is not known to be chosen. ErrUnclear means that the context ended first.
 func (store *Store) Read(ctx context.Context) (State, error) {
 	chosen, err := store.read(ctx)
 	if err != nil {
@@ -31,26 +31,27 @@
 	}
 	state, err := store.readQuorum(ctx)
 	if err == nil {
-		return store.adoptRegister(state)
+		return store.adoptRegisterState(state)
 	}
 	return store.propose(ctx, keepValue)
 }
 
-// Confirm returns the revision that was the newest at a quorum at some moment since the call began, and the store knows a state that is
-// no older then. Unlike Read it writes nothing: where the newest state found is not known to be chosen, it fails.
+// Confirm returns a revision that was the newest at a quorum at some time during the call. The store's current state
+// is then at least as new. Unlike Read, Confirm writes nothing: it fails if the newest state found is not known to be
+// chosen.
 func (store *Store) Confirm(ctx context.Context) (uint64, error) {
 	state, err := store.readQuorum(ctx)
 	if err != nil {
 		return 0, err
 	}
-	chosen, err := store.adoptRegister(state)
+	chosen, err := store.adoptRegisterState(state)
 	if err != nil {
 		return 0, err
 	}
 	return chosen.State.Revision, nil
 }
 
-// CurrentSet is the newest acceptor set that is known to be chosen, zero while none is.
+// CurrentSet returns the newest acceptor set that is known to be chosen, zero if none is.
 func (store *Store) CurrentSet() casregister.Set {
 	chosen := store.Current()
 	if chosen == nil {
@@ -59,7 +60,7 @@
 	return chosen.Set
 }
 
-// ReadSet returns the acceptor set that was in force at some moment since the call began, as Read does for the state.
+// ReadSet returns the acceptor set that was current at some time during the call, with a quorum read as in Read.
 func (store *Store) ReadSet(ctx context.Context) (casregister.Set, error) {
 	chosen, err := store.read(ctx)
 	if err != nil {
@@ -68,17 +69,17 @@
 	return chosen.Set, nil
 }
 
-// keepValue is the identity change.
+// keepValue is a change function that returns the value unchanged.
 func keepValue(base casregister.Value) (casregister.Value, error) { return base, nil }
 
-// readQuorum makes a read without writing.
+// readQuorum queries the acceptors for the newest chosen state, without writing. It fails after readTimeout.
 func (store *Store) readQuorum(ctx context.Context) (casregister.State, error) {
 	start := store.startingSet()
 	if start.IsZero() {
 		return casregister.State{}, errUnresolved
 	}
-	round, end := store.newRound(ctx, readPatience)
-	defer end()
+	round, cancel := store.newRound(ctx, readTimeout)
+	defer cancel()
 	reader := casregister.NewReader(start, store.knownState())
 	for {
 		round.send(reader)
--- a/internal/router/configstore/resolve.go
+++ b/internal/router/configstore/resolve.go
@@ -8,16 +8,17 @@
 )
 
 const (
-	// resolveDelay is how long an accepted state may stay unknown to be chosen before the acceptor finds out by itself.
+	// resolveDelay is the average time to wait for another router's report that an accepted state is chosen, before
+	// this one reads the register itself.
 	resolveDelay = 100 * time.Millisecond
-	// resolveTimeout bounds one attempt to find out.
+	// resolveTimeout bounds one attempt.
 	resolveTimeout = time.Second
-	// longestResolvePause bounds the pause between attempts.
-	longestResolvePause = time.Second
+	// maxResolveInterval bounds the average pause between attempts, which doubles from resolveDelay.
+	maxResolveInterval = time.Second
 )
 
-// resolve finds out whether the accepted state is chosen when nobody says so, and what the newest state is while this
-// process knows none. A proposer that died after its second round thus leaves nothing hidden.
+// resolve reads the register when no router has reported whether the accepted state is chosen, and while this process
+// knows no chosen state. Otherwise a state whose proposer failed after its accept phase could stay unknown.
 func (store *Store) resolve(ctx context.Context) {
 	pause := resolveDelay
 	for ctx.Err() == nil {
@@ -30,7 +31,7 @@
 			continue
 		}
 		store.resolveOnce(ctx)
-		pause = min(2*pause, longestResolvePause)
+		pause = min(2*pause, maxResolveInterval)
 	}
 }
 
@@ -39,28 +40,29 @@
 	defer cancel()
 	chosen, err := store.read(ctx)
 	if err != nil {
-		store.log.WithError(err).Debug("the newest state is not resolved yet")
+		store.log.WithError(err).Debug("cannot determine the newest chosen state yet")
 		return
 	}
-	store.notify(chosen.register)
+	store.notifyAcceptors(chosen.register)
 }
 
-// noteNotice remembers that a state with this ballot is chosen.
-func (store *Store) noteNotice(ballot casregister.Ballot) {
+// recordChosenBallot records that a state with this ballot is chosen.
+func (store *Store) recordChosenBallot(ballot casregister.Ballot) {
 	for {
-		known := store.noticed.Load()
+		known := store.highestChosenBallot.Load()
 		if known != nil && !known.Less(ballot) {
 			return
 		}
-		if store.noticed.CompareAndSwap(known, &ballot) {
+		if store.highestChosenBallot.CompareAndSwap(known, &ballot) {
 			wake(store.wakeResolve)
 			return
 		}
 	}
 }
 
-// isUnresolved says whether this process knows no chosen state, or its acceptor holds one that it doesn't know to be
-// chosen, or it has missed one.
+// isUnresolved reports whether this process knows no chosen state, its acceptor holds a state that is not known to be
+// chosen, or another router has reported a chosen state that is newer than the current one. In a process without an
+// acceptor, only the first of these counts.
 func (store *Store) isUnresolved() bool {
 	current := store.Current()
 	if current == nil {
@@ -69,7 +71,7 @@
 	if store.acceptor == nil {
 		return false
 	}
-	if noticed := store.noticed.Load(); noticed != nil && current.register.Ballot.Less(*noticed) {
+	if reported := store.highestChosenBallot.Load(); reported != nil && current.register.Ballot.Less(*reported) {
 		return true
 	}
 	return current.register.Ballot.Less(store.acceptor.accepted().Ballot)
--- a/internal/router/configstore/round.go
+++ b/internal/router/configstore/round.go
@@ -11,65 +11,68 @@
 const (
 	// callTimeout bounds one call to an acceptor.
 	callTimeout = 500 * time.Millisecond
-	// The pause before a failed call is made again, at least and at most.
-	shortestCallPause = 10 * time.Millisecond
-	longestCallPause  = 160 * time.Millisecond
+	// The average pause before a failed call is retried doubles from minCallRetryInterval to maxCallRetryInterval.
+	minCallRetryInterval = 10 * time.Millisecond
+	maxCallRetryInterval = 160 * time.Millisecond
 )
 
-// machine is a stepped proposer or reader.
-type machine interface {
+// stateMachine is a proposer or a reader of the register.
+type stateMachine interface {
 	Outbox() []casregister.Outgoing
 	Receive(casregister.Reply)
 }
 
-// round carries the requests of one machine to the acceptors and its replies back.
+// round carries the requests of proposers and readers to the acceptors, and the replies back.
 type round struct {
 	store   *Store
 	ctx     context.Context
 	replies chan casregister.Reply
 }
 
-// newRound begins a round that ends after a time, with the context, with the store, or when the function is called.
+// newRound begins a round that ends after the timeout, with the context, when the store is closed, or when the returned
+// function is called.
 func (store *Store) newRound(ctx context.Context, limit time.Duration) (*round, func()) {
 	ctx, cancel := context.WithTimeout(ctx, limit)
 	stop := context.AfterFunc(store.ctx, cancel)
-	end := func() {
+	cancelRound := func() {
 		stop()
 		cancel()
 	}
-	return &round{store: store, ctx: ctx, replies: make(chan casregister.Reply)}, end
+	return &round{store: store, ctx: ctx, replies: make(chan casregister.Reply)}, cancelRound
 }
 
-// within is the round with an earlier end.
-func (parent *round) within(limit time.Duration) (*round, context.CancelFunc) {
+// withTimeout returns a round that shares the parent's replies and ends after a timeout, or with the parent.
+func (parent *round) withTimeout(limit time.Duration) (*round, context.CancelFunc) {
 	ctx, cancel := context.WithTimeout(parent.ctx, limit)
 	return &round{store: parent.store, ctx: ctx, replies: parent.replies}, cancel
 }
 
-// send hands the machine's requests to goroutines, each of which repeats its request until it is answered.
-func (round *round) send(machine machine) {
-	for _, outgoing := range machine.Outbox() {
-		go round.deliver(outgoing)
+// send starts a goroutine for each new request of the state machine, which retries the request until it is answered
+// or the round ends.
+func (round *round) send(sm stateMachine) {
+	for _, outgoing := range sm.Outbox() {
+		go round.sendWithRetry(outgoing)
 	}
 }
 
-func (round *round) deliver(outgoing casregister.Outgoing) {
-	pause := shortestCallPause
+func (round *round) sendWithRetry(outgoing casregister.Outgoing) {
+	pause := minCallRetryInterval
 	for round.ctx.Err() == nil {
-		reply, err := round.store.ask(round.ctx, outgoing)
+		reply, err := round.store.sendRequest(round.ctx, outgoing)
 		if err == nil {
-			round.pass(outgoing, reply)
+			round.passReply(outgoing, reply)
 			return
 		}
 		sleep(round.ctx, jitter(pause))
-		pause = min(2*pause, longestCallPause)
+		pause = min(2*pause, maxCallRetryInterval)
 	}
 }
 
-// pass hands a reply to the round. What another acceptor answered counts as the asked one's.
-func (round *round) pass(outgoing casregister.Outgoing, reply casregister.Reply) {
+// passReply delivers a reply to the round. The reply that another acceptor is at the address counts as coming from the
+// acceptor that was asked. Any other reply of a different acceptor is dropped.
+func (round *round) passReply(outgoing casregister.Outgoing, reply casregister.Reply) {
 	if reply.Verdict == casregister.OtherIdentity {
-		round.store.noteEnding(outgoing.To, reply)
+		round.store.recordEnded(outgoing.To, reply)
 		reply.From = outgoing.To.ID
 	}
 	if reply.From != outgoing.To.ID {
@@ -81,9 +84,9 @@
 	}
 }
 
-// ask makes one call to an acceptor, which may be this process's own. The call of an accept goes on when its round has
-// ended, so that the slower acceptors get the chosen state too.
-func (store *Store) ask(ctx context.Context, outgoing casregister.Outgoing) (casregister.Reply, error) {
+// sendRequest sends a request once to an acceptor, which may be this process's own. Accept requests are not cancelled
+// with their round, so that the slower acceptors receive the chosen state too.
+func (store *Store) sendRequest(ctx context.Context, outgoing casregister.Outgoing) (casregister.Reply, error) {
 	if outgoing.Request.Kind == casregister.Accept {
 		ctx = context.WithoutCancel(ctx)
 	}
@@ -94,12 +97,12 @@
 		return casregister.Reply{}, err
 	}
 	if answer.Unavailable || answer.Reply == nil {
-		return casregister.Reply{}, errUnavailable
+		return casregister.Reply{}, errDiskUnavailable
 	}
 	return *answer.Reply, nil
 }
 
-// exchange sends a message to an acceptor's router, or serves it here if that is this one.
+// exchange sends a message to an acceptor's router, or handles it locally if the acceptor is this process's own.
 func (store *Store) exchange(ctx context.Context, to casregister.Acceptor, message envelope) (response, error) {
 	if store.acceptor != nil && to.ID == store.Identity() {
 		return store.serve(ctx, message)
@@ -121,12 +124,12 @@
 	return answer, err
 }
 
-// jitter is a random time between half of the given one and one and a half of it.
+// jitter returns a random duration between half of pause and one and a half of it.
 func jitter(pause time.Duration) time.Duration {
 	return pause/2 + rand.N(pause)
 }
 
-// sleep waits for a time or the end of the context.
+// sleep waits for the pause or until the context is done.
 func sleep(ctx context.Context, pause time.Duration) {
 	timer := time.NewTimer(pause)
 	defer timer.Stop()
--- a/internal/router/configstore/serve.go
+++ b/internal/router/configstore/serve.go
@@ -8,7 +8,7 @@
 	"pewterrudder/internal/router/casregister"
 )
 
-// HandleRequest answers a request of another router's store.
+// HandleRequest handles an encoded request of another router's store and returns the encoded response.
 func (store *Store) HandleRequest(ctx context.Context, request []byte) ([]byte, error) {
 	if store.ctx.Err() != nil {
 		return nil, ErrClosed
@@ -28,10 +28,10 @@
 	switch {
 	case message.Register != nil:
 		return store.serveRegister(ctx, *message.Register)
-	case message.Notice != nil:
-		return response{}, store.takeNotice(*message.Notice)
-	case message.Knowledge:
-		return store.serveKnowledge(), nil
+	case message.ChosenBallot != nil:
+		return response{}, store.handleChosenBallot(*message.ChosenBallot)
+	case message.KnownStateQuery:
+		return store.serveKnownState(), nil
 	default:
 		return response{}, errors.New("configstore: empty request")
 	}
@@ -39,13 +39,13 @@
 
 func (store *Store) serveRegister(ctx context.Context, request casregister.Request) (response, error) {
 	if store.acceptor == nil {
-		return otherIdentity(request, "", false), nil
+		return otherIdentityResponse(request, "", false), nil
 	}
-	reply, err := store.acceptor.do(ctx, request)
-	if other := new(casregister.IdentityError); errors.As(err, &other) {
-		return otherIdentity(request, other.Actual, store.options.Self.Volatile), nil
+	reply, err := store.acceptor.submit(ctx, request)
+	if identityErr := new(casregister.IdentityError); errors.As(err, &identityErr) {
+		return otherIdentityResponse(request, identityErr.Actual, store.options.Self.Volatile), nil
 	}
-	if errors.Is(err, errUnavailable) {
+	if errors.Is(err, errDiskUnavailable) {
 		return response{Unavailable: true}, nil
 	}
 	if err != nil {
@@ -55,8 +55,9 @@
 	return response{Reply: &reply}, nil
 }
 
-// otherIdentity is the answer to a request for an acceptor that is not here.
-func otherIdentity(request casregister.Request, actual casregister.AcceptorID, isVolatile bool) response {
+// otherIdentityResponse answers a request for an acceptor that is not in this process. actual is the identity of the
+// one that is, empty if there is none.
+func otherIdentityResponse(request casregister.Request, actual casregister.AcceptorID, isVolatile bool) response {
 	return response{Reply: &casregister.Reply{
 		Verdict:    casregister.OtherIdentity,
 		From:       actual,
@@ -65,20 +66,20 @@
 	}}
 }
 
-func (store *Store) serveKnowledge() response {
+func (store *Store) serveKnownState() response {
 	answer := response{}
 	if current := store.Current(); current != nil {
 		answer.Chosen = current.Encode()
 	}
 	if start := store.startingSet(); !start.IsZero() {
-		answer.Start = &start
+		answer.NewestSet = &start
 	}
 	return answer
 }
 
-// takeNotice adopts the accepted state if it is the one that another router saw chosen. If it is another one, this router
-// may have missed a state, and finds out unless the cluster tells it soon.
-func (store *Store) takeNotice(ballot casregister.Ballot) error {
+// handleChosenBallot adopts the accepted state if its ballot is the one that another router reports as chosen.
+// Otherwise this router may have missed a state, and resolve reads the register unless the state arrives soon.
+func (store *Store) handleChosenBallot(ballot casregister.Ballot) error {
 	if store.acceptor == nil {
 		return nil
 	}
@@ -87,9 +88,9 @@
 		return nil
 	}
 	if accepted.Ballot != ballot {
-		store.noteNotice(ballot)
+		store.recordChosenBallot(ballot)
 		return nil
 	}
-	_, err := store.adoptRegister(accepted)
+	_, err := store.adoptRegisterState(accepted)
 	return err
 }
--- a/internal/router/configstore/snapshot.go
+++ b/internal/router/configstore/snapshot.go
@@ -9,13 +9,14 @@
 	"github.com/pkg/errors"
 )
 
-// snapshotFormat is the version of a snapshot's file.
+// snapshotFormat is the version of the snapshot file format.
 const snapshotFormat = 1
 
-// ErrSnapshotDamaged is the error of a file that is no snapshot, or not as it was written.
-var ErrSnapshotDamaged = errors.New("configstore: damaged snapshot")
+// ErrCorruptSnapshot is returned for a file that is not a snapshot, or that was modified after it was written.
+var ErrCorruptSnapshot = errors.New("configstore: corrupt snapshot")
 
-// SnapshotOutdatedError refuses a snapshot that the register is ahead of, or that holds something else under the same revision.
+// SnapshotOutdatedError rejects a snapshot that is older than the register's state, or that has the same revision but
+// other content.
 type SnapshotOutdatedError struct {
 	Revision          uint64
 	Generation        int64
@@ -24,22 +25,23 @@
 }
 
 func (e SnapshotOutdatedError) Error() string {
-	return fmt.Sprintf("revision %d with generation %d is in force, and the snapshot holds revision %d with generation %d",
+	return fmt.Sprintf("the current state has revision %d and generation %d, but the snapshot has revision %d and generation %d",
 		e.CurrentRevision, e.CurrentGeneration, e.Revision, e.Generation)
 }
 
-// snapshotFile is a state outside of the register, in JSON.
+// snapshotFile is the JSON representation of a state.
 type snapshotFile struct {
 	Format     int    `json:"format"`
 	Revision   uint64 `json:"revision"`
 	Generation int64  `json:"generation"`
-	// State is the register's payload.
+	// State is the state as encoded in the register's payload.
 	State []byte `json:"state"`
-	// SHA256 is the hash of the payload in hexadecimal digits.
+	// SHA256 is the hash of State in hexadecimal.
 	SHA256 string `json:"sha256"`
 }
 
-// EncodeSnapshot returns the file of a state: configuration, revision, and the orders by which repeats are recognised.
+// EncodeSnapshot returns the snapshot file of a state. It contains the whole state, including the applied changes by
+// which repeated requests are recognised.
 func EncodeSnapshot(state State) ([]byte, error) {
 	payload, err := encodeState(state)
 	if err != nil {
@@ -50,39 +52,41 @@
 		Revision:   state.Revision,
 		Generation: state.Generation,
 		State:      payload,
-		SHA256:     hashOf(payload),
+		SHA256:     sha256Hex(payload),
 	}, "", "  ")
 }
 
-// DecodeSnapshot reads such a file. Its error is ErrSnapshotDamaged, or a NewerFormatError.
+// DecodeSnapshot decodes a snapshot file. Its error is ErrCorruptSnapshot, a NewerFormatError, or that of decoding the
+// state.
 func DecodeSnapshot(encoded []byte) (State, error) {
 	var file snapshotFile
 	if err := json.Unmarshal(encoded, &file); err != nil {
-		return State{}, errors.Wrap(ErrSnapshotDamaged, err.Error())
+		return State{}, errors.Wrap(ErrCorruptSnapshot, err.Error())
 	}
 	if file.Format > snapshotFormat {
-		return State{}, NewerFormatError{Needs: file.Format}
+		return State{}, NewerFormatError{Required: file.Format}
 	}
-	if file.Format != snapshotFormat || file.SHA256 != hashOf(file.State) {
-		return State{}, errors.Wrap(ErrSnapshotDamaged, "its hash is another")
+	if file.Format != snapshotFormat || file.SHA256 != sha256Hex(file.State) {
+		return State{}, errors.Wrap(ErrCorruptSnapshot, "format or hash mismatch")
 	}
 	state, err := decodeState(file.State)
 	if err != nil {
 		return State{}, err
 	}
 	if state.Revision != file.Revision || state.Generation != file.Generation || state.Revision == 0 {
-		return State{}, errors.Wrap(ErrSnapshotDamaged, "its revision is another")
+		return State{}, errors.Wrap(ErrCorruptSnapshot, "revision or generation mismatch")
 	}
 	return state, nil
 }
 
-func hashOf(payload []byte) string {
+func sha256Hex(payload []byte) string {
 	sum := sha256.Sum256(payload)
 	return hex.EncodeToString(sum[:])
 }
 
-// WithSnapshot is the state after a snapshot was put in force on top of it. What is older than the state is refused, so that a snapshot
-// takes nothing back that was acknowledged; the state's own snapshot changes nothing.
+// WithSnapshot returns the state after a snapshot has been restored on top of it. A snapshot that is older than the
+// state is rejected, so that a restore never reverts an acknowledged change. A snapshot of the state itself changes
+// nothing.
 func (state State) WithSnapshot(snapshot State) (State, error) {
 	outdated := SnapshotOutdatedError{
 		Revision:          snapshot.Revision,
@@ -91,7 +95,7 @@
 		CurrentGeneration: state.Generation,
 	}
 	switch {
-	case snapshot.isSame(state):
+	case snapshot.hasSameContent(state):
 		return state, nil
 	case snapshot.Revision <= state.Revision, snapshot.Generation < state.Generation:
 		return state, outdated
--- a/internal/router/configstore/spread.go
+++ b/internal/router/configstore/spread.go
@@ -7,33 +7,35 @@
 	"pewterrudder/internal/router/casregister"
 )
 
-// spreadLimit is how long a proposal that is chosen waits for the voters beyond its quorum, where some voters are volatile.
-const spreadLimit = 250 * time.Millisecond
+// spreadTimeout is how long a chosen proposal waits for the voters beyond its quorum if some voters are volatile.
+const spreadTimeout = 250 * time.Millisecond
 
-// spread waits for a moment until all voters that answer hold the chosen state, where some of them are volatile: those of the quorum
-// may end at once with their memory, and a recovery goes by what the others hold. A voter that has promised a higher ballot is given
-// the state under one that is higher still.
-func (store *Store) spread(round *round, proposer *casregister.Proposer) {
+// spreadChosenState waits, for spreadTimeout at most, until all voters that answer hold the chosen state. It does so
+// only if some voters are volatile: those of the quorum may all end and lose their memory, and a recovery then relies
+// on the state of the others. If a voter has promised a higher ballot, the state is proposed again under a ballot
+// above that one.
+func (store *Store) spreadChosenState(round *round, proposer *casregister.Proposer) {
 	if !proposer.HasVolatile() {
 		return
 	}
-	round, end := round.within(spreadLimit)
-	defer end()
+	round, cancel := round.withTimeout(spreadTimeout)
+	defer cancel()
 	for store.awaitSpread(round, proposer) == casregister.SpreadRefused {
-		proposer = store.rewrite(round, proposer.Higher())
+		proposer = store.rewriteChosenState(round, proposer.Higher())
 	}
 }
 
-// rewrite has the chosen state accepted under ballots above a known one until one is not preempted, or the round ends.
-func (store *Store) rewrite(round *round, higher casregister.Ballot) *casregister.Proposer {
+// rewriteChosenState proposes the chosen state again under ballots above the given one, until it is chosen or the round
+// ends.
+func (store *Store) rewriteChosenState(round *round, higher casregister.Ballot) *casregister.Proposer {
 	for {
 		store.raiseBallot(higher)
-		sleep(round.ctx, rand.N(shortestBackoff))
+		sleep(round.ctx, rand.N(minBackoff))
 		proposer := store.newProposer(keepValue, true)
-		result := store.drive(round, proposer)
+		result := store.runProposer(round, proposer)
 		if result.Outcome == casregister.Chosen {
-			_, _ = store.adoptRegister(result.State)
-			store.notify(result.State)
+			_, _ = store.adoptRegisterState(result.State)
+			store.notifyAcceptors(result.State)
 			return proposer
 		}
 		if round.ctx.Err() != nil {
@@ -43,7 +45,7 @@
 	}
 }
 
-// awaitSpread takes replies until all voters have answered or the round ends.
+// awaitSpread receives replies until all voters have answered or the round ends.
 func (store *Store) awaitSpread(round *round, proposer *casregister.Proposer) casregister.Spread {
 	for round.ctx.Err() == nil {
 		if spread := proposer.Spread(); spread != casregister.SpreadPending {
--- a/internal/router/configstore/state.go
+++ b/internal/router/configstore/state.go
@@ -8,109 +8,114 @@
 	"github.com/vmihailenco/msgpack/v5"
 )
 
-// State is what the fleet has agreed on.
+// State is the replicated state of the fleet's configuration.
 type State struct {
-	// Revision rises by one with each chosen change. It is zero while there is no document.
+	// Revision increases by one with each chosen change, or to that of a restored snapshot if that is higher. Zero
+	// means that there is no document yet.
 	Revision uint64
 	// Document is the operator's configuration.
 	Document []byte
-	// Generation is the number that the operator gave the document.
+	// Generation is the version number that the operator assigned to the document.
 	Generation int64
-	// Orders are the newest orders taken, the latest last. Those on bases below ForgottenBelow are not remembered.
-	Orders         []Order
+	// AppliedChanges are the newest applied changes, the latest last. Changes on bases below ForgottenBelow may be
+	// missing.
+	AppliedChanges []AppliedChange
 	ForgottenBelow int64
-	// Prefixes is the encoded set of common prompt prefixes, which routers agree on among themselves. It is no part of
-	// the operator's configuration.
+	// Prefixes is the encoded set of common prompt prefixes, on which the routers agree among themselves. It is not
+	// part of the operator's configuration.
 	Prefixes []byte
 
-	// unknown are the fields of a newer release, which are kept as they came.
-	unknown map[string]msgpack.RawMessage
+	// unknownFields are fields written by a newer release. They are preserved unchanged.
+	unknownFields map[string]msgpack.RawMessage
 }
 
-// The names of the state's fields on the wire.
+// The names of the fields of an encoded state.
 const (
-	fieldRevision   = "revision"
-	fieldDocument   = "document_deflate"
-	fieldGeneration = "generation"
-	fieldOrders     = "orders"
-	fieldForgotten  = "forgotten_below"
-	// fieldChanges holds the identities of the newest orders alone: earlier releases know orders by that.
-	fieldChanges  = "changes"
-	fieldPrefixes = "prefixes"
-	// fieldNeeds is the format that a release must know to act on the state; left out, any release may.
-	fieldNeeds = "needs_format"
+	fieldRevision       = "revision"
+	fieldDocument       = "document_deflate"
+	fieldGeneration     = "generation"
+	fieldAppliedChanges = "orders"
+	fieldForgottenBelow = "forgotten_below"
+	// fieldLegacyChangeIDs contains only the IDs of the newest changes, as earlier releases read and write them.
+	fieldLegacyChangeIDs = "changes"
+	fieldPrefixes        = "prefixes"
+	// fieldRequiredFormat is the format that a release must support to use the state; without it, any release may.
+	fieldRequiredFormat = "needs_format"
 )
 
-// format is the newest format of a state that this release knows. A release that adds a field which others must not pass over raises it
-// and writes fieldNeeds, so that the fleet can't be rolled back behind it by mistake.
-const format = 1
+// stateFormat is the newest state format that this release supports. A release that adds a field which other releases
+// must not ignore increments it and writes fieldRequiredFormat, so that the fleet cannot be rolled back to an
+// incompatible release by mistake.
+const stateFormat = 1
 
-// NewerFormatError says that a state was written by a release that this one must not act for.
-type NewerFormatError struct{ Needs int }
+// NewerFormatError is returned for a state or snapshot whose format this release does not support.
+type NewerFormatError struct{ Required int }
 
 func (e NewerFormatError) Error() string {
-	return fmt.Sprintf("configstore: the state needs a release that knows format %d, and this one knows %d", e.Needs, format)
+	return fmt.Sprintf("configstore: the state requires format %d, but this release supports only formats up to %d", e.Required, stateFormat)
 }
 
-// WithChange is the state after an order on top of it: the new document, its generation, and the order's identity. The revision is
-// given by the store.
+// WithChange returns the state after a change with the given ID, which sets the document and its generation. The
+// store sets the revision.
 func (state State) WithChange(document []byte, generation int64, change ChangeID) State {
 	next := state
 	next.Document = document
 	next.Generation = generation
-	next.remember(Order{Base: state.Generation, ID: change})
+	next.addAppliedChange(AppliedChange{Base: state.Generation, ID: change})
 	return next
 }
 
-// WithPrefixes is the state with another set of common prefixes. Document, generation and changes stay.
+// WithPrefixes returns the state with another encoded set of common prefixes. Document, generation and applied
+// changes stay.
 func (state State) WithPrefixes(encoded []byte) State {
 	next := state
 	next.Prefixes = encoded
 	return next
 }
 
-// isSame says whether both states hold the same, revisions aside.
-func (state State) isSame(other State) bool {
+// hasSameContent reports whether both states are equal except for their revisions and unknown fields.
+func (state State) hasSameContent(other State) bool {
 	return state.Generation == other.Generation &&
 		state.ForgottenBelow == other.ForgottenBelow &&
-		slices.Equal(state.Orders, other.Orders) &&
+		slices.Equal(state.AppliedChanges, other.AppliedChanges) &&
 		bytes.Equal(state.Document, other.Document) &&
 		bytes.Equal(state.Prefixes, other.Prefixes)
 }
 
-// follow numbers a state that was changed from base. One that was restored keeps its own revision, which is higher.
-func follow(base, next State) State {
-	if next.isSame(base) {
+// withNextRevision returns next with the revision after that of base, or base if nothing has changed. A state
+// restored from a snapshot keeps its own revision, which is higher.
+func withNextRevision(base, next State) State {
+	if next.hasSameContent(base) {
 		return base
 	}
 	next.Revision = max(base.Revision+1, next.Revision)
 	return next
 }
 
-// encodeState returns the state as the register's payload.
+// encodeState encodes a state as the register's payload.
 func encodeState(state State) ([]byte, error) {
-	packed, err := compress(state.Document)
+	compressed, err := compress(state.Document)
 	if err != nil {
 		return nil, err
 	}
 	fields := map[string]any{
-		fieldRevision:   state.Revision,
-		fieldDocument:   packed,
-		fieldGeneration: state.Generation,
-		fieldOrders:     encodeOrders(state.Orders),
-		fieldForgotten:  state.ForgottenBelow,
-		fieldChanges:    encodeChanges(state.Orders),
+		fieldRevision:        state.Revision,
+		fieldDocument:        compressed,
+		fieldGeneration:      state.Generation,
+		fieldAppliedChanges:  encodeAppliedChanges(state.AppliedChanges),
+		fieldForgottenBelow:  state.ForgottenBelow,
+		fieldLegacyChangeIDs: encodeLegacyChangeIDs(state.AppliedChanges),
 	}
 	if len(state.Prefixes) > 0 {
 		fields[fieldPrefixes] = state.Prefixes
 	}
-	for name, value := range state.unknown {
+	for name, value := range state.unknownFields {
 		fields[name] = value
 	}
 	return marshalSorted(fields)
 }
 
-// marshalSorted encodes a map with its keys in order, so that equal states have equal bytes.
+// marshalSorted encodes a map with sorted keys, so that equal states have equal encodings.
 func marshalSorted(fields map[string]any) ([]byte, error) {
 	var buffer bytes.Buffer
 	encoder := msgpack.NewEncoder(&buffer)
@@ -121,7 +126,7 @@
 	return buffer.Bytes(), nil
 }
 
-// decodeState reads a payload. An empty payload is the first state.
+// decodeState decodes the register's payload. An empty payload is the initial state.
 func decodeState(payload []byte) (State, error) {
 	if len(payload) == 0 {
 		return State{}, nil
@@ -139,36 +144,36 @@
 			return State{}, err
 		}
 	}
-	return state, state.decodeEarlier(fields)
+	return state, state.decodeLegacyChangeIDs(fields)
 }
 
-// checkFormat refuses a state that needs a newer release.
+// checkFormat returns a NewerFormatError for a state that requires a newer release.
 func checkFormat(fields map[string]msgpack.RawMessage) error {
-	raw, isSet := fields[fieldNeeds]
+	raw, isSet := fields[fieldRequiredFormat]
 	if !isSet {
 		return nil
 	}
-	needs := 0
-	if err := msgpack.Unmarshal(raw, &needs); err != nil {
+	required := 0
+	if err := msgpack.Unmarshal(raw, &required); err != nil {
 		return err
 	}
-	if needs > format {
-		return NewerFormatError{Needs: needs}
+	if required > stateFormat {
+		return NewerFormatError{Required: required}
 	}
 	return nil
 }
 
-// decodeEarlier reads the orders that earlier releases took.
-func (state *State) decodeEarlier(fields map[string]msgpack.RawMessage) error {
-	raw, isSet := fields[fieldChanges]
+// decodeLegacyChangeIDs adds the changes that earlier releases have applied. All other fields must be decoded before.
+func (state *State) decodeLegacyChangeIDs(fields map[string]msgpack.RawMessage) error {
+	raw, isSet := fields[fieldLegacyChangeIDs]
 	if !isSet {
 		return nil
 	}
-	var joined []byte
-	if err := msgpack.Unmarshal(raw, &joined); err != nil {
+	var encoded []byte
+	if err := msgpack.Unmarshal(raw, &encoded); err != nil {
 		return err
 	}
-	state.takeEarlierChanges(joined)
+	state.mergeLegacyChangeIDs(encoded)
 	return nil
 }
 
@@ -180,29 +185,29 @@
 		return state.decodeDocument(raw)
 	case fieldGeneration:
 		return msgpack.Unmarshal(raw, &state.Generation)
-	case fieldOrders:
-		return state.decodeOrders(raw)
-	case fieldForgotten:
+	case fieldAppliedChanges:
+		return state.decodeAppliedChanges(raw)
+	case fieldForgottenBelow:
 		return msgpack.Unmarshal(raw, &state.ForgottenBelow)
-	case fieldChanges, fieldNeeds:
-		return nil // read by themselves
+	case fieldLegacyChangeIDs, fieldRequiredFormat:
+		return nil // handled by decodeLegacyChangeIDs and checkFormat
 	case fieldPrefixes:
 		return msgpack.Unmarshal(raw, &state.Prefixes)
 	default:
-		if state.unknown == nil {
-			state.unknown = make(map[string]msgpack.RawMessage)
+		if state.unknownFields == nil {
+			state.unknownFields = make(map[string]msgpack.RawMessage)
 		}
-		state.unknown[name] = raw
+		state.unknownFields[name] = raw
 		return nil
 	}
 }
 
 func (state *State) decodeDocument(raw msgpack.RawMessage) error {
-	var packed []byte
-	if err := msgpack.Unmarshal(raw, &packed); err != nil {
+	var compressed []byte
+	if err := msgpack.Unmarshal(raw, &compressed); err != nil {
 		return err
 	}
-	document, err := decompress(packed)
+	document, err := decompress(compressed)
 	if err != nil || len(document) == 0 {
 		return err
 	}
@@ -210,12 +215,12 @@
 	return nil
 }
 
-func (state *State) decodeOrders(raw msgpack.RawMessage) error {
+func (state *State) decodeAppliedChanges(raw msgpack.RawMessage) error {
 	var encoded []byte
 	err := msgpack.Unmarshal(raw, &encoded)
 	if err != nil {
 		return err
 	}
-	state.Orders, err = decodeOrders(encoded)
+	state.AppliedChanges, err = decodeAppliedChanges(encoded)
 	return err
 }
--- a/internal/router/configstore/store.go
+++ b/internal/router/configstore/store.go
@@ -11,67 +11,70 @@
 	"pewterrudder/internal/router/casregister"
 )
 
-// Store is this process's part in the configuration register. All methods may be called from any goroutine.
+// Store is this process's replica of, and client to, the configuration register. Its methods are safe for concurrent
+// use.
 type Store struct {
-	options  Options
-	log      logrus.FieldLogger
-	proposer string
-	opened   time.Time
-	acceptor *acceptor // nil if this process has none
+	options    Options
+	log        logrus.FieldLogger
+	proposerID string
+	openedAt   time.Time
+	acceptor   *acceptor // nil if this process has none
 
-	ctx    context.Context
-	cancel context.CancelFunc
-	done   sync.WaitGroup
+	ctx        context.Context
+	cancel     context.CancelFunc
+	goroutines sync.WaitGroup
 
 	current atomic.Pointer[Chosen]
-	// start is the newest set heard of, from which proposals start. Nil while nothing is known.
-	start atomic.Pointer[casregister.Set]
+	// newestSet is the acceptor set with the highest epoch heard of, from which proposals start. Nil while none is
+	// known.
+	newestSet atomic.Pointer[casregister.Set]
 
-	// noticed is the highest ballot that another router said to be chosen.
-	noticed atomic.Pointer[casregister.Ballot]
+	// highestChosenBallot is the highest ballot that another router has reported as chosen.
+	highestChosenBallot atomic.Pointer[casregister.Ballot]
 
-	// proposing has room for one: proposals of one process are made one after the other. Its holder owns lastBallot.
-	proposing  chan struct{}
-	lastBallot casregister.Ballot
+	// proposeSemaphore has a capacity of one: a process runs one proposal at a time. Its holder owns lastBallot.
+	proposeSemaphore chan struct{}
+	lastBallot       casregister.Ballot
 
-	adopting  sync.Mutex // orders changes of current and their announcements
-	news      []*Chosen  // chosen states still to be announced
-	listeners []func(*Chosen)
-	newsReady chan struct{}
+	adoptMutex           sync.Mutex // serializes changes of current and their announcements
+	pendingAnnouncements []*Chosen  // chosen states not yet passed to the listeners
+	listeners            []func(*Chosen)
+	wakeAnnounce         chan struct{}
 
-	presence presence
-	endings  endings
-	// isBystander says that this process's acceptor is volatile in a fleet that has disks.
-	isBystander atomic.Bool
+	candidates     candidateTracker
+	endedAcceptors endedTracker
+	// isIneligible is true if this process's acceptor cannot be a voter: it is volatile in a fleet that has disks.
+	isIneligible atomic.Bool
 
 	wakeResolve,
 	wakeDiscover,
 	wakeMembers chan struct{}
 }
 
-// openPatience is how long Open waits for the disk.
-const openPatience = time.Second
+// openTimeout is how long Open waits for the disk.
+const openTimeout = time.Second
 
-// Open starts the store, which reads the acceptor's record or decides its identity on an empty disk. A disk that hangs or
-// refuses is tried again in the background, and Identity is empty until then.
+// Open starts the store. It loads the acceptor's record, or creates one with a new identity on an empty disk. If the
+// disk hangs or fails, Open returns after openTimeout and loading continues in the background; Identity is empty
+// until then.
 func Open(options Options) (*Store, error) {
 	store := &Store{
-		options:      options,
-		log:          options.Log,
-		proposer:     options.Node + "#" + randomSuffix(),
-		opened:       time.Now(),
-		proposing:    make(chan struct{}, 1),
-		newsReady:    make(chan struct{}, 1),
-		wakeResolve:  make(chan struct{}, 1),
-		wakeDiscover: make(chan struct{}, 1),
-		wakeMembers:  make(chan struct{}, 1),
+		options:          options,
+		log:              options.Log,
+		proposerID:       options.Node + "#" + randomSuffix(),
+		openedAt:         time.Now(),
+		proposeSemaphore: make(chan struct{}, 1),
+		wakeAnnounce:     make(chan struct{}, 1),
+		wakeResolve:      make(chan struct{}, 1),
+		wakeDiscover:     make(chan struct{}, 1),
+		wakeMembers:      make(chan struct{}, 1),
 	}
 	store.ctx, store.cancel = context.WithCancel(context.Background())
 	if store.log == nil {
 		store.log = logrus.StandardLogger()
 	}
-	if first := firstSet(options); !first.IsZero() {
-		store.start.Store(&first)
+	if initial := initialSet(options); !initial.IsZero() {
+		store.newestSet.Store(&initial)
 	}
 	if options.Self != nil {
 		store.startAcceptor()
@@ -80,70 +83,71 @@
 	return store, nil
 }
 
-// startAcceptor starts the acceptor's goroutine and waits for its disk for a while.
+// startAcceptor starts the acceptor's goroutine and waits up to openTimeout for its record to be loaded.
 func (store *Store) startAcceptor() {
 	store.acceptor = newAcceptor(store.options, store.log)
 	store.acceptor.onAccepted = func() { wake(store.wakeResolve) }
-	store.acceptor.onOpened = func(record casregister.Record) {
-		store.raiseStart(record.First)
-		store.raiseStart(record.Accepted.Value.Set)
+	store.acceptor.onRecordLoaded = func(record casregister.Record) {
+		store.raiseNewestSet(record.First)
+		store.raiseNewestSet(record.Accepted.Value.Set)
 		wake(store.wakeResolve)
 	}
-	store.done.Go(func() { store.acceptor.run(store.ctx) })
-	patience := time.NewTimer(openPatience)
-	defer patience.Stop()
+	store.goroutines.Go(func() { store.acceptor.run(store.ctx) })
+	timer := time.NewTimer(openTimeout)
+	defer timer.Stop()
 	select {
-	case <-store.acceptor.opened:
-	case <-patience.C:
+	case <-store.acceptor.recordLoaded:
+	case <-timer.C:
 	}
 }
 
 func (store *Store) startGoroutines() {
-	store.done.Go(func() { store.announce(store.ctx) })
-	store.done.Go(func() { store.discover(store.ctx) })
-	store.done.Go(func() { store.resolve(store.ctx) })
-	store.done.Go(func() { store.changeMembers(store.ctx) })
+	store.goroutines.Go(func() { store.announce(store.ctx) })
+	store.goroutines.Go(func() { store.discoverState(store.ctx) })
+	store.goroutines.Go(func() { store.resolve(store.ctx) })
+	store.goroutines.Go(func() { store.reconcileMembers(store.ctx) })
 }
 
-// Close ends the store's goroutines and waits for a disk write under way.
+// Close stops the store's goroutines, and waits for them and for a disk write in progress.
 func (store *Store) Close() {
 	store.cancel()
-	store.done.Wait()
+	store.goroutines.Wait()
 }
 
-// Identity is the identity of this process's acceptor, empty if it has none or its disk has not answered yet.
+// Identity returns the identity of this process's acceptor, empty if it has none or its record has not been loaded yet.
 func (store *Store) Identity() casregister.AcceptorID {
 	if store.acceptor == nil {
 		return ""
 	}
-	durable := store.acceptor.durable.Load()
-	if durable == nil {
+	synced := store.acceptor.syncedRecord.Load()
+	if synced == nil {
 		return ""
 	}
-	return durable.ID
+	return synced.ID
 }
 
-// WriteUnderWay is how long the acceptor's disk has taken so far for a write that it has not answered, zero if there is none.
+// WriteUnderWay returns how long the acceptor's current disk write has taken so far, zero if there is none.
 func (store *Store) WriteUnderWay() time.Duration {
 	if store.acceptor == nil {
 		return 0
 	}
-	return store.acceptor.writeUnderWay()
+	return store.acceptor.pendingWriteDuration()
 }
 
-// RefusesWrites says whether the acceptor's disk refused the last write.
+// RefusesWrites reports whether the last write to the acceptor's disk failed.
 func (store *Store) RefusesWrites() bool {
-	return store.acceptor != nil && store.acceptor.refused.Load()
+	return store.acceptor != nil && store.acceptor.lastWriteFailed.Load()
 }
 
-// Current is the newest state that this process knows to be chosen, nil while it knows none. Before the first
-// configuration it has revision zero and no document.
+// Current returns the newest state that this process knows to be chosen, nil if it knows none. Before the first
+// configuration, the state has revision zero and no document.
 func (store *Store) Current() *Chosen { return store.current.Load() }
 
-// startingSet is where proposals and reads begin. It is zero while nothing is known.
+// startingSet returns the newest known acceptor set, with which proposals and reads begin. It is zero while none is
+// known.
 func (store *Store) startingSet() casregister.Set {
 	set := casregister.Set{}
-	if start := store.start.Load(); start != nil {
+	if start := store.newestSet.Load(); start != nil {
 		set = *start
 	}
 	if current := store.Current(); current != nil && current.Set.Epoch >= set.Epoch {
@@ -152,20 +156,21 @@
 	return set
 }
 
-// raiseStart notes a set if it is newer than the one known.
-func (store *Store) raiseStart(set casregister.Set) {
+// raiseNewestSet replaces newestSet if the given set has a higher epoch.
+func (store *Store) raiseNewestSet(set casregister.Set) {
 	for {
-		known := store.start.Load()
+		known := store.newestSet.Load()
 		if set.IsZero() || (known != nil && known.Epoch >= set.Epoch) {
 			return
 		}
-		if store.start.CompareAndSwap(known, &set) {
+		if store.newestSet.CompareAndSwap(known, &set) {
 			return
 		}
 	}
 }
 
-// wake signals a goroutine that waits on the channel, at most once at a time.
+// wake signals the goroutine that waits on the channel, which has a buffer of one. It does nothing if a signal is
+// already pending.
 func wake(channel chan struct{}) {
 	select {
 	case channel <- struct{}{}:
--- a/internal/router/configstore/store_test.go
+++ b/internal/router/configstore/store_test.go
@@ -15,11 +15,11 @@
 	"pewterrudder/internal/router/disk/simdisk"
 )
 
-// TestFirstStart starts four machines with a disk, three of them seeds, and two without, in any order.
-func TestFirstStart(t *testing.T) {
-	for draw := range 20 {
+// TestBootstrap starts four machines with a disk, three of them seeds, and two without, in random order.
+func TestBootstrap(t *testing.T) {
+	for seed := range 20 {
 		synctest.Test(t, func(t *testing.T) {
-			random := rand.New(rand.NewPCG(uint64(draw), 0))
+			random := rand.New(rand.NewPCG(uint64(seed), 0))
 			fleet := newFleet(t, "a", "b", "c")
 			var routers []*router
 			for _, address := range []string{"a", "b", "c", "d", "x", "y"} {
@@ -29,7 +29,7 @@
 				routers[index].start(true)
 				time.Sleep(time.Duration(random.IntN(60)) * time.Millisecond)
 			}
-			fleet.watch()
+			fleet.startMembership()
 			for index, router := range routers[:3] {
 				assert.Equal(t, router.store.Identity(), casregister.AcceptorID(fleet.initial[index]))
 			}
@@ -38,7 +38,7 @@
 			assert.Equal(t, state.Revision, uint64(1))
 			assert.Assert(t, took < time.Second, "%v", took)
 			time.Sleep(settleTime)
-			fleet.assertForce(7)
+			fleet.assertGeneration(7)
 			fleet.assertVoters(routers[:4]...)
 			for _, router := range routers {
 				assert.Equal(t, router.store.Current().Set.Epoch, uint64(2), "one change of the set")
@@ -47,7 +47,7 @@
 	}
 }
 
-// TestWipedDisk has a machine come back at its address with an empty disk.
+// TestWipedDisk restarts a machine at its address with an empty disk.
 func TestWipedDisk(t *testing.T) {
 	for wiped := range 3 {
 		synctest.Test(t, func(t *testing.T) {
@@ -61,15 +61,15 @@
 			routers[wiped].start(false)
 			time.Sleep(settleTime)
 			fleet.assertVoters(routers...)
-			fleet.assertForce(1)
+			fleet.assertGeneration(1)
 			_, _, err = routers[wiped].put(1, 2)
 			assert.NilError(t, err)
 		})
 	}
 }
 
-// TestReplacementTwice loses a machine for good and adds one at another address, twice, until no seed but one is left.
-func TestReplacementTwice(t *testing.T) {
+// TestConsecutiveReplacements replaces a machine by one at another address, twice, until only one seed is left.
+func TestConsecutiveReplacements(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		fleet := newFleet(t, "a", "b", "c")
 		routers := fleet.startAll(true, "a", "b", "c")
@@ -83,16 +83,17 @@
 			time.Sleep(settleTime)
 			routers[index] = replacement
 			fleet.assertVoters(routers...)
-			fleet.assertForce(1)
+			fleet.assertGeneration(1)
 		}
 		_, _, err = routers[0].put(1, 2)
 		assert.NilError(t, err)
 		time.Sleep(settleTime)
-		fleet.assertForce(2)
+		fleet.assertGeneration(2)
 	})
 }
 
-// TestSilentVoterIsRemovedAndReturns loses one of four voters for a while.
+// TestSilentVoterIsRemovedAndReturns stops one of four voters and then another one. Only the first is removed, since
+// three voters are needed to tolerate a failure; both are voters again once they are back.
 func TestSilentVoterIsRemovedAndReturns(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		fleet := newFleet(t, "a", "b", "c", "d")
@@ -122,36 +123,36 @@
 	}
 }
 
-func TestRefusedChangeIsNeverInForce(t *testing.T) {
+func TestRejectedChangeIsNotApplied(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		fleet := newFleet(t, "a", "b", "c")
 		routers := fleet.startAll(true, "a", "b", "c")
 		_, _, err := routers[0].put(0, 1)
 		assert.NilError(t, err)
 		state, _, err := routers[1].put(0, 5)
-		assert.ErrorIs(t, err, errOtherVersion)
+		assert.ErrorIs(t, err, errGenerationMismatch)
 		assert.Equal(t, state.Generation, int64(1))
 		time.Sleep(settleTime)
-		fleet.assertForce(1)
+		fleet.assertGeneration(1)
 
-		// Of two orders on the same version one wins.
-		var wins atomic.Int32
-		var orders sync.WaitGroup
+		// Of concurrent changes on the same generation, only one is applied.
+		var applied atomic.Int32
+		var changes sync.WaitGroup
 		for index := range 3 {
-			orders.Go(func() {
+			changes.Go(func() {
 				if _, _, err := routers[index].put(1, int64(10+index)); err == nil {
-					wins.Add(1)
+					applied.Add(1)
 				} else {
-					assert.ErrorIs(t, err, errOtherVersion)
+					assert.ErrorIs(t, err, errGenerationMismatch)
 				}
 			})
 		}
-		orders.Wait()
-		assert.Equal(t, wins.Load(), int32(1))
+		changes.Wait()
+		assert.Equal(t, applied.Load(), int32(1))
 	})
 }
 
-func TestRepeatedOrderIsAcknowledgedAgain(t *testing.T) {
+func TestRepeatedChangeIsIdempotent(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		fleet := newFleet(t, "a", "b", "c")
 		routers := fleet.startAll(true, "a", "b", "c")
@@ -168,13 +169,14 @@
 	})
 }
 
-// TestPowerLossOfAll cuts the power of all machines right after an acknowledgement, at drawn moments of a second order.
-func TestPowerLossOfAll(t *testing.T) {
-	for draw := range 60 {
+// TestPowerLossOfAllMachines cuts the power of all machines after an acknowledged change, at random times during a
+// second one.
+func TestPowerLossOfAllMachines(t *testing.T) {
+	for seed := range 60 {
 		synctest.Test(t, func(t *testing.T) {
-			random := rand.New(rand.NewPCG(uint64(draw), 0))
+			random := rand.New(rand.NewPCG(uint64(seed), 0))
 			fleet := newFleet(t, "a", "b", "c")
-			fleet.hears = false
+			fleet.broadcastsChosen = false
 			routers := fleet.startAll(true, "a", "b", "c")
 			_, _, err := routers[0].put(0, 1)
 			assert.NilError(t, err)
@@ -186,26 +188,27 @@
 			for _, router := range routers {
 				router.start(false)
 			}
-			fleet.watch()
+			fleet.startMembership()
 			first, err := routers[random.IntN(3)].read()
 			assert.NilError(t, err)
 			assert.Assert(t, first == 1 || first == 2, "%d", first)
 			time.Sleep(settleTime)
-			// A message of the second order may have been on its way, and the order had no clear end.
+			// The outcome of the second change is unknown, and a message of it may still have been in transit.
 			settled := routers[0].store.Current().State.Generation
 			assert.Assert(t, settled >= first && settled <= 2, "%d after %d", settled, first)
-			fleet.assertForce(settled)
+			fleet.assertGeneration(settled)
 			_, _, err = routers[2].put(settled, 9)
 			assert.NilError(t, err)
 		})
 	}
 }
 
-// TestLostDiskWhileOthersLosePower is the worst loss that one tolerated machine allows.
+// TestLostDiskWhileOthersLosePower replaces one disk while all machines lose power, which is the most that a fleet
+// with one tolerated failure must survive.
 func TestLostDiskWhileOthersLosePower(t *testing.T) {
-	for draw := range 30 {
+	for seed := range 30 {
 		synctest.Test(t, func(t *testing.T) {
-			random := rand.New(rand.NewPCG(uint64(draw), 0))
+			random := rand.New(rand.NewPCG(uint64(seed), 0))
 			fleet := newFleet(t, "a", "b", "c")
 			routers := fleet.startAll(true, "a", "b", "c")
 			_, _, err := routers[random.IntN(3)].put(0, 1)
@@ -217,19 +220,20 @@
 			for _, router := range routers {
 				router.start(false)
 			}
-			fleet.watch()
+			fleet.startMembership()
 			found, err := routers[random.IntN(3)].read()
 			assert.NilError(t, err)
 			assert.Equal(t, found, int64(1))
 			time.Sleep(2 * settleTime)
 			fleet.assertVoters(routers...)
-			fleet.assertForce(1)
+			fleet.assertGeneration(1)
 		})
 	}
 }
 
-// TestManyOrdersAtOnce has eight routers order at once, and then a storm of one order each 80 ms.
-func TestManyOrdersAtOnce(t *testing.T) {
+// TestConcurrentChanges makes changes at eight routers at the same time, and then one change every 80 ms. All must be
+// applied.
+func TestConcurrentChanges(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		fleet := newFleet(t, "a", "b", "c")
 		routers := fleet.startAll(true, "a", "b", "c")
@@ -240,12 +244,12 @@
 		}
 		time.Sleep(time.Second)
 		var slowest atomic.Int64
-		var orders sync.WaitGroup
-		order := func(router *router, number int64) {
-			orders.Go(func() {
-				begun := time.Now()
-				assert.NilError(t, router.append(number))
-				for took := int64(time.Since(begun)); ; {
+		var changes sync.WaitGroup
+		submit := func(router *router, number int64) {
+			changes.Go(func() {
+				start := time.Now()
+				assert.NilError(t, router.appendChange(number))
+				for took := int64(time.Since(start)); ; {
 					known := slowest.Load()
 					if took <= known || slowest.CompareAndSwap(known, took) {
 						return
@@ -254,16 +258,16 @@
 			})
 		}
 		for index, router := range routers {
-			order(router, int64(index))
+			submit(router, int64(index))
 		}
-		orders.Wait()
-		t.Logf("eight at once: the slowest took %v", time.Duration(slowest.Swap(0)))
+		changes.Wait()
+		t.Logf("eight concurrent changes: the slowest took %v", time.Duration(slowest.Swap(0)))
 		for number := range int64(100) {
-			order(routers[number%int64(len(routers))], 100+number)
+			submit(routers[number%int64(len(routers))], 100+number)
 			time.Sleep(80 * time.Millisecond)
 		}
-		orders.Wait()
-		t.Logf("one each 80 ms: the slowest took %v", time.Duration(slowest.Load()))
+		changes.Wait()
+		t.Logf("one change every 80 ms: the slowest took %v", time.Duration(slowest.Load()))
 		time.Sleep(settleTime)
 		for _, router := range routers {
 			assert.Equal(t, router.store.Current().State.Revision, uint64(108))
@@ -271,7 +275,7 @@
 	})
 }
 
-// TestStalledDisk stalls one machine's disk: no order waits for it, not even one at that machine.
+// TestStalledDisk stalls one machine's disk. No change or read may wait for it, not even at that machine.
 func TestStalledDisk(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		fleet := newFleet(t, "a", "b", "c")
@@ -286,18 +290,18 @@
 			_, took, err := router.put(int64(index), int64(index+1))
 			assert.NilError(t, err)
 			assert.Assert(t, took < 300*time.Millisecond, "%v", took)
-			begun := time.Now()
+			start := time.Now()
 			found, err := router.read()
 			assert.NilError(t, err)
 			assert.Equal(t, found, int64(index+1))
-			assert.Assert(t, time.Since(begun) < 400*time.Millisecond, "%v", time.Since(begun))
+			assert.Assert(t, time.Since(start) < 400*time.Millisecond, "%v", time.Since(start))
 		}
 		time.Sleep(8 * time.Second)
-		fleet.assertForce(3)
+		fleet.assertGeneration(3)
 	})
 }
 
-// TestFullDisk fills two of three disks: orders get no clear answer, and work again when space returns.
+// TestFullDisk fills two of three disks. Changes must fail with ErrUnclear, and succeed once there is space again.
 func TestFullDisk(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		fleet := newFleet(t, "a", "b", "c")
@@ -315,12 +319,13 @@
 		_, _, err = routers[0].put(1, 2)
 		assert.NilError(t, err)
 		time.Sleep(settleTime)
-		fleet.assertForce(2)
+		fleet.assertGeneration(2)
 	})
 }
 
-// TestDiskThatRefusesAtTheStart has a machine start with a disk that refuses for a while.
-func TestDiskThatRefusesAtTheStart(t *testing.T) {
+// TestUnwritableDiskAtStart starts a machine whose disk cannot be written for a while. It must become a voter
+// afterwards.
+func TestUnwritableDiskAtStart(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		fleet := newFleet(t, "a", "b", "c")
 		late := fleet.add("c", true)
@@ -336,27 +341,27 @@
 	})
 }
 
-// TestProposerDiesAfterAccept kills a router without a disk once its first accept is under way: the machines find out what
-// became of it, soon and by themselves, and agree.
-func TestProposerDiesAfterAccept(t *testing.T) {
-	for draw := range 30 {
+// TestProposerFailsDuringAccept stops a router without a disk while its first accept request is in transit. The other
+// routers must determine the outcome within a second without a further change, and agree.
+func TestProposerFailsDuringAccept(t *testing.T) {
+	for seed := range 30 {
 		synctest.Test(t, func(t *testing.T) {
-			random := rand.New(rand.NewPCG(uint64(draw), 0))
+			random := rand.New(rand.NewPCG(uint64(seed), 0))
 			fleet := newFleet(t, "a", "b", "c")
 			fleet.startAll(true, "a", "b", "c")
-			dying := fleet.add("x", false)
-			dying.start(true)
+			failing := fleet.add("x", false)
+			failing.start(true)
 			time.Sleep(time.Second)
 			var accepts atomic.Int32
 			fleet.setCallHook(func(from *router, _ string, message envelope) {
-				if from == dying && message.Register != nil && message.Register.Kind == casregister.Accept && accepts.Add(1) == 1 {
+				if from == failing && message.Register != nil && message.Register.Kind == casregister.Accept && accepts.Add(1) == 1 {
 					time.AfterFunc(time.Duration(random.IntN(25))*time.Millisecond, func() {
-						dying.setCut(true)
-						dying.stop()
+						failing.setIsolated(true)
+						failing.stop()
 					})
 				}
 			})
-			_, _, err := dying.put(0, 1)
+			_, _, err := failing.put(0, 1)
 			wasAcknowledged := err == nil
 			time.Sleep(time.Second)
 			running := fleet.running()
@@ -370,30 +375,30 @@
 	}
 }
 
-// TestNoQuorumIsUnclear cuts a router off from a majority.
-func TestNoQuorumIsUnclear(t *testing.T) {
+// TestRouterWithoutQuorum isolates a router from the others. Its changes and reads must fail with ErrUnclear.
+func TestRouterWithoutQuorum(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		fleet := newFleet(t, "a", "b", "c")
 		routers := fleet.startAll(true, "a", "b", "c")
 		_, _, err := routers[0].put(0, 1)
 		assert.NilError(t, err)
 		time.Sleep(settleTime)
-		routers[0].setCut(true)
+		routers[0].setIsolated(true)
 		_, took, err := routers[0].put(1, 2)
 		assert.ErrorIs(t, err, ErrUnclear)
-		assert.Equal(t, took, orderTime)
+		assert.Equal(t, took, requestTimeout)
 		_, err = routers[0].read()
 		assert.ErrorIs(t, err, ErrUnclear)
 		_, _, err = routers[1].put(1, 3)
 		assert.NilError(t, err)
-		routers[0].setCut(false)
+		routers[0].setIsolated(false)
 		time.Sleep(settleTime)
-		fleet.assertForce(3)
+		fleet.assertGeneration(3)
 	})
 }
 
-// TestIdleFleetIsQuiet checks that routers that know everything don't ask each other.
-func TestIdleFleetIsQuiet(t *testing.T) {
+// TestIdleFleetSendsNoRequests checks that routers that all know the newest state send each other no requests.
+func TestIdleFleetSendsNoRequests(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		fleet := newFleet(t, "a", "b", "c")
 		routers := fleet.startAll(true, "a", "b", "c")
@@ -407,13 +412,14 @@
 	})
 }
 
-// TestListenersHearEachStateOnce checks the order of announcements and that the current state never goes back.
-func TestListenersHearEachStateOnce(t *testing.T) {
+// TestListenersReceiveEachStateOnce checks the order of announcements, and that an older or undecodable state
+// received from another router does not replace the current one.
+func TestListenersReceiveEachStateOnce(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		fleet := newFleet(t, "a", "b", "c")
 		routers := fleet.startAll(true, "a", "b", "c")
-		var heard []uint64
-		routers[2].store.OnChosen(func(chosen *Chosen) { heard = append(heard, chosen.State.Revision) })
+		var received []uint64
+		routers[2].store.OnChosen(func(chosen *Chosen) { received = append(received, chosen.State.Revision) })
 		var old []byte
 		for generation := range int64(5) {
 			_, _, err := routers[generation%3].put(generation, generation+1)
@@ -426,11 +432,11 @@
 		routers[2].store.Learn(old)
 		routers[2].store.Learn([]byte("rubbish"))
 		synctest.Wait()
-		fleet.assertForce(5)
-		for index := 1; index < len(heard); index++ {
-			assert.Assert(t, heard[index] > heard[index-1], "%v", heard)
+		fleet.assertGeneration(5)
+		for index := 1; index < len(received); index++ {
+			assert.Assert(t, received[index] > received[index-1], "%v", received)
 		}
-		assert.Equal(t, heard[len(heard)-1], uint64(5))
+		assert.Equal(t, received[len(received)-1], uint64(5))
 	})
 }
 
--- a/internal/router/configstore/volatile_test.go
+++ b/internal/router/configstore/volatile_test.go
@@ -12,10 +12,11 @@
 	"pewterrudder/internal/router/casregister"
 )
 
-// growTime is by when a fleet without disks has all the voters that it wants.
-const growTime = volatileDelay + 10*settleTime
+// volatileAdmissionTime is enough for a fleet without disks to add all its voters.
+const volatileAdmissionTime = volatileAdmissionDelay + 10*settleTime
 
-// startVolatile starts machines without disks, of which the first three are the seeds. Those in disks have one.
+// startVolatile starts count machines with volatile acceptors, the first three of which are the seeds. The machines
+// with an index in disks have a disk instead.
 func startVolatile(t *testing.T, count int, disks ...int) (*fleet, []*router) {
 	t.Helper()
 	fleet := newFleet(t, "m0", "m1", "m2")
@@ -29,14 +30,14 @@
 	for _, router := range fleet.routers {
 		router.start(true)
 	}
-	fleet.watch()
+	fleet.startMembership()
 	return fleet, fleet.routers
 }
 
 func (router *router) mustPut(t *testing.T, base, generation int64) {
 	t.Helper()
 	_, _, err := router.put(base, generation)
-	assert.NilError(t, err, "%d on %d at %s", generation, base, router.address)
+	assert.NilError(t, err, "generation %d on %d at %s", generation, base, router.address)
 }
 
 func (router *router) mustRead(t *testing.T, generation int64) {
@@ -46,12 +47,13 @@
 	assert.Equal(t, read, generation, router.address)
 }
 
-// TestFleetWithoutDisks takes a configuration, keeps it through rolling restarts, and takes the next one.
+// TestFleetWithoutDisks checks that a fleet without disks keeps a configuration through a rolling restart, and
+// accepts the next one.
 func TestFleetWithoutDisks(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		fleet, routers := startVolatile(t, 7)
 		routers[5].mustPut(t, 0, 1)
-		time.Sleep(growTime)
+		time.Sleep(volatileAdmissionTime)
 		fleet.assertVoters(routers...)
 		for _, router := range routers {
 			router.stop()
@@ -65,15 +67,16 @@
 		}
 		routers[0].mustPut(t, 1, 2)
 		time.Sleep(settleTime)
-		fleet.assertForce(2)
+		fleet.assertGeneration(2)
 	})
 }
 
-// TestFleetWithoutDisksLosesTwo keeps what was acknowledged when machines are lost for good, one right after the other was replaced.
+// TestFleetWithoutDisksLosesTwo loses two machines for good, the second after the first was removed from the set.
+// Acknowledged changes must be kept.
 func TestFleetWithoutDisksLosesTwo(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		_, routers := startVolatile(t, 5)
-		time.Sleep(growTime)
+		time.Sleep(volatileAdmissionTime)
 		routers[4].mustPut(t, 0, 1)
 		routers[0].stop()
 		time.Sleep(removeAfter + settleTime)
@@ -85,8 +88,9 @@
 	})
 }
 
-// TestVolatileAcceptorForgets is another acceptor after a restart, and no vote of the one before counts as its own.
-func TestVolatileAcceptorForgets(t *testing.T) {
+// TestVolatileAcceptorGetsNewIdentity restarts a machine with a volatile acceptor. The new process must be another
+// acceptor, so that no vote of the earlier one counts as its own.
+func TestVolatileAcceptorGetsNewIdentity(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		_, routers := startVolatile(t, 3)
 		before := routers[0].store.Identity()
@@ -102,14 +106,14 @@
 	})
 }
 
-// TestTheOneDiskKeepsAll moves the register to the one machine with a disk, be it a seed or not, so that a loss of power of all loses
-// nothing.
-func TestTheOneDiskKeepsAll(t *testing.T) {
+// TestSingleDiskHoldsRegister has a single machine with a disk, a seed or not. It must become the only voter, so that a
+// power loss of all machines loses nothing.
+func TestSingleDiskHoldsRegister(t *testing.T) {
 	for _, index := range []int{1, 4} {
 		synctest.Test(t, func(t *testing.T) {
 			fleet, routers := startVolatile(t, 6, index)
 			routers[0].mustPut(t, 0, 1)
-			time.Sleep(growTime)
+			time.Sleep(volatileAdmissionTime)
 			fleet.assertVoters(routers[index])
 			routers[3].mustPut(t, 1, 2)
 			random := rand.New(rand.NewPCG(uint64(index), 1))
@@ -126,12 +130,12 @@
 	}
 }
 
-// TestDisksTakeOver moves the register from seeds without a disk to the machines that have one.
-func TestDisksTakeOver(t *testing.T) {
+// TestAcceptorsWithDisksReplaceVolatileOnes checks that machines with a disk replace seeds without one as voters.
+func TestAcceptorsWithDisksReplaceVolatileOnes(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		fleet, routers := startVolatile(t, 8, 4, 5, 6)
 		routers[7].mustPut(t, 0, 1)
-		time.Sleep(growTime)
+		time.Sleep(volatileAdmissionTime)
 		fleet.assertVoters(routers[4], routers[5], routers[6])
 		routers[0].mustRead(t, 1)
 	})
--- a/internal/router/configstore/wire.go
+++ b/internal/router/configstore/wire.go
@@ -7,28 +7,29 @@
 	"pewterrudder/internal/router/casregister"
 )
 
-// errUnavailable is an acceptor's answer while its disk refuses writes.
-var errUnavailable = errors.New("configstore: the acceptor's disk refuses writes")
+// errDiskUnavailable is returned by an acceptor whose record has not been loaded or could not be saved.
+var errDiskUnavailable = errors.New("configstore: the acceptor's disk is unavailable")
 
-// envelope is a request between routers. Exactly one of its parts is set.
+// envelope is a request between routers. Exactly one of its fields is set.
 type envelope struct {
 	// Register is a request to the acceptor.
 	Register *casregister.Request `msgpack:"r,omitempty"`
-	// Knowledge asks what the router knows of the register.
-	Knowledge bool `msgpack:"k,omitempty"`
-	// Notice is the ballot of a state that the sender saw chosen.
-	Notice *casregister.Ballot `msgpack:"n,omitempty"`
+	// KnownStateQuery asks for the newest chosen state and acceptor set that the router knows.
+	KnownStateQuery bool `msgpack:"k,omitempty"`
+	// ChosenBallot is the ballot of a state that the sender knows to be chosen.
+	ChosenBallot *casregister.Ballot `msgpack:"n,omitempty"`
 }
 
-// response answers an envelope.
+// response is the response to an envelope.
 type response struct {
 	Reply *casregister.Reply `msgpack:"r,omitempty"`
-	// Unavailable says that the acceptor could not write.
+	// Unavailable is true if the acceptor's disk is unavailable.
 	Unavailable bool `msgpack:"u,omitempty"`
-	// Chosen is an encoded state known to be chosen, in answer to a question for knowledge.
+	// Chosen is the encoded newest chosen state, in response to a KnownStateQuery. Empty if none is known.
 	Chosen []byte `msgpack:"c,omitempty"`
-	// Start is the newest set that the router has heard of, from which proposals may start.
-	Start *casregister.Set `msgpack:"s,omitempty"`
+	// NewestSet is the newest acceptor set that the router knows, in response to a KnownStateQuery. Nil if none is
+	// known.
+	NewestSet *casregister.Set `msgpack:"s,omitempty"`
 }
 
 func encodeMessage(message any) ([]byte, error) {
