--- a/internal/router/front/admit.go
+++ b/internal/router/front/admit.go
@@ -22,12 +22,13 @@
 const (
 	defaultBodyLimit   = 4 << 20
 	defaultHeaderLimit = 16 << 10
-	// clientMargin is taken off the client's deadline, for the way back; it is at most one part in marginShare of it.
-	clientMargin = 10 * time.Millisecond
-	marginShare  = 10
+	// deadlineMargin is subtracted from the client's deadline to leave time for the response to travel back. It is at
+	// most 1/deadlineMarginDivisor of the client's deadline.
+	deadlineMargin        = 10 * time.Millisecond
+	deadlineMarginDivisor = 10
 )
 
-// call is one request of a client and what became of it so far.
+// call is one client request and the state of serving it.
 type call struct {
 	server     *Server
 	writer     http.ResponseWriter
@@ -35,28 +36,29 @@
 	connection *clientConnection
 	arrival    time.Time
 
-	table   *routing.Table
-	route   *routing.Route
-	tenant  *routing.Tenant
-	backend *routing.Backend
-	request attempt.Request
-	wish    selection.Request
+	table     *routing.Table
+	route     *routing.Route
+	tenant    *routing.Tenant
+	backend   *routing.Backend
+	request   attempt.Request
+	selection selection.Request
 
-	reserved int64 // bytes of memory for the body
+	reservedBytes int64 // bytes of body memory held
 
-	tries      int // attempts that were started
-	arrivals   int // attempts that reached an instance
-	runs       int // instances on which the request may have run
-	rejections int
-	advice     time.Duration // Retry-After of the last rejection
-	noBudget   bool
-	failure    *attempt.Response // the last failure that an instance answered, held whole
-	headSent   bool
-	// unresumable says that events were sent and nobody can tell behind which the stream goes on.
+	attempts        int // attempts started
+	reached         int // attempts that reached an instance
+	possibleRuns    int // instances on which the request may have run
+	rejections      int
+	retryAfterHint  time.Duration // Retry-After of the last rejection or of the quota; 0: none
+	budgetExhausted bool
+	lastFailure     *attempt.Response // the last buffered 5xx response of an instance
+	headerSent      bool
+	// unresumable is set when events were sent but the id of the last one is unknown, so the stream can't be resumed.
 	unresumable bool
 }
 
-// admit finds out whether and where the request may go, and reads it whole. Nil: it may.
+// admit checks whether the request may be forwarded, determines its backend and reads its body. It returns nil if the
+// request is admitted.
 func (c *call) admit() *resultcode.Error {
 	steps := [...]func() *resultcode.Error{c.checkHead, c.findRoute, c.findTenant, c.readBody, c.checkQuota}
 	for _, step := range steps {
@@ -67,9 +69,9 @@
 	return nil
 }
 
-// checkHead checks what the request must have and must not have.
+// checkHead checks the framing, the header size, the target and the request id.
 func (c *call) checkHead() *resultcode.Error {
-	head := c.connection.taken()
+	head := c.connection.popHead()
 	if c.table = c.server.dependencies.Table(); c.table == nil {
 		return resultcode.New(resultcode.NotReady, "no configuration yet")
 	}
@@ -79,10 +81,10 @@
 	}
 	switch {
 	case head.ambiguous:
-		c.endConnection()
+		c.closeAfterResponse()
 		return resultcode.New(resultcode.MalformedRequest, "the body is framed in two ways")
 	case head.size > limit:
-		c.endConnection()
+		c.closeAfterResponse()
 		return resultcode.New(resultcode.HeaderTooLarge, "more than %d bytes", limit)
 	case !strings.HasPrefix(c.incoming.RequestURI, "/"):
 		return resultcode.New(resultcode.MalformedRequest, "the target is not a path")
@@ -95,6 +97,7 @@
 	return nil
 }
 
+// findRoute determines the route and the backend, and sets the deadline.
 func (c *call) findRoute() *resultcode.Error {
 	path, _, _ := strings.Cut(c.incoming.RequestURI, "?")
 	if c.route = c.table.Lookup(c.incoming.Host, path); c.route == nil {
@@ -108,22 +111,22 @@
 	return nil
 }
 
-// setDeadline takes the earlier of the client's deadline and the route's timeout.
+// setDeadline sets the request's deadline to the earlier of the client's deadline and the route's timeout.
 func (c *call) setDeadline() {
-	left := c.route.Timeout
+	timeout := c.route.Timeout
 	if ms, err := strconv.ParseFloat(c.incoming.Header.Get(protocol.HeaderDeadlineMs), 64); err == nil && ms >= 0 {
-		wanted := time.Duration(min(ms*float64(time.Millisecond), math.MaxInt64/2))
-		left = min(left, wanted-min(clientMargin, wanted/marginShare))
+		requested := time.Duration(min(ms*float64(time.Millisecond), math.MaxInt64/2))
+		timeout = min(timeout, requested-min(deadlineMargin, requested/deadlineMarginDivisor))
 	}
-	c.request.Deadline = c.arrival.Add(left)
+	c.request.Deadline = c.arrival.Add(timeout)
 }
 
-// findTenant checks the key. A route that needs none gets no tenant.
+// findTenant identifies the tenant by the API key. On a route that requires no key, the tenant stays nil.
 func (c *call) findTenant() *resultcode.Error {
 	if !c.table.RequiresKey(c.route) {
 		return nil
 	}
-	if holds := c.server.dependencies.KeysHold; holds != nil && !holds() {
+	if keysValid := c.server.dependencies.KeysHold; keysValid != nil && !keysValid() {
 		return resultcode.New(resultcode.KeysUnconfirmed, "")
 	}
 	keys := c.incoming.Header[protocol.HeaderAPIKey]
@@ -139,10 +142,10 @@
 	return nil
 }
 
-// checkQuota asks whether the tenant may send so much now, and notes what an instance is picked by.
+// checkQuota fills in the attempt's request and the selection request, and checks the tenant's quota.
 func (c *call) checkQuota() *resultcode.Error {
 	c.fillRequest()
-	c.fillWish()
+	c.fillSelection()
 	quota := c.server.dependencies.Quota
 	if c.tenant == nil || quota == nil {
 		return nil
@@ -151,16 +154,16 @@
 	if ok {
 		return nil
 	}
-	c.advice = wait
+	c.retryAfterHint = wait
 	return resultcode.New(resultcode.QuotaExceeded, "")
 }
 
-// cost is what the request counts in the unit of its tenant's quota.
+// cost returns what the request costs in the unit of its tenant's quota: requests or tokens.
 func (c *call) cost() int {
 	if !c.tenant.CountsTokens {
 		return 1
 	}
-	if tokens := c.wish.PromptTokens + c.wish.OutputTokens; tokens > 0 {
+	if tokens := c.selection.PromptTokens + c.selection.OutputTokens; tokens > 0 {
 		return tokens
 	}
 	return int(math.Ceil(c.tenant.PlainTokens))
@@ -173,26 +176,26 @@
 	c.request.Priority = c.route.Priority
 	if c.tenant != nil {
 		c.request.Tenant = c.tenant.Name
-		c.wish.Tenant = c.tenant.Name
+		c.selection.Tenant = c.tenant.Name
 		c.request.Priority = c.tenant.Priority
 	}
 	c.request.Priority = min(c.request.Priority, lowestPriority)
 	c.request.Once = !c.route.Repeatable()
 }
 
-// lowestPriority is the last rank that an instance knows.
+// lowestPriority is the numerically largest priority that instances support; 0 is the highest.
 const lowestPriority = 9
 
-func (c *call) fillWish() {
+func (c *call) fillSelection() {
 	header := c.incoming.Header
-	c.wish.Backend = c.backend.Name
-	c.wish.Bytes = max(0, int(c.incoming.ContentLength))
-	c.wish.Model = header.Get(protocol.HeaderModel)
-	c.wish.PromptTokens, c.wish.OutputTokens = parseTokenCount(header.Get(protocol.HeaderTokenCount))
-	c.wish.Prefix = prefixcache.ParseHeader(header.Get(protocol.HeaderPrefixHash))
+	c.selection.Backend = c.backend.Name
+	c.selection.Bytes = max(0, int(c.incoming.ContentLength))
+	c.selection.Model = header.Get(protocol.HeaderModel)
+	c.selection.PromptTokens, c.selection.OutputTokens = parseTokenCount(header.Get(protocol.HeaderTokenCount))
+	c.selection.Prefix = prefixcache.ParseHeader(header.Get(protocol.HeaderPrefixHash))
 }
 
-// parseTokenCount reads "prompt,most out".
+// parseTokenCount parses "prompt tokens,maximum output tokens". A missing or invalid count is 0.
 func parseTokenCount(value string) (prompt, output int) {
 	first, second, _ := strings.Cut(value, ",")
 	return parseCount(first), parseCount(second)
@@ -206,7 +209,7 @@
 	return int(n)
 }
 
-// readBody reads the body whole.
+// readBody reads the entire body, within the body size limit, the body memory and the request's deadline.
 func (c *call) readBody() *resultcode.Error {
 	length := c.incoming.ContentLength
 	if length == 0 {
@@ -235,18 +238,20 @@
 	return nil
 }
 
-// reserve takes memory for the body from what all bodies may take. It is given back when the request has been served.
+// reserve reserves memory for the body out of the memory that all request bodies share, and reports whether enough was
+// left. The memory is returned when the request has been served.
 func (c *call) reserve(size int64) bool {
 	if c.server.bodyMemory.Add(size) > c.server.options.BodyMemory {
 		c.server.bodyMemory.Add(-size)
 		return false
 	}
-	c.reserved += size
+	c.reservedBytes += size
 	return true
 }
 
+// unreadableBody translates an error of reading the body into a result code.
 func (c *call) unreadableBody(err error, limit int64) *resultcode.Error {
-	c.endConnection()
+	c.closeAfterResponse()
 	switch {
 	case errors.Is(err, errBodyLimit):
 		return c.bodyTooLarge(limit)
@@ -257,16 +262,16 @@
 }
 
 func (c *call) bodyTooLarge(limit int64) *resultcode.Error {
-	c.endConnection()
+	c.closeAfterResponse()
 	return resultcode.New(resultcode.BodyTooLarge, "more than %d bytes", limit)
 }
 
-// endConnection has the answer be the last on its connection.
-func (c *call) endConnection() { c.writer.Header().Set("Connection", "close") }
+// closeAfterResponse closes the client's connection after the response to this request.
+func (c *call) closeAfterResponse() { c.writer.Header().Set("Connection", "close") }
 
-var errBodyLimit = errors.New("front: a body is over the limit")
+var errBodyLimit = errors.New("front: request body exceeds the size limit")
 
-// readAll reads a body of the given length, or of unknown length (-1) up to the limit.
+// readAll reads a body of the given length. A body of unknown length (-1) that exceeds the limit is errBodyLimit.
 func readAll(body io.Reader, length, limit int64) ([]byte, error) {
 	if length >= 0 {
 		whole := make([]byte, length)
--- a/internal/router/front/connection.go
+++ b/internal/router/front/connection.go
@@ -15,21 +15,21 @@
 	defaultHeaderTimeout = 10 * time.Second
 )
 
-// connectionKey is the key of a connection in the context of its requests.
+// connectionKey is the context key under which a request finds its clientConnection.
 type connectionKey struct{}
 
-// clientConnection is one connection of a client. Between requests it bounds the waiting by the limits in force, which net/http
-// fixes at its start.
+// clientConnection is a connection of a client. Between requests it applies the idle and header timeouts of the current
+// configuration; net/http's own timeouts are fixed when the server is created.
 type clientConnection struct {
 	net.Conn
 	set *connectionSet
 
-	mutex   sync.Mutex
-	framing framing
-	waiting bool // for a request or the rest of its head
-	since   time.Time
-	bounded bool // the bound on this waiting is set
-	closed  bool
+	mutex           sync.Mutex
+	framing         framingTracker
+	waiting         bool // for a request or the rest of its head
+	waitingSince    time.Time
+	idleDeadlineSet bool // the idle timeout is running
+	closed          bool
 }
 
 func connectionOf(ctx context.Context) *clientConnection {
@@ -37,43 +37,45 @@
 	return connection
 }
 
-// Read implements net.Conn and follows the framing of what comes.
+// Read implements net.Conn. It tracks the framing of the bytes read.
 func (c *clientConnection) Read(p []byte) (int, error) {
 	n, err := c.Conn.Read(p)
 	if n > 0 {
-		c.came(p[:n])
+		c.observe(p[:n])
 	}
 	return n, err
 }
 
-func (c *clientConnection) came(p []byte) {
+// observe passes bytes to the framing tracker. When the first bytes of a head arrive, it starts the header timeout.
+func (c *clientConnection) observe(p []byte) {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
-	had := c.framing.partialHead()
-	c.framing.came(p)
-	if c.waiting && !had && c.framing.partialHead() {
+	hadPartialHead := c.framing.partialHead()
+	c.framing.observe(p)
+	if c.waiting && !hadPartialHead && c.framing.partialHead() {
 		c.Conn.SetReadDeadline(time.Now().Add(c.set.headerTimeout()))
 	}
 }
 
-// taken returns what was seen of the head of the request that is now being served.
-func (c *clientConnection) taken() headFraming {
+// popHead returns the framing of the request whose service begins.
+func (c *clientConnection) popHead() headFraming {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
-	return c.framing.taken()
+	return c.framing.popHead()
 }
 
-// SetReadDeadline implements net.Conn. While net/http waits for a request without a bound, the idle timeout bounds it.
+// SetReadDeadline implements net.Conn. When net/http clears the deadline to wait for a request, the idle timeout is set
+// instead.
 func (c *clientConnection) SetReadDeadline(t time.Time) error {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
 	if !c.waiting || !t.IsZero() {
 		return c.Conn.SetReadDeadline(t)
 	}
-	if c.bounded || c.framing.partialHead() {
+	if c.idleDeadlineSet || c.framing.partialHead() {
 		return nil
 	}
-	c.bounded = true
+	c.idleDeadlineSet = true
 	return c.Conn.SetReadDeadline(time.Now().Add(c.set.idleTimeout()))
 }
 
@@ -89,58 +91,59 @@
 	return c.Conn.Close()
 }
 
-// changed follows net/http's states.
-func (c *clientConnection) changed(state http.ConnState) {
+// onStateChange tracks the connection state reported by net/http.
+func (c *clientConnection) onStateChange(state http.ConnState) {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
 	switch state {
 	case http.StateNew, http.StateIdle:
-		c.waiting, c.bounded, c.since = true, false, time.Now()
+		c.waiting, c.idleDeadlineSet, c.waitingSince = true, false, time.Now()
 	case http.StateActive:
 		c.waiting = false
 		c.Conn.SetReadDeadline(time.Time{})
 	}
 }
 
-// restBeforeEnd is how long a connection must have waited for a request before draining ends it.
-const restBeforeEnd = 300 * time.Millisecond
+// minIdleBeforeClose is how long a connection must have been idle before draining closes it.
+const minIdleBeforeClose = 300 * time.Millisecond
 
-// endIfIdle ends the connection if it has waited for a while for a request of which nothing has been read. The pending read ends
-// without taking in anything more, so that no request that was read is lost.
-func (c *clientConnection) endIfIdle(now time.Time) {
+// expireIfIdle makes net/http close the connection if it has been idle for minIdleBeforeClose and nothing of a further
+// request has been read. The expired read deadline ends the pending read without consuming any bytes, so no request
+// that was read is lost.
+func (c *clientConnection) expireIfIdle(now time.Time) {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
-	idle := c.waiting && !c.framing.partialHead() && c.framing.untaken() == 0
-	if idle && now.Sub(c.since) >= restBeforeEnd {
+	idle := c.waiting && !c.framing.partialHead() && c.framing.pendingHeads() == 0
+	if idle && now.Sub(c.waitingSince) >= minIdleBeforeClose {
 		c.Conn.SetReadDeadline(time.Unix(1, 0))
 	}
 }
 
-// connectionSet holds all connections of clients.
+// connectionSet holds all client connections.
 type connectionSet struct {
 	limits func() document.Limits
 
 	mutex    sync.Mutex
 	open     map[*clientConnection]struct{}
 	listener net.Listener
-	slots    chan struct{} // bounds them; a place is held for each
+	slots    chan struct{} // semaphore that limits the connections; each holds a slot
 }
 
 func newConnectionSet(limits func() document.Limits) *connectionSet {
 	return &connectionSet{limits: limits, open: map[*clientConnection]struct{}{}}
 }
 
-// listen wraps a listener so that its connections belong to the set.
-func (s *connectionSet) listen(listener net.Listener, bound int) net.Listener {
-	s.slots = make(chan struct{}, bound)
-	bounded := &boundedListener{Listener: listener, set: s, done: make(chan struct{})}
+// listen wraps a listener so that its connections belong to the set and at most limit of them are open at once.
+func (s *connectionSet) listen(listener net.Listener, limit int) net.Listener {
+	s.slots = make(chan struct{}, limit)
+	limited := &limitListener{Listener: listener, set: s, done: make(chan struct{})}
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
-	s.listener = bounded
-	return bounded
+	s.listener = limited
+	return limited
 }
 
-// stopListening ends the accepting of connections.
+// stopListening closes the listener, if there is one.
 func (s *connectionSet) stopListening() {
 	s.mutex.Lock()
 	listener := s.listener
@@ -150,11 +153,11 @@
 	}
 }
 
-// endIdle ends the connections that wait for a request and returns how many connections there are.
-func (s *connectionSet) endIdle() int {
+// expireIdle closes the idle connections and returns how many connections were open, including those.
+func (s *connectionSet) expireIdle() int {
 	all, now := s.list(), time.Now()
 	for _, c := range all {
-		c.endIfIdle(now)
+		c.expireIfIdle(now)
 	}
 	return len(all)
 }
@@ -166,10 +169,10 @@
 	return len(s.open)
 }
 
-// changed is net/http's hook.
-func (s *connectionSet) changed(connection net.Conn, state http.ConnState) {
+// onStateChange is the http.Server.ConnState callback.
+func (s *connectionSet) onStateChange(connection net.Conn, state http.ConnState) {
 	if c, ok := connection.(*clientConnection); ok {
-		c.changed(state)
+		c.onStateChange(state)
 	}
 }
 
@@ -198,22 +201,23 @@
 }
 
 func (s *connectionSet) idleTimeout() time.Duration {
-	return milliseconds(s.limits().IdleTimeoutMs, defaultIdleTimeout)
+	return durationOrDefault(s.limits().IdleTimeoutMs, defaultIdleTimeout)
 }
 
 func (s *connectionSet) headerTimeout() time.Duration {
-	return milliseconds(s.limits().HeaderTimeoutMs, defaultHeaderTimeout)
+	return durationOrDefault(s.limits().HeaderTimeoutMs, defaultHeaderTimeout)
 }
 
-func milliseconds(ms float64, otherwise time.Duration) time.Duration {
+// durationOrDefault converts milliseconds, or returns the fallback if ms is not positive.
+func durationOrDefault(ms float64, fallback time.Duration) time.Duration {
 	if ms <= 0 {
-		return otherwise
+		return fallback
 	}
 	return time.Duration(ms * float64(time.Millisecond))
 }
 
-// boundedListener accepts only as many connections as the set has places for.
-type boundedListener struct {
+// limitListener accepts a connection only when the set has a free slot.
+type limitListener struct {
 	net.Listener
 	set  *connectionSet
 	done chan struct{}
@@ -221,7 +225,7 @@
 }
 
 // Accept implements net.Listener.
-func (l *boundedListener) Accept() (net.Conn, error) {
+func (l *limitListener) Accept() (net.Conn, error) {
 	select {
 	case l.set.slots <- struct{}{}:
 	case <-l.done:
@@ -232,13 +236,13 @@
 		<-l.set.slots
 		return nil, err
 	}
-	c := &clientConnection{Conn: accepted, set: l.set, waiting: true, since: time.Now()}
+	c := &clientConnection{Conn: accepted, set: l.set, waiting: true, waitingSince: time.Now()}
 	l.set.add(c)
 	return c, nil
 }
 
 // Close implements net.Listener.
-func (l *boundedListener) Close() error {
+func (l *limitListener) Close() error {
 	l.once.Do(func() { close(l.done) })
 	return l.Listener.Close()
 }
--- a/internal/router/front/connection_test.go
+++ b/internal/router/front/connection_test.go
@@ -14,13 +14,13 @@
 	"pewterrudder/internal/router/document"
 )
 
-func TestIdleConnectionsAreKeptForTheirTime(t *testing.T) {
-	f := newFleet(t, func(c *document.Configuration, _ *Dependencies, _ *Options) { c.Limits.IdleTimeoutMs = 1000 }, newStandIn(t, "i-1", ok))
+func TestIdleTimeout(t *testing.T) {
+	f := newTestFront(t, func(c *document.Configuration, _ *Dependencies, _ *Options) { c.Limits.IdleTimeoutMs = 1000 }, newFakeInstance(t, "i-1", respondOK))
 	c := f.dial(t)
-	for _, rest := range []time.Duration{0, 800 * time.Millisecond, 800 * time.Millisecond} { // four fifths
+	for _, rest := range []time.Duration{0, 800 * time.Millisecond, 800 * time.Millisecond} { // four fifths of the timeout
 		time.Sleep(rest)
-		c.send(head("GET", "/once/"))
-		response, _, _ := c.answer()
+		c.send(requestText("GET", "/once/"))
+		response, _, _ := c.readResponse()
 		assert.Equal(t, response.StatusCode, 200)
 	}
 	began := time.Now()
@@ -31,21 +31,21 @@
 	waitFor(t, "none open", func() bool { return f.server.Figures().Connections == 0 })
 }
 
-// TestIdleTimeoutDoesNotEndARequest has an instance take longer than the idle timeout.
+// TestIdleTimeoutDoesNotEndARequest checks that an instance may take longer to respond than the idle timeout.
 func TestIdleTimeoutDoesNotEndARequest(t *testing.T) {
-	f := newFleet(t, nil, newStandIn(t, "i-1", func(c net.Conn, r *received) bool {
+	f := newTestFront(t, nil, newFakeInstance(t, "i-1", func(c net.Conn, r *receivedRequest) bool {
 		time.Sleep(600 * time.Millisecond)
-		return ok(c, r)
+		return respondOK(c, r)
 	}))
-	response, _ := f.ask(t, head("POST", "/once/", "Content-Length: 2")+"hi")
+	response, _ := f.exchange(t, requestText("POST", "/once/", "Content-Length: 2")+"hi")
 	assert.Equal(t, response.StatusCode, 200)
 }
 
-// TestSlowHead checks that a head that does not come to its end is not waited for.
+// TestSlowHead checks that the header timeout ends a connection whose request head arrives too slowly.
 func TestSlowHead(t *testing.T) {
-	f := newFleet(t, func(c *document.Configuration, _ *Dependencies, _ *Options) { c.Limits.IdleTimeoutMs = 5000 })
+	f := newTestFront(t, func(c *document.Configuration, _ *Dependencies, _ *Options) { c.Limits.IdleTimeoutMs = 5000 })
 	c := f.dial(t)
-	text := head("GET", "/once/")
+	text := requestText("GET", "/once/")
 	began := time.Now()
 	go func() {
 		for i := range text {
@@ -55,64 +55,65 @@
 			time.Sleep(20 * time.Millisecond)
 		}
 	}()
-	rest, _ := io.ReadAll(c.reader) // net/http calls the part that came malformed
+	rest, _ := io.ReadAll(c.reader) // net/http may respond 400 to the partial head
 	assert.Assert(t, len(rest) == 0 || strings.HasPrefix(string(rest), "HTTP/1.1 400 "), "%s", rest)
 	took := time.Since(began)
 	assert.Assert(t, took > 290*time.Millisecond && took < time.Second, "%v", took)
 }
 
-// TestSlowBody checks that a body that does not come is answered at the deadline, as not run.
+// TestSlowBody checks that a request whose body does not arrive is refused with 408 at the deadline, without reaching an
+// instance.
 func TestSlowBody(t *testing.T) {
-	instance := newStandIn(t, "i-1", ok)
-	f := newFleet(t, nil, instance)
+	instance := newFakeInstance(t, "i-1", respondOK)
+	f := newTestFront(t, nil, instance)
 	c := f.dial(t)
 	began := time.Now()
-	c.send(head("POST", "/once/", "Content-Length: 5", "X-Pewterrudder-Deadline-Ms: 200") + "hel")
-	response, _, _ := c.answer()
+	c.send(requestText("POST", "/once/", "Content-Length: 5", "X-Pewterrudder-Deadline-Ms: 200") + "hel")
+	response, _, _ := c.readResponse()
 	assert.Equal(t, response.StatusCode, 408)
 	assert.Assert(t, time.Since(began) < 1500*time.Millisecond)
 	assert.Equal(t, len(instance.requests()), 0)
 }
 
-func TestBoundOnClients(t *testing.T) {
-	f := newFleet(t, func(_ *document.Configuration, _ *Dependencies, o *Options) { o.MaxConnections = 1 }, newStandIn(t, "i-1", ok))
+func TestClientConnectionLimit(t *testing.T) {
+	f := newTestFront(t, func(_ *document.Configuration, _ *Dependencies, o *Options) { o.MaxConnections = 1 }, newFakeInstance(t, "i-1", respondOK))
 	first, second := f.dial(t), f.dial(t)
-	first.send(head("GET", "/once/"))
-	first.answer()
-	second.send(head("GET", "/once/"))
+	first.send(requestText("GET", "/once/"))
+	first.readResponse()
+	second.send(requestText("GET", "/once/"))
 	time.Sleep(50 * time.Millisecond)
 	assert.Equal(t, f.server.Figures().Connections, 1)
 	first.Close()
-	response, _, _ := second.answer()
+	response, _, _ := second.readResponse()
 	assert.Equal(t, response.StatusCode, 200)
 }
 
-// TestDrain checks what a front does after SIGTERM: it goes on to accept for a while, ends connections with their answers, lets
-// requests end, and ends idle connections.
+// TestDrain checks the shutdown after SIGTERM: the server still accepts connections for a while, closes connections after
+// their responses, lets running requests finish, and closes idle connections.
 func TestDrain(t *testing.T) {
 	release := make(chan struct{})
-	instance := newStandIn(t, "i-1", func(c net.Conn, r *received) bool {
+	instance := newFakeInstance(t, "i-1", func(c net.Conn, r *receivedRequest) bool {
 		if r.RequestURI == "/stream/slow" {
-			beginEvents(c, r)
+			writeStreamHead(c, r)
 			writeChunk(c, event(1))
 			<-release
 			writeChunk(c, event(2))
 			endChunks(c)
 			return true
 		}
-		return ok(c, r)
+		return respondOK(c, r)
 	})
-	f := newFleet(t, func(c *document.Configuration, _ *Dependencies, o *Options) {
-		o.AcceptOn = 200 * time.Millisecond
+	f := newTestFront(t, func(c *document.Configuration, _ *Dependencies, o *Options) {
+		o.DrainAcceptTime = 200 * time.Millisecond
 		c.Limits.IdleTimeoutMs = 20000
 	}, instance)
 	idle, busy, used := f.dial(t), f.dial(t), f.dial(t)
 	for _, c := range []*client{idle, used} {
-		c.send(head("GET", "/once/"))
-		response, _, _ := c.answer()
+		c.send(requestText("GET", "/once/"))
+		response, _, _ := c.readResponse()
 		assert.Assert(t, !response.Close)
 	}
-	busy.send(head("GET", "/stream/slow"))
+	busy.send(requestText("GET", "/stream/slow"))
 	waitFor(t, "the stream", func() bool { return len(instance.requests()) == 3 })
 	done := make(chan struct{})
 	go func() {
@@ -122,11 +123,11 @@
 		f.server.Drain(ctx)
 	}()
 	time.Sleep(50 * time.Millisecond)
-	used.send(head("GET", "/once/"))
-	response, _, _ := used.answer()
+	used.send(requestText("GET", "/once/"))
+	response, _, _ := used.readResponse()
 	assert.Equal(t, response.StatusCode, 200)
 	assert.Assert(t, response.Close)
-	response, _ = f.ask(t, head("GET", "/once/"))
+	response, _ = f.exchange(t, requestText("GET", "/once/"))
 	assert.Equal(t, response.StatusCode, 200)
 	assert.Assert(t, response.Close)
 	_, err := idle.reader.ReadByte()
@@ -135,27 +136,27 @@
 	assert.Assert(t, err != nil)
 	select {
 	case <-done:
-		t.Fatal("did not wait for the stream")
+		t.Fatal("Drain returned before the stream ended")
 	default:
 	}
 	close(release)
-	_, body, err := busy.answer()
+	_, body, err := busy.readResponse()
 	assert.NilError(t, err)
 	assert.Equal(t, body, event(1)+event(2))
 	<-done
 }
 
-// TestDrainEndsWithItsContext checks that a request that never ends does not hold up the end of the process.
+// TestDrainEndsWithItsContext checks that a request that never ends does not delay the shutdown beyond the context.
 func TestDrainEndsWithItsContext(t *testing.T) {
 	release := make(chan struct{})
 	defer close(release)
-	instance := newStandIn(t, "i-1", func(c net.Conn, r *received) bool {
+	instance := newFakeInstance(t, "i-1", func(c net.Conn, r *receivedRequest) bool {
 		<-release
 		return false
 	})
-	f := newFleet(t, nil, instance)
+	f := newTestFront(t, nil, instance)
 	c := f.dial(t)
-	c.send(head("GET", "/once/"))
+	c.send(requestText("GET", "/once/"))
 	waitFor(t, "the request", func() bool { return len(instance.requests()) == 1 })
 	ctx, cancel := context.WithTimeout(context.Background(), 200*time.Millisecond)
 	defer cancel()
@@ -166,18 +167,20 @@
 	assert.Assert(t, err != nil)
 }
 
-// TestRequestsInADrainAreAnswered sends requests on kept connections all through a drain: each that was read is answered, and a
-// connection ends only between requests.
+// TestRequestsInADrainAreAnswered sends requests on keep-alive connections throughout a drain. Each request that was read
+// is answered, and a connection is closed only between requests.
 func TestRequestsInADrainAreAnswered(t *testing.T) {
-	f := newFleet(t, func(_ *document.Configuration, _ *Dependencies, o *Options) { o.AcceptOn = 20 * time.Millisecond },
-		newStandIn(t, "i-1", ok))
+	f := newTestFront(t, func(_ *document.Configuration, _ *Dependencies, o *Options) {
+		o.DrainAcceptTime = 20 * time.Millisecond
+	},
+		newFakeInstance(t, "i-1", respondOK))
 	const clients = 20
 	answered := make(chan bool, clients)
 	for i := range clients {
 		c := f.dial(t)
 		go func() {
 			time.Sleep(time.Duration(i) * 20 * time.Millisecond)
-			c.send(head("GET", "/once/"))
+			c.send(requestText("GET", "/once/"))
 			line, _ := c.reader.ReadString('\n')
 			answered <- line == "HTTP/1.1 200 OK\r\n"
 		}()
@@ -189,30 +192,31 @@
 			count++
 		}
 	}
-	// Connections rest for 300 ms at least before they are ended, so that the first 14 come in time, on a
-	// machine that is not busy.
+	// Connections are idle for at least 300 ms before they are closed, so on a machine that is not busy the first 14
+	// requests arrive in time.
 	assert.Assert(t, count >= 8, "%d", count)
 }
 
-// TestRequestLateInADrainIsRefused comes on a connection whose answer has taken long. It might not be finished in the time that is left.
+// TestRequestLateInADrainIsRefused checks that a request is refused that arrives late in a drain, on a connection that was
+// busy with a slow response. It might not finish in the time left.
 func TestRequestLateInADrainIsRefused(t *testing.T) {
 	release := make(chan struct{})
-	slow := newStandIn(t, "i-1", func(c net.Conn, r *received) bool {
+	slow := newFakeInstance(t, "i-1", func(c net.Conn, r *receivedRequest) bool {
 		<-release
-		return ok(c, r)
+		return respondOK(c, r)
 	})
-	f := newFleet(t, func(_ *document.Configuration, _ *Dependencies, o *Options) { o.AcceptOn = time.Millisecond }, slow)
+	f := newTestFront(t, func(_ *document.Configuration, _ *Dependencies, o *Options) { o.DrainAcceptTime = time.Millisecond }, slow)
 	c := f.dial(t)
-	c.send(head("GET", "/once/"))
-	c.send(head("GET", "/once/")) // waits in the connection until the first is answered
+	c.send(requestText("GET", "/once/"))
+	c.send(requestText("GET", "/once/")) // stays in the socket buffer until the first is answered
 	for len(slow.requests()) == 0 {
 		time.Sleep(time.Millisecond)
 	}
 	go f.server.Drain(context.Background())
-	time.Sleep(restBeforeEnd + 50*time.Millisecond)
+	time.Sleep(minIdleBeforeClose + 50*time.Millisecond)
 	close(release)
-	first, _, _ := c.answer()
-	second, _, _ := c.answer()
+	first, _, _ := c.readResponse()
+	second, _, _ := c.readResponse()
 	assert.Equal(t, first.StatusCode, http.StatusOK)
 	assert.Equal(t, second.StatusCode, http.StatusServiceUnavailable)
 }
--- a/internal/router/front/drain.go
+++ b/internal/router/front/drain.go
@@ -5,20 +5,20 @@
 	"time"
 )
 
-// drainPoll is how often a draining front looks whether the last requests have ended.
-const drainPoll = 25 * time.Millisecond
+// drainPollInterval is how often Drain closes idle connections and checks whether any connection is left.
+const drainPollInterval = 25 * time.Millisecond
 
-// Drain ends the front in an orderly way. At first it goes on to accept and serve, since the platform needs a while to notice that
-// the router is not ready; answers then end their connections. After that it stops listening, ends idle connections, and waits
-// until all requests are answered or the context ends. What is left then is cut.
+// Drain shuts the server down gracefully. For Options.DrainAcceptTime it still accepts and serves requests, since the
+// platform needs a while to notice that the router is not ready; each response closes its connection. Then it stops
+// listening, closes idle connections and waits until no connection is left or the context ends, which closes the rest.
 func (s *Server) Drain(ctx context.Context) {
 	s.drainingSince.Store(time.Now().UnixNano())
 	s.draining.Store(true)
-	sleep(ctx, s.options.AcceptOn)
+	sleep(ctx, s.options.DrainAcceptTime)
 	s.connections.stopListening()
-	ticker := time.NewTicker(drainPoll)
+	ticker := time.NewTicker(drainPollInterval)
 	defer ticker.Stop()
-	for s.connections.endIdle() > 0 {
+	for s.connections.expireIdle() > 0 {
 		select {
 		case <-ticker.C:
 		case <-ctx.Done():
@@ -29,14 +29,15 @@
 	s.http.Close()
 }
 
-// endsSoon tells whether the front has been draining for so long that a request which comes now might not be finished. It comes on a
-// connection that was busy with an answer for long, and runs at another router.
-func (s *Server) endsSoon() bool {
+// rejectsLateRequests reports whether draining has progressed so far that a request arriving now might not finish in
+// time. Such a request arrives on a connection that was busy with a slow response for long; the client can send it to
+// another router.
+func (s *Server) rejectsLateRequests() bool {
 	since := time.Unix(0, s.drainingSince.Load())
-	return time.Since(since) >= s.options.AcceptOn+restBeforeEnd
+	return time.Since(since) >= s.options.DrainAcceptTime+minIdleBeforeClose
 }
 
-// sleep waits for a time or until the context ends.
+// sleep waits for d or until the context ends.
 func sleep(ctx context.Context, d time.Duration) {
 	timer := time.NewTimer(d)
 	defer timer.Stop()
--- a/internal/router/front/fixture_test.go
+++ b/internal/router/front/fixture_test.go
@@ -24,60 +24,61 @@
 	"pewterrudder/internal/router/selection"
 )
 
-const testStamp = "stamp-1"
+const testSignature = "stamp-1"
 
-// received is a request as a stand-in instance read it.
-// netConn shortens the scripts of tests.
+// netConn shortens the signatures of the scripts in tests.
 type netConn = net.Conn
 
-type received struct {
+// receivedRequest is a request as a fake instance read it, with its body.
+type receivedRequest struct {
 	*http.Request
-	body string
-	at   time.Time
+	body       string
+	receivedAt time.Time
 }
 
-// standIn is a model instance of a test: script answers each request on the raw connection; false ends the connection.
-type standIn struct {
+// fakeInstance is a model instance for tests. The script answers each request on the raw connection; if it returns false,
+// the connection is closed.
+type fakeInstance struct {
 	*instances.Instance
 	listener net.Listener
-	script   func(c net.Conn, r *received) bool
+	script   func(c net.Conn, r *receivedRequest) bool
 
-	// forgets says that requests are not kept, nor ends of connections told: there may be too many.
-	forgets bool
+	// discardsRequests disables the recording of requests and of closed connections, for tests with very many of them.
+	discardsRequests bool
 
-	mutex sync.Mutex
-	got   []*received
-	conns int
-	ended chan struct{} // receives when a connection ends
+	mutex           sync.Mutex
+	received        []*receivedRequest
+	connectionCount int
+	connectionEnded chan struct{} // receives a value when a connection ends
 }
 
-func newStandIn(t testing.TB, id string, script func(c net.Conn, r *received) bool) *standIn {
+func newFakeInstance(t testing.TB, id string, script func(c net.Conn, r *receivedRequest) bool) *fakeInstance {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	assert.NilError(t, err)
-	s := &standIn{listener: listener, script: script, ended: make(chan struct{}, 100),
+	s := &fakeInstance{listener: listener, script: script, connectionEnded: make(chan struct{}, 100),
 		Instance: &instances.Instance{ID: id, Backend: "pool", Address: listener.Addr().String(), State: protocol.StateReady}}
 	t.Cleanup(func() { listener.Close() })
 	go s.accept()
 	return s
 }
 
-func (s *standIn) accept() {
+func (s *fakeInstance) accept() {
 	for {
 		c, err := s.listener.Accept()
 		if err != nil {
 			return
 		}
 		s.mutex.Lock()
-		s.conns++
+		s.connectionCount++
 		s.mutex.Unlock()
 		go s.serve(c)
 	}
 }
 
-func (s *standIn) serve(c net.Conn) {
+func (s *fakeInstance) serve(c net.Conn) {
 	defer func() {
-		if !s.forgets {
-			s.ended <- struct{}{}
+		if !s.discardsRequests {
+			s.connectionEnded <- struct{}{}
 		}
 	}()
 	defer c.Close()
@@ -91,42 +92,43 @@
 		if err != nil {
 			return
 		}
-		got := &received{Request: r, body: string(body), at: time.Now()}
-		s.keep(got)
+		got := &receivedRequest{Request: r, body: string(body), receivedAt: time.Now()}
+		s.record(got)
 		if !s.script(c, got) {
 			return
 		}
 	}
 }
 
-func (s *standIn) keep(got *received) {
-	if s.forgets {
+func (s *fakeInstance) record(got *receivedRequest) {
+	if s.discardsRequests {
 		return
 	}
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
-	s.got = append(s.got, got)
+	s.received = append(s.received, got)
 }
 
-func (s *standIn) requests() []*received {
+func (s *fakeInstance) requests() []*receivedRequest {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
-	return append([]*received(nil), s.got...)
+	return append([]*receivedRequest(nil), s.received...)
 }
 
-func (s *standIn) connections() int {
+func (s *fakeInstance) connections() int {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
-	return s.conns
+	return s.connectionCount
 }
 
-// reply writes an answer with the request's id and the given further header lines.
-func reply(c net.Conn, r *received, status int, body string, lines ...string) bool {
-	io.WriteString(c, answerText(r.Header.Get(protocol.HeaderRequestID), status, body, lines...))
+// reply writes a response with the request's id and the given additional header lines. It returns true, to keep the
+// connection.
+func reply(c net.Conn, r *receivedRequest, status int, body string, lines ...string) bool {
+	io.WriteString(c, responseText(r.Header.Get(protocol.HeaderRequestID), status, body, lines...))
 	return true
 }
 
-func answerText(id string, status int, body string, lines ...string) string {
+func responseText(id string, status int, body string, lines ...string) string {
 	text := "HTTP/1.1 " + strconv.Itoa(status) + " Status\r\n" + protocol.HeaderRequestID + ": " + id + "\r\n"
 	for _, line := range lines {
 		text += line + "\r\n"
@@ -134,12 +136,12 @@
 	return text + "Content-Length: " + strconv.Itoa(len(body)) + "\r\n\r\n" + body
 }
 
-const stampLine = protocol.HeaderSignature + ": " + testStamp
+const signatureLine = protocol.HeaderSignature + ": " + testSignature
 const notExecutedLine = protocol.HeaderNotExecuted + ": 1"
 
-// beginEvents writes the head of a stream.
-func beginEvents(c net.Conn, r *received, lines ...string) {
-	lines = append(lines, protocol.HeaderRequestID+": "+r.Header.Get(protocol.HeaderRequestID), stampLine,
+// writeStreamHead writes the head of an event stream response.
+func writeStreamHead(c net.Conn, r *receivedRequest, lines ...string) {
+	lines = append(lines, protocol.HeaderRequestID+": "+r.Header.Get(protocol.HeaderRequestID), signatureLine,
 		"Content-Type: text/event-stream", "Transfer-Encoding: chunked")
 	io.WriteString(c, "HTTP/1.1 200 OK\r\n"+strings.Join(lines, "\r\n")+"\r\n\r\n")
 }
@@ -154,27 +156,27 @@
 	return "id: " + strconv.Itoa(id) + "\ndata: piece " + strconv.Itoa(id) + "\n\n"
 }
 
-func ok(c net.Conn, r *received) bool { return reply(c, r, 200, "fine", stampLine) }
-
-// fleet is a front with stand-in instances.
-type fleet struct {
-	server    *Server
-	address   string
-	all       []*standIn
-	deps      Dependencies
-	picks     []string
-	outcomes  []selection.Outcome
-	retries   int
-	noRetries bool
-	mutex     sync.Mutex
+func respondOK(c net.Conn, r *receivedRequest) bool { return reply(c, r, 200, "fine", signatureLine) }
+
+// testFront is a Server in front of fake instances.
+type testFront struct {
+	server        *Server
+	address       string
+	instances     []*fakeInstance
+	deps          Dependencies
+	picks         []string
+	outcomes      []selection.Outcome
+	retries       int
+	retriesDenied bool
+	mutex         sync.Mutex
 }
 
-var errNone = errors.New("no instance")
+var errNoInstance = errors.New("no instance")
 
-// routeTimeout is the time-out of all routes.
+// routeTimeout is the timeout of every route.
 const routeTimeout = 2 * time.Second
 
-// testConfiguration has a route for each kind.
+// testConfiguration returns a configuration with a route of each kind, and a route that requires an API key.
 func testConfiguration() *document.Configuration {
 	route := func(prefix, kind string, retries int64, resume bool) document.Route {
 		return document.Route{Name: prefix, Hostname: "api.example", PathPrefix: prefix, Kind: kind, TimeoutMs: float64(routeTimeout / time.Millisecond), TargetMs: 200,
@@ -191,13 +193,13 @@
 		Tenants: []document.Tenant{{Name: "tenant-a", APIKeys: []string{"key-a"}, Priority: 1}}}
 }
 
-func newFleet(t testing.TB, change func(*document.Configuration, *Dependencies, *Options), all ...*standIn) *fleet {
-	f := &fleet{all: all}
+func newTestFront(t testing.TB, change func(*document.Configuration, *Dependencies, *Options), all ...*fakeInstance) *testFront {
+	f := &testFront{instances: all}
 	configuration := testConfiguration()
 	log := logrus.New()
 	log.SetOutput(io.Discard)
 	f.deps = Dependencies{Pool: attempt.NewPool(attempt.Options{}), Select: f.choose, Log: log, Retry: f.retry}
-	options := Options{AcceptOn: 50 * time.Millisecond}
+	options := Options{DrainAcceptTime: 50 * time.Millisecond}
 	if change != nil {
 		change(configuration, &f.deps, &options)
 	}
@@ -214,16 +216,16 @@
 	return f
 }
 
-func (f *fleet) retry(time.Time, string) bool {
+func (f *testFront) retry(time.Time, string) bool {
 	f.mutex.Lock()
 	defer f.mutex.Unlock()
 	f.retries++
-	return !f.noRetries
+	return !f.retriesDenied
 }
 
-// choose picks the first instance that isn't excluded.
-func (f *fleet) choose(request selection.Request) (Pick, error) {
-	for _, s := range f.all {
+// choose picks the first instance that is not excluded.
+func (f *testFront) choose(request selection.Request) (Pick, error) {
+	for _, s := range f.instances {
 		excluded := false
 		for _, id := range request.Excluded {
 			excluded = excluded || id == s.ID
@@ -232,14 +234,14 @@
 			f.mutex.Lock()
 			f.picks = append(f.picks, s.ID)
 			f.mutex.Unlock()
-			return &testPick{fleet: f, instance: s.Instance}, nil
+			return &testPick{front: f, instance: s.Instance}, nil
 		}
 	}
-	return nil, errNone
+	return nil, errNoInstance
 }
 
 type testPick struct {
-	fleet    *fleet
+	front    *testFront
 	instance *instances.Instance
 }
 
@@ -247,30 +249,30 @@
 func (p *testPick) FirstByte(time.Time)                  {}
 func (p *testPick) ReportLoad(time.Time, selection.Load) {}
 func (p *testPick) Done(_ time.Time, end selection.Outcome) {
-	p.fleet.mutex.Lock()
-	defer p.fleet.mutex.Unlock()
-	p.fleet.outcomes = append(p.fleet.outcomes, end)
+	p.front.mutex.Lock()
+	defer p.front.mutex.Unlock()
+	p.front.outcomes = append(p.front.outcomes, end)
 }
 
-// client is a raw connection of a client.
+// client is the raw connection of a client.
 type client struct {
 	t testing.TB
 	net.Conn
 	reader *bufio.Reader
 }
 
-// answerPatience bounds the wait for an answer.
-const answerPatience = 10 * time.Second
+// responseTimeout bounds the wait for a response.
+const responseTimeout = 10 * time.Second
 
-func (f *fleet) dial(t testing.TB) *client {
+func (f *testFront) dial(t testing.TB) *client {
 	c, err := net.Dial("tcp", f.address)
 	assert.NilError(t, err)
-	c.SetDeadline(time.Now().Add(answerPatience))
+	c.SetDeadline(time.Now().Add(responseTimeout))
 	t.Cleanup(func() { c.Close() })
 	return &client{t: t, Conn: c, reader: bufio.NewReader(c)}
 }
 
-func head(method, path string, lines ...string) string {
+func requestText(method, path string, lines ...string) string {
 	text := method + " " + path + " HTTP/1.1\r\nHost: api.example\r\n" + protocol.HeaderRequestID + ": id-1\r\n"
 	for _, line := range lines {
 		text += line + "\r\n"
@@ -283,8 +285,8 @@
 	assert.NilError(c.t, err)
 }
 
-// answer reads an answer and its body; bodyErr is the error of reading the body.
-func (c *client) answer() (response *http.Response, body string, bodyErr error) {
+// readResponse reads a response and its body; bodyErr is the error of reading the body.
+func (c *client) readResponse() (response *http.Response, body string, bodyErr error) {
 	c.t.Helper()
 	response, err := http.ReadResponse(c.reader, nil)
 	assert.NilError(c.t, err)
@@ -292,25 +294,25 @@
 	return response, string(text), bodyErr
 }
 
-// ask sends one request on a new connection and returns the answer.
-func (f *fleet) ask(t testing.TB, text string) (*http.Response, string) {
+// exchange sends one request on a new connection and returns the response and its body.
+func (f *testFront) exchange(t testing.TB, text string) (*http.Response, string) {
 	t.Helper()
 	c := f.dial(t)
 	c.send(text)
-	response, body, err := c.answer()
+	response, body, err := c.readResponse()
 	assert.NilError(t, err)
 	return response, body
 }
 
-func waitFor(t testing.TB, what string, holds func() bool) {
+func waitFor(t testing.TB, what string, condition func() bool) {
 	t.Helper()
 	for range 400 {
-		if holds() {
+		if condition() {
 			return
 		}
 		time.Sleep(5 * time.Millisecond)
 	}
-	t.Fatalf("not in time: %s", what)
+	t.Fatalf("timed out waiting for: %s", what)
 }
 
 var _ = context.Background
--- a/internal/router/front/framing.go
+++ b/internal/router/front/framing.go
@@ -5,21 +5,21 @@
 	"strconv"
 )
 
-// framing follows the requests on a client's connection beside net/http, which leaves out what must be known: whether a head
-// frames its body twice, by Content-Length and by Transfer-Encoding (RFC 9112, section 6.1: such a message may be an attempt to
-// hide another request), and how long the head was. It changes nothing of what net/http reads. Where it loses its way, all that
-// follows counts as ambiguous.
-type framing struct {
-	state   framingState
-	partial []byte // of the head or the line that is coming in
-	left    int64  // of a body or chunk
-	heads   []headFraming
+// framingTracker parses the framing of the requests on a client connection in parallel with net/http, which does not
+// expose two facts: whether a head frames its body both by Content-Length and by Transfer-Encoding (RFC 9112, section
+// 6.1: such a message may be an attempt at request smuggling), and the size of the head. It does not alter what net/http
+// reads. Once it can't follow the framing, all further requests count as ambiguous.
+type framingTracker struct {
+	state     framingState
+	partial   []byte        // bytes of an incomplete head or line
+	remaining int64         // unread bytes of the body or chunk
+	heads     []headFraming // of requests that net/http has not served yet
 }
 
-// headFraming is what was seen of one head.
+// headFraming describes the head of a request.
 type headFraming struct {
-	size      int
-	ambiguous bool
+	size      int  // in bytes, with the empty line
+	ambiguous bool // the end of the body is not certain
 }
 
 type framingState int
@@ -27,38 +27,38 @@
 const (
 	inHead framingState = iota
 	inBody
-	inChunkLine
-	inChunk
+	inChunkSize
+	inChunkData
 	inChunkEnd
 	inTrailer
-	isLost
+	outOfSync
 )
 
-// lineLimit bounds a line of a chunked body.
-const lineLimit = 4 << 10
+// chunkLineLimit is the maximum length of a chunk size line or trailer line, in bytes.
+const chunkLineLimit = 4 << 10
 
-// came is told what has been read.
-func (f *framing) came(p []byte) {
-	for len(p) > 0 && f.state != isLost {
+// observe processes bytes that were read from the connection.
+func (f *framingTracker) observe(p []byte) {
+	for len(p) > 0 && f.state != outOfSync {
 		switch f.state {
 		case inHead:
-			p = f.takeHead(p)
-		case inBody, inChunk:
-			p = f.takeBody(p)
+			p = f.consumeHead(p)
+		case inBody, inChunkData:
+			p = f.consumeBody(p)
 		default:
-			p = f.takeLine(p)
+			p = f.consumeLine(p)
 		}
 	}
 }
 
-// partialHead tells whether a part of a head has come.
-func (f *framing) partialHead() bool { return f.state == inHead && len(f.partial) > 0 }
+// partialHead reports whether a head has been read in part.
+func (f *framingTracker) partialHead() bool { return f.state == inHead && len(f.partial) > 0 }
 
-// untaken counts the heads that came and aren't served yet.
-func (f *framing) untaken() int { return len(f.heads) }
+// pendingHeads returns the number of heads read whose requests are not being served yet.
+func (f *framingTracker) pendingHeads() int { return len(f.heads) }
 
-// taken returns the head of the request that is now served. One that was not seen is not trusted.
-func (f *framing) taken() headFraming {
+// popHead removes and returns the head of the next request to be served. If none was parsed, it returns an ambiguous one.
+func (f *framingTracker) popHead() headFraming {
 	if len(f.heads) == 0 {
 		return headFraming{ambiguous: true}
 	}
@@ -67,33 +67,33 @@
 	return first
 }
 
-// takeHead takes the bytes of a head and returns what follows.
-func (f *framing) takeHead(p []byte) []byte {
-	if len(f.partial) == 0 { // net/http passes over line ends before a request
+// consumeHead consumes bytes of a head and returns the rest.
+func (f *framingTracker) consumeHead(p []byte) []byte {
+	if len(f.partial) == 0 { // net/http skips line breaks before a request
 		if p = bytes.TrimLeft(p, "\r\n"); len(p) == 0 {
 			return nil
 		}
-		if end := headEnd(p, 0); end >= 0 {
-			f.noteHead(p[:end])
+		if end := findHeadEnd(p, 0); end >= 0 {
+			f.recordHead(p[:end])
 			return p[end:]
 		}
 	}
 	before := len(f.partial)
 	f.partial = append(f.partial, p...)
-	end := headEnd(f.partial, max(0, before-3))
+	end := findHeadEnd(f.partial, max(0, before-3))
 	if end < 0 {
 		if len(f.partial) > 2*headerHardLimit {
-			f.lose()
+			f.loseSync()
 		}
 		return nil
 	}
-	f.noteHead(f.partial[:end])
+	f.recordHead(f.partial[:end])
 	f.partial = f.partial[:0]
 	return p[end-before:]
 }
 
-// headEnd is where a head ends behind its empty line, or -1. It looks from the given place on.
-func headEnd(b []byte, from int) int {
+// findHeadEnd returns the offset just after the empty line that ends a head, or -1. The search starts at from.
+func findHeadEnd(b []byte, from int) int {
 	for {
 		offset := bytes.IndexByte(b[from:], '\n')
 		if offset < 0 {
@@ -110,8 +110,8 @@
 	}
 }
 
-// noteHead parses the fields that frame the body.
-func (f *framing) noteHead(head []byte) {
+// recordHead parses the fields that frame the body, appends the head to heads and sets the next state.
+func (f *framingTracker) recordHead(head []byte) {
 	length, encoded := []byte(nil), false
 	for line := range bytes.Lines(head) {
 		name, value, _ := bytes.Cut(line, []byte(":"))
@@ -125,61 +125,62 @@
 	f.heads = append(f.heads, headFraming{size: len(head), ambiguous: encoded && length != nil})
 	switch {
 	case encoded && length != nil:
-		f.lose()
+		f.loseSync()
 	case encoded:
-		f.state = inChunkLine
+		f.state = inChunkSize
 	case length != nil:
-		f.expectBody(length)
+		f.beginBody(length)
 	}
 }
 
-func (f *framing) expectBody(length []byte) {
+// beginBody expects a body with the given Content-Length.
+func (f *framingTracker) beginBody(length []byte) {
 	n, err := strconv.ParseUint(string(length), 10, 62)
 	if err != nil {
-		f.lose()
+		f.loseSync()
 		return
 	}
 	if n > 0 {
-		f.state, f.left = inBody, int64(n)
+		f.state, f.remaining = inBody, int64(n)
 	}
 }
 
-// takeBody takes bytes of a body or a chunk and returns what follows.
-func (f *framing) takeBody(p []byte) []byte {
-	n := min(f.left, int64(len(p)))
-	f.left -= n
-	if f.left == 0 && f.state == inBody {
+// consumeBody consumes bytes of a body or a chunk and returns the rest.
+func (f *framingTracker) consumeBody(p []byte) []byte {
+	n := min(f.remaining, int64(len(p)))
+	f.remaining -= n
+	if f.remaining == 0 && f.state == inBody {
 		f.state = inHead
-	} else if f.left == 0 {
+	} else if f.remaining == 0 {
 		f.state = inChunkEnd
 	}
 	return p[n:]
 }
 
-// takeLine takes a line of a chunked body and returns what follows.
-func (f *framing) takeLine(p []byte) []byte {
+// consumeLine consumes bytes of a line of a chunked body and returns the rest.
+func (f *framingTracker) consumeLine(p []byte) []byte {
 	end := bytes.IndexByte(p, '\n')
 	if end < 0 {
 		f.partial = append(f.partial, p...)
-		if len(f.partial) > lineLimit {
-			f.lose()
+		if len(f.partial) > chunkLineLimit {
+			f.loseSync()
 		}
 		return nil
 	}
 	line := bytes.TrimSuffix(append(f.partial, p[:end]...), []byte("\r"))
-	f.noteLine(line)
+	f.handleLine(line)
 	f.partial = f.partial[:0]
 	return p[end+1:]
 }
 
-func (f *framing) noteLine(line []byte) {
+func (f *framingTracker) handleLine(line []byte) {
 	switch f.state {
-	case inChunkLine:
-		f.expectChunk(line)
+	case inChunkSize:
+		f.beginChunk(line)
 	case inChunkEnd:
-		f.state = inChunkLine
+		f.state = inChunkSize
 		if len(line) > 0 {
-			f.lose()
+			f.loseSync()
 		}
 	case inTrailer:
 		if len(line) == 0 {
@@ -188,20 +189,22 @@
 	}
 }
 
-func (f *framing) expectChunk(line []byte) {
+// beginChunk parses a chunk size line. Size 0 ends the chunks.
+func (f *framingTracker) beginChunk(line []byte) {
 	size, _, _ := bytes.Cut(line, []byte(";"))
 	n, err := strconv.ParseUint(string(bytes.TrimSpace(size)), 16, 62)
 	switch {
 	case err != nil:
-		f.lose()
+		f.loseSync()
 	case n == 0:
 		f.state = inTrailer
 	default:
-		f.state, f.left = inChunk, int64(n)
+		f.state, f.remaining = inChunkData, int64(n)
 	}
 }
 
-func (f *framing) lose() {
-	f.state = isLost
+// loseSync gives up following the framing of this connection.
+func (f *framingTracker) loseSync() {
+	f.state = outOfSync
 	f.partial = nil
 }
--- a/internal/router/front/framing_test.go
+++ b/internal/router/front/framing_test.go
@@ -7,7 +7,7 @@
 	"gotest.tools/v3/assert"
 )
 
-// TestFraming follows requests cut at every place into two reads, and byte by byte.
+// TestFraming checks the framing of a sequence of requests, split into two reads at every position and read byte by byte.
 func TestFraming(t *testing.T) {
 	plain := "GET / HTTP/1.1\r\nHost: a\r\n\r\n"
 	sized := "POST / HTTP/1.1\r\nContent-Length: 30\r\n\r\n" + "GET / HTTP/1.1\r\nHost: hid\r\n\r\n!"
@@ -17,52 +17,52 @@
 	whole := plain + sized + "\r\n" + chunked + bare + sized + twice + plain
 	sizes := []int{len(plain), len(sized) - 30, len("POST / HTTP/1.1\r\nTransfer-Encoding: chunked\r\n\r\n"), len(bare),
 		len(sized) - 30, len(twice)}
-	check := func(f *framing) {
+	check := func(f *framingTracker) {
 		t.Helper()
-		assert.Equal(t, f.untaken(), len(sizes))
+		assert.Equal(t, f.pendingHeads(), len(sizes))
 		for i, size := range sizes {
-			assert.Equal(t, f.taken(), headFraming{size: size, ambiguous: i == len(sizes)-1})
+			assert.Equal(t, f.popHead(), headFraming{size: size, ambiguous: i == len(sizes)-1})
 		}
-		assert.Equal(t, f.taken(), headFraming{ambiguous: true}, "what follows is not trusted")
+		assert.Equal(t, f.popHead(), headFraming{ambiguous: true}, "requests after an ambiguous head must be ambiguous")
 	}
 	for at := range whole {
-		var f framing
-		f.came([]byte(whole[:at]))
-		f.came([]byte(whole[at:]))
+		var f framingTracker
+		f.observe([]byte(whole[:at]))
+		f.observe([]byte(whole[at:]))
 		check(&f)
 	}
-	var f framing
+	var f framingTracker
 	for i := range whole {
-		f.came([]byte{whole[i]})
+		f.observe([]byte{whole[i]})
 	}
 	check(&f)
 }
 
-func TestFramingThatIsLost(t *testing.T) {
+func TestFramingOutOfSync(t *testing.T) {
 	plain := "GET / HTTP/1.1\r\nHost: a\r\n\r\n"
 	for _, first := range []string{
 		"POST / HTTP/1.1\r\nContent-Length: x\r\n\r\n",
 		"POST / HTTP/1.1\r\nContent-Length: +3\r\n\r\n",
 		"POST / HTTP/1.1\r\nTransfer-Encoding: chunked\r\n\r\nx\r\n",
 		"POST / HTTP/1.1\r\nTransfer-Encoding: chunked\r\n\r\n1\r\nab\r\n",
-		"POST / HTTP/1.1\r\nTransfer-Encoding: chunked\r\n\r\n1;" + strings.Repeat("a", lineLimit+1),
+		"POST / HTTP/1.1\r\nTransfer-Encoding: chunked\r\n\r\n1;" + strings.Repeat("a", chunkLineLimit+1),
 	} {
-		var f framing
-		f.came([]byte(first))
-		f.came([]byte(plain))
-		f.taken()
-		assert.Assert(t, f.taken().ambiguous, first)
+		var f framingTracker
+		f.observe([]byte(first))
+		f.observe([]byte(plain))
+		f.popHead()
+		assert.Assert(t, f.popHead().ambiguous, first)
 	}
 }
 
 func TestPartialHead(t *testing.T) {
-	var f framing
+	var f framingTracker
 	assert.Assert(t, !f.partialHead())
-	f.came([]byte("\r\n"))
+	f.observe([]byte("\r\n"))
 	assert.Assert(t, !f.partialHead())
-	f.came([]byte("GET / HTTP/1.1\r\n"))
+	f.observe([]byte("GET / HTTP/1.1\r\n"))
 	assert.Assert(t, f.partialHead())
-	f.came([]byte("\r\n"))
+	f.observe([]byte("\r\n"))
 	assert.Assert(t, !f.partialHead())
-	assert.Equal(t, f.untaken(), 1)
+	assert.Equal(t, f.pendingHeads(), 1)
 }
--- a/internal/router/front/front.go
+++ b/internal/router/front/front.go
@@ -1,9 +1,9 @@
-// Package front serves the clients of a router: it finds the route and the tenant of a request, admits it, has an instance
-// picked and tried, repeats a try where that is allowed, and passes the answer or the events on as they come. It decides nothing
-// about configurations, instances or budgets: it asks its dependencies.
+// Package front is the HTTP front end of a router. It determines the route and the tenant of a request, admits it, makes
+// attempts on instances, retries where that is allowed, and forwards the response, or the events of a stream as they
+// arrive. Configuration, instance selection, quotas and retry budgets belong to its dependencies.
 //
-// A request is served by the goroutine of its client connection alone. Each request that was read gets exactly one final answer;
-// the statuses 408, 421, 429 and 503 are given only to a request that has not run and never will.
+// A request is served entirely by the goroutine of its client connection. Each request that was read gets exactly one
+// final response; the statuses 408, 421, 429 and 503 are sent only if the request has not been executed and never will be.
 package front
 
 import (
@@ -25,7 +25,8 @@
 	"pewterrudder/internal/router/selection"
 )
 
-// Pick is an attempt that was entered at an instance. *selection.Pick is one.
+// Pick is an instance selected for one attempt, which is registered with the selector until Done. *selection.Pick
+// implements it.
 type Pick interface {
 	Instance() *instances.Instance
 	FirstByte(now time.Time)
@@ -33,61 +34,65 @@
 	Done(now time.Time, outcome selection.Outcome)
 }
 
-// Dependencies are what the front asks. Table, Select and Pool are needed; a nil function among the others allows everything.
+// Dependencies are the services that a Server uses. Table, Select and Pool are required. Of the other functions, a nil one
+// imposes no limit.
 type Dependencies struct {
-	// Table returns the routing table in force, or nil where there is none yet.
+	// Table returns the current routing table, or nil if there is none yet.
 	Table func() *routing.Table
-	// Started is closed once the router knows its configuration and the instances; nil: it always does.
+	// Started is closed once the router knows its configuration and the instances. Nil means that it is already started.
 	Started <-chan struct{}
-	// Select picks an instance for an attempt. Its error says that there is none.
+	// Select picks an instance for an attempt. It returns an error if none is available.
 	Select func(request selection.Request) (Pick, error)
 	// Pool makes the attempts.
 	Pool *attempt.Pool
-	// Connections bounds this router's connections to one instance of the backend; 0 means no bound.
+	// Connections returns the maximum number of this router's connections to one instance of the backend; 0 means no
+	// limit.
 	Connections func(backend *routing.Backend) int
-	// Quota tells whether a tenant's request is inside its quota, or how long to wait.
+	// Quota charges a request of the given cost, in the unit of the tenant's quota, and reports whether it is within the
+	// quota. If not, retryAfter is the time to wait.
 	Quota func(now time.Time, tenant *routing.Tenant, tokens int) (ok bool, retryAfter time.Duration)
-	// KeysHold tells whether the keys of the configuration in force may still be relied on; nil: always.
+	// KeysHold reports whether the API keys of the current configuration are still known to be valid; nil means always.
 	KeysHold func() bool
-	// Retry takes one repeat from the fleet's budget.
+	// Retry takes one retry from the fleet's retry budget and reports whether one was left.
 	Retry func(now time.Time, backend string) bool
 	// CountRequest counts a client's request for a backend.
 	CountRequest func(now time.Time, backend string)
-	// Random returns a number from 0 up to but not including 1.
+	// Random returns a number in [0, 1). Nil means math/rand/v2.
 	Random func() float64
-	Log    logrus.FieldLogger
+	// Log receives log lines; nil means the standard logger.
+	Log logrus.FieldLogger
 }
 
-// Options of a front. Zero values mean the defaults.
+// Options configures a Server. Zero values select the defaults.
 type Options struct {
-	MaxConnections int           // of clients
-	BodyMemory     int64         // bytes of request bodies held at once
-	AcceptOn       time.Duration // how long a draining front goes on to accept
+	MaxConnections  int           // maximum number of client connections
+	BodyMemory      int64         // maximum bytes of request bodies held at once
+	DrainAcceptTime time.Duration // how long connections are still accepted after draining has begun
 }
 
 const (
-	defaultMaxConnections = 3000
-	defaultBodyMemory     = 64 << 20
-	defaultAcceptOn       = 2500 * time.Millisecond
-	// headerHardLimit is what net/http reads of a header; the configured limit is applied to what it has read.
+	defaultMaxConnections  = 3000
+	defaultBodyMemory      = 64 << 20
+	defaultDrainAcceptTime = 2500 * time.Millisecond
+	// headerHardLimit is the maximum header size that net/http reads, in bytes. The configured limit is checked afterwards.
 	headerHardLimit = 128 << 10
 )
 
-// Server serves clients.
+// Server is the HTTP server for clients. Create it with New.
 type Server struct {
 	dependencies Dependencies
 	options      Options
 	http         *http.Server
 	connections  *connectionSet
 	draining     atomic.Bool
-	// drainingSince is when the draining began, in nanoseconds of the clock.
+	// drainingSince is when draining began, in nanoseconds since the Unix epoch.
 	drainingSince atomic.Int64
 	bodyMemory    atomic.Int64
-	counts        counts
-	reporter      reporter
+	counters      counters
+	failureLogger failureLogger
 }
 
-// New makes a server that does not listen yet.
+// New returns a server that does not listen yet.
 func New(dependencies Dependencies, options Options) *Server {
 	s := &Server{dependencies: dependencies, options: options}
 	s.setDefaults()
@@ -96,9 +101,9 @@
 		Handler:        http.HandlerFunc(s.serve),
 		MaxHeaderBytes: headerHardLimit,
 		ConnContext:    withConnection,
-		ConnState:      s.connections.changed,
-		ErrorLog:       silentLog(),
-		// net/http would answer OPTIONS * itself, with a success that is no instance's.
+		ConnState:      s.connections.onStateChange,
+		ErrorLog:       discardLogger(),
+		// Otherwise net/http would answer OPTIONS * itself, with a success that comes from no instance.
 		DisableGeneralOptionsHandler: true,
 	}
 	return s
@@ -111,8 +116,8 @@
 	if s.options.BodyMemory <= 0 {
 		s.options.BodyMemory = defaultBodyMemory
 	}
-	if s.options.AcceptOn <= 0 {
-		s.options.AcceptOn = defaultAcceptOn
+	if s.options.DrainAcceptTime <= 0 {
+		s.options.DrainAcceptTime = defaultDrainAcceptTime
 	}
 	if s.dependencies.Random == nil {
 		s.dependencies.Random = rand.Float64
@@ -120,10 +125,10 @@
 	if s.dependencies.Log == nil {
 		s.dependencies.Log = logrus.StandardLogger()
 	}
-	s.reporter.log = s.dependencies.Log
+	s.failureLogger.log = s.dependencies.Log
 }
 
-// Serve accepts clients on the listener until Drain or Close. It returns nil after either.
+// Serve accepts client connections on the listener until Drain or Close, after which it returns nil.
 func (s *Server) Serve(listener net.Listener) error {
 	err := s.http.Serve(s.connections.listen(listener, s.options.MaxConnections))
 	if err == http.ErrServerClosed || s.draining.Load() {
@@ -132,10 +137,10 @@
 	return err
 }
 
-// Close ends all connections at once.
+// Close closes the listener and all connections immediately.
 func (s *Server) Close() error { return s.http.Close() }
 
-// limits are those of the configuration in force.
+// limits returns the limits of the current configuration; zero values mean the defaults.
 func (s *Server) limits() document.Limits {
 	if table := s.dependencies.Table(); table != nil {
 		return table.Limits()
@@ -143,34 +148,35 @@
 	return document.Limits{}
 }
 
-// serve is the handler of all requests. Routes are found in the routing table, by the path as it was sent.
+// serve handles every request. http.ServeMux is not used: routes are looked up in the routing table by the path exactly
+// as it was sent.
 func (s *Server) serve(w http.ResponseWriter, r *http.Request) {
 	c := &call{server: s, writer: w, incoming: r, arrival: time.Now(), connection: connectionOf(r.Context())}
 	defer c.finish()
 	if s.draining.Load() {
-		c.endConnection()
-		if s.endsSoon() {
-			c.refuse(resultcode.New(resultcode.ShuttingDown, ""))
+		c.closeAfterResponse()
+		if s.rejectsLateRequests() {
+			c.respondError(resultcode.New(resultcode.ShuttingDown, ""))
 			return
 		}
 	}
 	s.awaitStart(r.Context(), c.deadlineHeader())
 	if failure := c.admit(); failure != nil {
-		c.refuse(failure)
+		c.respondError(failure)
 		return
 	}
-	c.run(r.Context())
+	c.runAttempts(r.Context())
 }
 
-// finish gives back what the call holds, and logs a fault of the program, which ends the connection.
+// finish releases the call's body memory. It recovers and logs a panic, and then aborts the connection.
 func (c *call) finish() {
-	c.server.bodyMemory.Add(-c.reserved)
-	fault := recover()
-	if fault == nil {
+	c.server.bodyMemory.Add(-c.reservedBytes)
+	recovered := recover()
+	if recovered == nil {
 		return
 	}
-	if fault != http.ErrAbortHandler {
-		c.server.dependencies.Log.WithField("fault", fault).Errorf("a request failed: %s", debug.Stack())
+	if recovered != http.ErrAbortHandler {
+		c.server.dependencies.Log.WithField("fault", recovered).Errorf("panic while serving a request: %s", debug.Stack())
 	}
 	panic(http.ErrAbortHandler)
 }
--- a/internal/router/front/front_test.go
+++ b/internal/router/front/front_test.go
@@ -9,13 +9,13 @@
 	"pewterrudder/internal/router/protocol"
 )
 
-func TestAnswerIsPassedUnchanged(t *testing.T) {
-	instance := newStandIn(t, "i-1", ok)
-	f := newFleet(t, nil, instance)
-	response, body := f.ask(t, head("POST", "/once//a%2Fb/../c?q=1&&r=%20", "Content-Length: 5", "X-Own: 1", "X-Own: 2")+"hello")
+func TestResponseIsForwardedUnchanged(t *testing.T) {
+	instance := newFakeInstance(t, "i-1", respondOK)
+	f := newTestFront(t, nil, instance)
+	response, body := f.exchange(t, requestText("POST", "/once//a%2Fb/../c?q=1&&r=%20", "Content-Length: 5", "X-Own: 1", "X-Own: 2")+"hello")
 	assert.Equal(t, response.StatusCode, 200)
 	assert.Equal(t, body, "fine")
-	assert.Equal(t, response.Header.Get(protocol.HeaderSignature), testStamp)
+	assert.Equal(t, response.Header.Get(protocol.HeaderSignature), testSignature)
 	got := instance.requests()[0]
 	assert.Equal(t, got.Method, "POST")
 	assert.Equal(t, got.RequestURI, "/once//a%2Fb/../c?q=1&&r=%20")
@@ -25,17 +25,17 @@
 	assert.Equal(t, got.Header.Get(protocol.HeaderExpectInstance), "i-1")
 }
 
-func TestStreamIsPassed(t *testing.T) {
-	instance := newStandIn(t, "i-1", func(c net.Conn, r *received) bool {
-		beginEvents(c, r)
+func TestStreamIsForwarded(t *testing.T) {
+	instance := newFakeInstance(t, "i-1", func(c net.Conn, r *receivedRequest) bool {
+		writeStreamHead(c, r)
 		writeChunk(c, event(1))
 		writeChunk(c, event(2))
 		endChunks(c)
 		return true
 	})
-	f := newFleet(t, nil, instance)
+	f := newTestFront(t, nil, instance)
 	for range 2 {
-		response, body := f.ask(t, head("GET", "/stream/x"))
+		response, body := f.exchange(t, requestText("GET", "/stream/x"))
 		assert.Equal(t, response.StatusCode, 200)
 		assert.Equal(t, body, event(1)+event(2))
 	}
--- a/internal/router/front/listen.go
+++ b/internal/router/front/listen.go
@@ -7,8 +7,8 @@
 	"github.com/pkg/errors"
 )
 
-// Listen opens the address for clients. TCP's keep-alive is off, since connections are bounded by the idle timeout and by the
-// deadlines of requests.
+// Listen listens for clients on the TCP address. TCP keep-alive is off, since the idle timeout and the requests' deadlines
+// already bound the life of a dead connection.
 func Listen(ctx context.Context, address string) (net.Listener, error) {
 	config := net.ListenConfig{KeepAlive: -1}
 	listener, err := config.Listen(ctx, "tcp", address)
--- a/internal/router/front/start.go
+++ b/internal/router/front/start.go
@@ -10,15 +10,15 @@
 )
 
 const (
-	// startShare of a client's time is the most that a request waits for a router that is starting, so that a refusal still leaves
-	// the client time for another try.
-	startShare = 0.4
-	// startWaitMost bounds the wait whatever time the client has.
-	startWaitMost = time.Second
+	// maxStartWaitShare is the maximum share of the client's deadline for which a request waits for a starting router, so
+	// that a refused client still has time to retry.
+	maxStartWaitShare = 0.4
+	// maxStartWait bounds that wait regardless of the deadline.
+	maxStartWait = time.Second
 )
 
-// awaitStart holds a request that comes before the router knows where requests go. It does so within the first moments of the
-// process alone: requests that come then would be refused for want of what arrives within some hundred milliseconds.
+// awaitStart delays a request until the router knows its configuration and the instances, which takes some hundred
+// milliseconds after the start of the process. Without the delay, requests in that time would be refused.
 func (s *Server) awaitStart(ctx context.Context, deadlineMs string) {
 	started := s.dependencies.Started
 	if started == nil {
@@ -38,15 +38,15 @@
 	}
 }
 
-// startWait is how long a request may wait, by the value of its deadline header.
+// startWait returns how long a request may wait for the start, given the value of its deadline header in milliseconds.
 func startWait(deadlineMs string) time.Duration {
 	ms, err := strconv.ParseFloat(deadlineMs, 64)
 	if err != nil || math.IsNaN(ms) || ms < 0 {
-		return startWaitMost
+		return maxStartWait
 	}
-	share := min(startShare*ms*float64(time.Millisecond), float64(startWaitMost))
+	share := min(maxStartWaitShare*ms*float64(time.Millisecond), float64(maxStartWait))
 	return time.Duration(share)
 }
 
-// deadlineHeader is the client's own statement of its patience.
+// deadlineHeader returns the client's deadline header, in milliseconds from now; it may be empty or invalid.
 func (c *call) deadlineHeader() string { return c.incoming.Header.Get(protocol.HeaderDeadlineMs) }
--- a/internal/router/front/start_test.go
+++ b/internal/router/front/start_test.go
@@ -16,12 +16,12 @@
 		startsIn   time.Duration
 		want       time.Duration
 	}{
-		{"started before", "2000", 0, 0},
+		{"already started", "2000", 0, 0},
 		{"starts in time", "2000", 300 * time.Millisecond, 300 * time.Millisecond},
-		{"starts too late for the client", "1000", time.Minute, 400 * time.Millisecond},
-		{"a patient client", "15000", time.Minute, time.Second},
+		{"starts after the client's share", "1000", time.Minute, 400 * time.Millisecond},
+		{"long deadline", "15000", time.Minute, time.Second},
 		{"no deadline", "", time.Minute, time.Second},
-		{"a senseless deadline", "-5", time.Minute, time.Second},
+		{"negative deadline", "-5", time.Minute, time.Second},
 		{"not a number", "NaN", time.Minute, time.Second},
 	} {
 		t.Run(c.name, func(t *testing.T) {
@@ -41,7 +41,7 @@
 	}
 }
 
-func TestAClientThatLeavesEndsTheWaitForTheStart(t *testing.T) {
+func TestClientDisconnectEndsTheWaitForTheStart(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		ctx, leave := context.WithTimeout(t.Context(), 50*time.Millisecond)
 		defer leave()
--- a/internal/router/front/stream.go
+++ b/internal/router/front/stream.go
@@ -10,9 +10,9 @@
 	"pewterrudder/internal/router/selection"
 )
 
-// passStream passes the events of an answer on as they come and tells whether the client has all of them. Where the stream
-// breaks off it returns false, having passed whole events only; the next attempt goes on behind the last of them.
-func (c *call) passStream(ctx context.Context, pick Pick, response *attempt.Response) bool {
+// forwardStream forwards the events of a response as they arrive and reports whether the client got all of them. If the
+// stream breaks off, it returns false and has forwarded complete events only; the next attempt resumes after the last one.
+func (c *call) forwardStream(ctx context.Context, pick Pick, response *attempt.Response) bool {
 	sent := false
 	part, err := response.Next()
 	if len(part) > 0 || err == io.EOF {
@@ -33,26 +33,27 @@
 		pick.Done(time.Now(), selection.Outcome{Result: selection.Succeeded})
 		return true
 	}
-	c.noteBreak(ctx, pick, response, sent)
+	c.recordBrokenStream(ctx, pick, response, sent)
 	return false
 }
 
-// beginStream writes the head of the answer, unless an earlier attempt has.
+// beginStream writes the status and header of the response, unless an earlier attempt already did.
 func (c *call) beginStream(response *attempt.Response) {
-	if c.headSent {
+	if c.headerSent {
 		return
 	}
-	c.copyHead(response)
+	c.copyHeader(response)
 	c.writeStatus(response.Status)
 }
 
-// flusher is what net/http's writers are.
+// flusher is implemented by net/http's response writers.
 type flusher interface{ FlushError() error }
 
-// writeEvents writes whole events and sends them off, unless the end of the answer, which is here already, does so.
-func (c *call) writeEvents(events []byte, endIsHere bool) {
+// writeEvents writes complete events and flushes them. If the end of the response has already been received, it does not
+// flush, since ending the response flushes too.
+func (c *call) writeEvents(events []byte, endReceived bool) {
 	_, err := c.writer.Write(events)
-	if err == nil && !endIsHere {
+	if err == nil && !endReceived {
 		err = c.writer.(flusher).FlushError()
 	}
 	if err != nil {
@@ -60,15 +61,15 @@
 	}
 }
 
-// noteBreak enters the break-off of a stream and sets up where the next attempt goes on: behind the last event that was sent,
-// if its id is known.
-func (c *call) noteBreak(ctx context.Context, pick Pick, response *attempt.Response, sent bool) {
+// recordBrokenStream records that a stream broke off. If events were sent, it sets the event id after which the next
+// attempt resumes, or marks the call as unresumable if the id of the last event is unknown.
+func (c *call) recordBrokenStream(ctx context.Context, pick Pick, response *attempt.Response, sent bool) {
 	result := selection.Failed
 	if ctx.Err() != nil || !time.Now().Before(c.request.Deadline) {
 		result = selection.Abandoned
 	}
 	pick.Done(time.Now(), selection.Outcome{Result: result})
-	c.server.counts.noteAttempt(attempt.MayHaveRun)
+	c.server.counters.countAttempt(attempt.MayHaveRun)
 	if !sent {
 		return
 	}
