--- a/internal/router/attempt/benchmark_test.go
+++ b/internal/router/attempt/benchmark_test.go
@@ -18,8 +18,9 @@
 	"pewterrudder/internal/router/protocol"
 )
 
-// plainInstance answers each request with the same bytes and does as little else as it can.
-func plainInstance(b *testing.B, text string) string {
+// newFixedResponseServer starts a server that answers each request with the same bytes, at minimal cost, and returns its
+// address.
+func newFixedResponseServer(b *testing.B, text string) string {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	assert.NilError(b, err)
 	b.Cleanup(func() { listener.Close() })
@@ -29,13 +30,13 @@
 			if err != nil {
 				return
 			}
-			go answerPlainly(c, []byte(text))
+			go serveFixedResponse(c, []byte(text))
 		}
 	}()
 	return listener.Addr().String()
 }
 
-func answerPlainly(c net.Conn, text []byte) {
+func serveFixedResponse(c net.Conn, text []byte) {
 	defer c.Close()
 	reader := bufio.NewReader(c)
 	for {
@@ -49,22 +50,22 @@
 	}
 }
 
-// processorTime is what the process has used.
-func processorTime() time.Duration {
+// cpuTime returns the CPU time that the process has used.
+func cpuTime() time.Duration {
 	var usage syscall.Rusage
 	syscall.Getrusage(syscall.RUSAGE_SELF, &usage)
 	return time.Duration(usage.Utime.Nano() + usage.Stime.Nano())
 }
 
-// measure runs f b.N times and reports the processor time of each run, the instance's included.
+// measure runs f b.N times and reports the CPU time per run, including that of the server.
 func measure(b *testing.B, f func()) {
 	f()
 	b.ReportAllocs()
-	before := processorTime()
+	before := cpuTime()
 	for b.Loop() {
 		f()
 	}
-	b.ReportMetric(float64(processorTime()-before)/float64(b.N), "cpu-ns/op")
+	b.ReportMetric(float64(cpuTime()-before)/float64(b.N), "cpu-ns/op")
 }
 
 func benchmarkRequest() *Request {
@@ -77,12 +78,12 @@
 	return request
 }
 
-func plainAnswer() string {
-	return answer(testID, 200, strings.Repeat("a", 800), stampLine, "Content-Type: application/octet-stream",
+func benchmarkResponse() string {
+	return responseText(testID, 200, strings.Repeat("a", 800), signatureLine, "Content-Type: application/octet-stream",
 		"Date: Wed, 02 Dec 2026 05:22:54 GMT", "Versions: 1", "X-Pewterrudder-Load: 1,0,8")
 }
 
-func streamAnswer() string {
+func benchmarkStream() string {
 	text := streamHead()
 	for i := range 90 {
 		text += chunk(fmt.Sprintf("id: %d\ndata: %s\n\n", i, strings.Repeat("a", 40)))
@@ -90,15 +91,15 @@
 	return text + "0\r\n\r\n"
 }
 
-func BenchmarkTry(b *testing.B) {
-	target := Target{ID: "i-1", Address: plainInstance(b, plainAnswer())}
+func BenchmarkRoundTrip(b *testing.B) {
+	target := Target{ID: "i-1", Address: newFixedResponseServer(b, benchmarkResponse())}
 	pool := NewPool(Options{})
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
 	request := benchmarkRequest()
 	measure(b, func() {
 		request.Deadline = time.Now().Add(2 * time.Second)
-		response, err := pool.Try(ctx, target, request)
+		response, err := pool.RoundTrip(ctx, target, request)
 		if err != nil {
 			b.Fatal(err)
 		}
@@ -106,15 +107,15 @@
 	})
 }
 
-func BenchmarkTryStream(b *testing.B) {
-	target := Target{ID: "i-1", Address: plainInstance(b, streamAnswer())}
+func BenchmarkRoundTripStream(b *testing.B) {
+	target := Target{ID: "i-1", Address: newFixedResponseServer(b, benchmarkStream())}
 	pool := NewPool(Options{})
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
 	request := benchmarkRequest()
 	measure(b, func() {
 		request.Deadline = time.Now().Add(2 * time.Second)
-		response, err := pool.Try(ctx, target, request)
+		response, err := pool.RoundTrip(ctx, target, request)
 		for err == nil {
 			_, err = response.Next()
 		}
@@ -125,7 +126,7 @@
 	})
 }
 
-// transportRequest builds the same request for net/http.
+// transportRequest builds an equivalent request for net/http's Transport.
 func transportRequest(ctx context.Context, address string, request *Request) *http.Request {
 	out, _ := http.NewRequestWithContext(ctx, request.Method, "http://"+address+request.RequestURI, nil)
 	out.Host = request.Host
@@ -138,7 +139,7 @@
 }
 
 func benchmarkTransport(b *testing.B, text string) {
-	address := plainInstance(b, text)
+	address := newFixedResponseServer(b, text)
 	transport := &http.Transport{DisableCompression: true, MaxIdleConnsPerHost: 100}
 	defer transport.CloseIdleConnections()
 	request := benchmarkRequest()
@@ -157,5 +158,5 @@
 	})
 }
 
-func BenchmarkTransport(b *testing.B)       { benchmarkTransport(b, plainAnswer()) }
-func BenchmarkTransportStream(b *testing.B) { benchmarkTransport(b, streamAnswer()) }
+func BenchmarkTransport(b *testing.B)       { benchmarkTransport(b, benchmarkResponse()) }
+func BenchmarkTransportStream(b *testing.B) { benchmarkTransport(b, benchmarkStream()) }
--- a/internal/router/attempt/connection.go
+++ b/internal/router/attempt/connection.go
@@ -13,7 +13,7 @@
 	"pewterrudder/internal/socket"
 )
 
-// connection is one connection to an instance. At any moment it is idle in its pool or belongs to one try.
+// connection is a connection to an instance. At any time it is either idle in its pool or used by one attempt.
 type connection struct {
 	pool     *Pool
 	host     *host
@@ -23,63 +23,63 @@
 	reader   *bufio.Reader
 	wasReset atomic.Bool
 
-	// Of an idle connection.
-	idleStart   time.Time
-	idleEnd     time.Time // until when it may be taken up
-	isAnnounced bool      // the instance has told when it ends it
+	// Set when the connection becomes idle.
+	idleSince            time.Time
+	reusableUntil        time.Time // no reuse from this time on
+	idleTimeoutAnnounced bool      // the instance sent its idle timeout
 
-	// Of the try that it belongs to.
-	stopWatch   func() bool
-	bodyWritten chan struct{} // of a large request body; nil: none is being written
-	bodyError   error         // valid once bodyWritten is closed
-	tainted     bool          // got an answer of another request: not used again
-	ended       bool          // given back or discarded
+	// State of the attempt that uses the connection.
+	stopContextWatch func() bool
+	bodyWriteDone    chan struct{} // closed when a large request body has been written; nil: none is being written
+	bodyWriteError   error         // valid once bodyWriteDone is closed
+	tainted          bool          // received a response to another request; must not be reused
+	finished         bool          // released or discarded
 }
 
-// reset ends the connection at once, dropping what was not delivered. It may be called from any goroutine.
+// reset closes the connection immediately with a TCP reset, dropping undelivered data. It is safe for concurrent use.
 func (c *connection) reset() {
 	if c.wasReset.CompareAndSwap(false, true) {
 		socket.Reset(c.socket)
 	}
 }
 
-// discard ends the try and the connection.
+// discard ends the attempt and resets the connection.
 func (c *connection) discard() {
-	if c.ended {
+	if c.finished {
 		return
 	}
-	c.ended = true
-	c.unwatch()
+	c.finished = true
+	c.stopWatching()
 	c.reset()
-	c.stopBody()
-	c.pool.forget(c)
+	c.stopBodyWrite()
+	c.pool.remove(c)
 }
 
-// giveBack ends the try and makes the connection idle.
-func (c *connection) giveBack() {
-	if c.ended {
+// release ends the attempt and returns the connection to the pool, or discards it if the caller's context has ended.
+func (c *connection) release() {
+	if c.finished {
 		return
 	}
-	if !c.unwatch() {
+	if !c.stopWatching() {
 		c.discard()
 		return
 	}
-	c.ended = true
-	c.pool.release(c)
+	c.finished = true
+	c.pool.putIdle(c)
 }
 
-// unwatch ends the watch over the caller's context and tells whether the context had not ended.
-func (c *connection) unwatch() bool {
-	if c.stopWatch == nil {
+// stopWatching stops watching the caller's context and reports whether the context had not ended yet.
+func (c *connection) stopWatching() bool {
+	if c.stopContextWatch == nil {
 		return true
 	}
-	running := c.stopWatch()
-	c.stopWatch = nil
+	running := c.stopContextWatch()
+	c.stopContextWatch = nil
 	return running
 }
 
-// explain replaces an error of the socket by its cause where it is known.
-func (c *connection) explain(ctx context.Context, err error) error {
+// translateError replaces a socket error by ErrAbandoned or ErrDeadline if one of them caused it.
+func (c *connection) translateError(ctx context.Context, err error) error {
 	if errors.Is(err, ErrRejected) {
 		return err
 	}
@@ -92,26 +92,28 @@
 	return err
 }
 
-// watchNew waits for a moment that depends on the time that the opening took, or until the instance ends the connection.
-func (c *connection) watchNew(opening time.Duration) {
-	c.socket.SetReadDeadline(time.Now().Add(min(opening+newWatch, newWatchLimit)))
+// watchForEarlyClose waits for as long as opening the connection took plus earlyCloseWatch, at most maxEarlyCloseWatch, or
+// until the instance closes the connection or sends something.
+func (c *connection) watchForEarlyClose(opening time.Duration) {
+	c.socket.SetReadDeadline(time.Now().Add(min(opening+earlyCloseWatch, maxEarlyCloseWatch)))
 	c.reader.Peek(1)
 }
 
-// usable tells whether an idle connection may be taken up by a request.
-func (c *connection) usable(now time.Time, request *Request) bool {
-	if !now.Before(c.idleEnd) || c.reader.Buffered() > 0 {
+// isReusable reports whether an idle connection can be used for the request. If the connection was closed early without
+// an announced idle timeout, it marks the host as closing idle connections early.
+func (c *connection) isReusable(now time.Time, request *Request) bool {
+	if !now.Before(c.reusableUntil) || c.reader.Buffered() > 0 {
 		return false
 	}
-	age := now.Sub(c.idleStart)
-	if request.Once && !c.isAnnounced && age > sureIdleTime && c.host.endsSoon.Load() {
+	age := now.Sub(c.idleSince)
+	if request.NonRepeatable && !c.idleTimeoutAnnounced && age > safeIdleAge && c.host.closesIdleEarly.Load() {
 		return false
 	}
 	if c.probe.Quiet() {
 		return true
 	}
-	if !c.isAnnounced && age < soonIdleTime {
-		c.host.endsSoon.Store(true)
+	if !c.idleTimeoutAnnounced && age < earlyCloseAge {
+		c.host.closesIdleEarly.Store(true)
 	}
 	return false
 }
--- a/internal/router/attempt/events.go
+++ b/internal/router/attempt/events.go
@@ -7,57 +7,59 @@
 )
 
 const (
-	eventBuffer = 4 << 10
-	// eventLimit bounds one event.
-	eventLimit = 1 << 20
+	// eventBufferSize is the initial size of a buffer, in bytes.
+	eventBufferSize = 4 << 10
+	// maxEventSize is the maximum size of an event, in bytes.
+	maxEventSize = 1 << 20
 )
 
-var eventBuffers = sync.Pool{New: func() any {
-	buffer := make([]byte, 0, eventBuffer)
+var eventBufferPool = sync.Pool{New: func() any {
+	buffer := make([]byte, 0, eventBufferSize)
 	return &buffer
 }}
 
-// eventScanner finds the ends of events (an empty line) in what comes and hands out whole events only.
+// eventScanner splits a stream into events, each ended by an empty line, and returns complete events only. For other
+// bodies only its buffer is used.
 type eventScanner struct {
-	pooled *[]byte
-	buffer []byte // what has come and isn't dropped yet
-	handed int    // bytes of buffer that were handed out
-	seen   int    // bytes of buffer that were looked at
-	line   int    // where the line that is being read starts
-	lastID []byte // of the last event handed out
-	nextID []byte // of the event that is being read
-	hasID  bool
+	pooled    *[]byte
+	buffer    []byte // bytes read and not discarded yet
+	returned  int    // bytes of buffer already returned to the caller
+	scanned   int    // bytes of buffer already scanned
+	lineStart int    // offset at which the current line starts
+	lastID    []byte // id of the last complete event that had one
+	nextID    []byte // id of the current event
+	hasNextID bool
 
-	lastChunk bool // the end of the body came with what was read last
+	endReceived bool // the last read reached the end of the body
 }
 
-// reserve gets the buffer.
-func (s *eventScanner) reserve() {
+// acquireBuffer takes a buffer from eventBufferPool, unless the scanner has one.
+func (s *eventScanner) acquireBuffer() {
 	if s.pooled == nil {
-		s.pooled = eventBuffers.Get().(*[]byte)
+		s.pooled = eventBufferPool.Get().(*[]byte)
 		s.buffer = (*s.pooled)[:0]
 	}
 }
 
-// release gives the buffer back, unless it has grown.
-func (s *eventScanner) release() {
+// releaseBuffer returns the buffer to eventBufferPool, unless it has grown.
+func (s *eventScanner) releaseBuffer() {
 	if s.pooled == nil {
 		return
 	}
-	if cap(s.buffer) == eventBuffer {
+	if cap(s.buffer) == eventBufferSize {
 		*s.pooled = s.buffer[:0]
-		eventBuffers.Put(s.pooled)
+		eventBufferPool.Put(s.pooled)
 	}
 	s.pooled, s.buffer = nil, nil
 }
 
-// next reads until at least one event is whole and returns all whole ones. At the end of the body the error is io.EOF, with what
-// stands behind the last empty line.
+// next reads until at least one event is complete and returns all complete events. At the end of the body it returns
+// io.EOF together with any bytes after the last empty line.
 func (s *eventScanner) next(reader io.Reader) ([]byte, error) {
-	s.reserve()
-	s.dropHanded()
+	s.acquireBuffer()
+	s.discardReturned()
 	for {
-		if len(s.buffer) >= eventLimit {
+		if len(s.buffer) >= maxEventSize {
 			return nil, ErrTooLarge
 		}
 		if len(s.buffer) == cap(s.buffer) {
@@ -66,11 +68,11 @@
 		n, err := reader.Read(s.buffer[len(s.buffer):cap(s.buffer)])
 		s.buffer = s.buffer[:len(s.buffer)+n]
 		if end := s.scan(); end > 0 {
-			s.handed, s.lastChunk = end, err == io.EOF
+			s.returned, s.endReceived = end, err == io.EOF
 			return s.buffer[:end], nil
 		}
 		if err == io.EOF {
-			s.handed = len(s.buffer)
+			s.returned = len(s.buffer)
 			return s.buffer, io.EOF
 		}
 		if err != nil {
@@ -79,52 +81,54 @@
 	}
 }
 
-// dropHanded moves the event that is being read to the buffer's start.
-func (s *eventScanner) dropHanded() {
-	if s.handed == 0 {
+// discardReturned removes the returned events and moves the rest to the start of the buffer.
+func (s *eventScanner) discardReturned() {
+	if s.returned == 0 {
 		return
 	}
-	n := copy(s.buffer, s.buffer[s.handed:])
+	n := copy(s.buffer, s.buffer[s.returned:])
 	s.buffer = s.buffer[:n]
-	s.seen -= s.handed
-	s.line -= s.handed
-	s.handed = 0
+	s.scanned -= s.returned
+	s.lineStart -= s.returned
+	s.returned = 0
 }
 
-// scan looks at the lines that are whole and returns where the last whole event ends, or 0.
+// scan processes the complete lines in the buffer and returns the end offset of the last complete event, or 0.
 func (s *eventScanner) scan() int {
 	end := 0
 	for {
-		offset := bytes.IndexByte(s.buffer[s.seen:], '\n')
+		offset := bytes.IndexByte(s.buffer[s.scanned:], '\n')
 		if offset < 0 {
-			s.seen = len(s.buffer)
+			s.scanned = len(s.buffer)
 			return end
 		}
-		line := s.buffer[s.line : s.seen+offset]
-		s.seen += offset + 1
-		s.line = s.seen
+		line := s.buffer[s.lineStart : s.scanned+offset]
+		s.scanned += offset + 1
+		s.lineStart = s.scanned
 		line = bytes.TrimSuffix(line, []byte("\r"))
 		if len(line) == 0 {
-			end = s.seen
-			s.endEvent()
+			end = s.scanned
+			s.commitID()
 			continue
 		}
-		s.noteID(line)
+		s.parseID(line)
 	}
 }
 
 var idField = []byte("id:")
 
-func (s *eventScanner) noteID(line []byte) {
+// parseID stores the value of an id field.
+func (s *eventScanner) parseID(line []byte) {
 	if value, found := bytes.CutPrefix(line, idField); found {
 		s.nextID = append(s.nextID[:0], bytes.TrimPrefix(value, []byte(" "))...)
-		s.hasID = true
+		s.hasNextID = true
 	}
 }
 
-func (s *eventScanner) endEvent() {
-	if s.hasID {
+// commitID makes the current event's id, if it has one, the last event id.
+func (s *eventScanner) commitID() {
+	if s.hasNextID {
 		s.lastID, s.nextID = s.nextID, s.lastID
-		s.hasID = false
+		s.hasNextID = false
 	}
 }
--- a/internal/router/attempt/fetch.go
+++ b/internal/router/attempt/fetch.go
@@ -12,23 +12,23 @@
 	"pewterrudder/internal/router/protocol"
 )
 
-// fetchLimit bounds the body of an instance's own page.
-const fetchLimit = 256 << 10
+// maxFetchedBody is the maximum size of a fetched body, in bytes.
+const maxFetchedBody = 256 << 10
 
-// Fetch gets one of an instance's own pages, such as its report, over the connections of the tries. Such a page belongs to no
-// request: an answer with a request's id is a late one to that request and is passed over.
+// Fetch gets a resource of the instance itself, such as its report, over the connections of the pool. The response to a
+// fetch has no request id; a response with an id is a late one to an earlier client request and is skipped.
 func (p *Pool) Fetch(ctx context.Context, target Target, path string, deadline time.Time) (status int, body []byte, err error) {
 	request := &Request{Method: http.MethodGet, RequestURI: path, Host: target.Address, Priority: NoPriority, Deadline: deadline}
-	c, err := p.take(ctx, target, request)
+	c, err := p.acquire(ctx, target, request)
 	if err != nil {
 		return 0, nil, err
 	}
 	c.socket.SetDeadline(deadline)
-	c.stopWatch = context.AfterFunc(ctx, c.reset)
+	c.stopContextWatch = context.AfterFunc(ctx, c.reset)
 	status, body, err = c.fetch(request)
 	if err != nil {
 		c.discard()
-		return 0, nil, errors.Wrapf(c.explain(ctx, err), "attempt: %s", path)
+		return 0, nil, errors.Wrapf(c.translateError(ctx, err), "attempt: %s", path)
 	}
 	return status, body, nil
 }
@@ -42,40 +42,40 @@
 	if _, err := c.socket.Write(text); err != nil {
 		return 0, nil, err
 	}
-	for range foreignAnswers + 1 {
+	for range maxForeignResponses + 1 {
 		h, err := readHead(c.reader, request.Method)
 		if err != nil {
 			return 0, nil, err
 		}
 		if h.id == "" {
-			return c.readPage(h)
+			return c.readFetched(h)
 		}
-		c.pool.figures.foreign.Add(1)
+		c.pool.counters.foreign.Add(1)
 		c.tainted = true
-		if err := c.skip(h); err != nil {
+		if err := c.skipBody(h); err != nil {
 			return 0, nil, err
 		}
 	}
-	return 0, nil, ErrForeignAnswer
+	return 0, nil, ErrForeignResponse
 }
 
-// readPage reads the body of an answer that is the right one.
-func (c *connection) readPage(h *head) (status int, body []byte, err error) {
+// readFetched reads the body of the response to a fetch and finishes the exchange.
+func (c *connection) readFetched(h *head) (status int, body []byte, err error) {
 	reader, err := c.bodyReader(h)
 	if err != nil {
 		return 0, nil, err
 	}
 	var page bytes.Buffer
-	n, err := io.Copy(&page, io.LimitReader(reader, fetchLimit+1))
+	n, err := io.Copy(&page, io.LimitReader(reader, maxFetchedBody+1))
 	if err != nil {
 		return 0, nil, err
 	}
-	if n > fetchLimit {
+	if n > maxFetchedBody {
 		return 0, nil, ErrTooLarge
 	}
-	if err := c.endBody(h); err != nil {
+	if err := c.readTrailer(h); err != nil {
 		return 0, nil, err
 	}
-	c.settle(h)
+	c.finishExchange(h)
 	return h.status, page.Bytes(), nil
 }
--- a/internal/router/attempt/fixture_test.go
+++ b/internal/router/attempt/fixture_test.go
@@ -19,17 +19,17 @@
 )
 
 const (
-	testID    = "id-1"
-	stampLine = "X-Pewterrudder-Response-Signature: s"
+	testID        = "id-1"
+	signatureLine = "X-Pewterrudder-Response-Signature: s"
 )
 
-// peer is the instance's end of one connection in a test.
+// peer is the instance's side of a connection.
 type peer struct {
 	net.Conn
 	reader *bufio.Reader
 }
 
-// read reads one request, or returns nil at the connection's end.
+// read reads one request. It returns nil if the connection ends or the request is malformed.
 func (p *peer) read() *http.Request {
 	r, err := http.ReadRequest(p.reader)
 	if err != nil {
@@ -45,30 +45,30 @@
 
 func (p *peer) write(text string) { io.WriteString(p, text) }
 
-// reset ends the connection with a reset.
+// reset closes the connection with a TCP reset.
 func (p *peer) reset() {
 	p.Conn.(*net.TCPConn).SetLinger(0)
 	p.Close()
 }
 
-// ended tells whether the other side ends the connection within a second, and with which error.
-func (p *peer) ended() error {
+// waitClosed waits up to a second for the other side to close the connection and returns the error of reading.
+func (p *peer) waitClosed() error {
 	p.SetReadDeadline(time.Now().Add(time.Second))
 	_, err := p.reader.ReadByte()
 	return err
 }
 
-// standIn listens and gives each connection to the script.
-type standIn struct {
+// fakeInstance is an instance that passes each connection to a script.
+type fakeInstance struct {
 	target      Target
 	connections atomic.Int64
 }
 
-func newStandIn(t testing.TB, script func(p *peer)) *standIn {
+func newFakeInstance(t testing.TB, script func(p *peer)) *fakeInstance {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	assert.NilError(t, err)
 	t.Cleanup(func() { listener.Close() })
-	s := &standIn{target: Target{ID: "i-1", Address: listener.Addr().String()}}
+	s := &fakeInstance{target: Target{ID: "i-1", Address: listener.Addr().String()}}
 	go func() {
 		for {
 			c, err := listener.Accept()
@@ -85,26 +85,27 @@
 	return s
 }
 
-// answering makes a stand-in that answers each request with the text.
-func answering(t testing.TB, text string) *standIn {
-	return newStandIn(t, func(p *peer) {
+// newRespondingInstance returns a fake instance that answers each request with the text.
+func newRespondingInstance(t testing.TB, text string) *fakeInstance {
+	return newFakeInstance(t, func(p *peer) {
 		for p.read() != nil {
 			p.write(text)
 		}
 	})
 }
 
-// answer is an answer to the request with the id.
-func answer(id string, status int, body string, lines ...string) string {
+// responseText returns a response to the request with the id.
+func responseText(id string, status int, body string, lines ...string) string {
 	lines = append(lines, protocol.HeaderRequestID+": "+id, "Content-Length: "+strconv.Itoa(len(body)))
 	return "HTTP/1.1 " + strconv.Itoa(status) + " Text\r\n" + strings.Join(lines, "\r\n") + "\r\n\r\n" + body
 }
 
-func good(id, body string) string { return answer(id, 200, body, stampLine) }
+// signedResponse returns a successful response with a signature.
+func signedResponse(id, body string) string { return responseText(id, 200, body, signatureLine) }
 
-// streamHead is the head of a stream of events.
+// streamHead returns the head of an event stream response.
 func streamHead() string {
-	return "HTTP/1.1 200 OK\r\n" + protocol.HeaderRequestID + ": " + testID + "\r\n" + stampLine +
+	return "HTTP/1.1 200 OK\r\n" + protocol.HeaderRequestID + ": " + testID + "\r\n" + signatureLine +
 		"\r\nContent-Type: text/event-stream\r\nTransfer-Encoding: chunked\r\n\r\n"
 }
 
@@ -117,14 +118,14 @@
 		Header: http.Header{protocol.HeaderRequestID: {testID}}, Body: []byte("hello"), Deadline: time.Now().Add(2 * time.Second)}
 }
 
-// tryOnce makes one try with a new pool.
-func tryOnce(t testing.TB, s *standIn) (*Response, error) {
+// roundTripOnce makes one attempt with a new pool.
+func roundTripOnce(t testing.TB, s *fakeInstance) (*Response, error) {
 	t.Helper()
 	pool := NewPool(Options{})
-	return pool.Try(context.Background(), s.target, newRequest())
+	return pool.RoundTrip(context.Background(), s.target, newRequest())
 }
 
-// checkOutcome checks the outcome of a failed try.
+// checkOutcome checks the outcome of a failed attempt and returns its error.
 func checkOutcome(t testing.TB, err error, want Outcome) *Error {
 	t.Helper()
 	var failure *Error
@@ -133,23 +134,23 @@
 	return failure
 }
 
-// succeed makes a try that must succeed and returns the body.
-func succeed(t testing.TB, pool *Pool, target Target) string {
+// mustSucceed makes an attempt that must succeed and returns the body.
+func mustSucceed(t testing.TB, pool *Pool, target Target) string {
 	t.Helper()
-	response, err := pool.Try(context.Background(), target, newRequest())
+	response, err := pool.RoundTrip(context.Background(), target, newRequest())
 	assert.NilError(t, err)
 	defer response.Close()
-	assert.Assert(t, response.Whole)
+	assert.Assert(t, response.Buffered)
 	return string(response.Body)
 }
 
-func waitFor(t testing.TB, what string, holds func() bool) {
+func waitFor(t testing.TB, what string, condition func() bool) {
 	t.Helper()
 	for range 400 {
-		if holds() {
+		if condition() {
 			return
 		}
 		time.Sleep(5 * time.Millisecond)
 	}
-	t.Fatalf("not in time: %s", what)
+	t.Fatalf("timed out waiting for: %s", what)
 }
--- a/internal/router/attempt/head.go
+++ b/internal/router/attempt/head.go
@@ -15,44 +15,45 @@
 )
 
 const (
-	// headLimit bounds status line and header of an answer; it is the size of a connection's read buffer.
-	headLimit = 8 << 10
-	// interimLimit bounds the 1xx answers before an answer.
-	interimLimit = 4
-	// lengthDigits bounds the digits of a Content-Length.
-	lengthDigits = 15
-	// unknownLength is the length of a body that does not tell it.
+	// maxHeadSize is the maximum size of the status line and header of a response, in bytes. It is the size of a
+	// connection's read buffer.
+	maxHeadSize = 8 << 10
+	// maxInterimResponses is the maximum number of 1xx responses before the final one.
+	maxInterimResponses = 4
+	// maxLengthDigits is the maximum number of digits of a Content-Length.
+	maxLengthDigits = 15
+	// unknownLength is the length of a body without Content-Length.
 	unknownLength = -1
 )
 
-// Field is one header line of an answer, its name in canonical form.
+// Field is one header line of a response, with its name in canonical form.
 type Field struct {
 	Name  string
 	Value string
 }
 
-// head is the parsed status line and header of an answer.
+// head is the parsed status line and header of a response.
 type head struct {
-	status      int
-	fields      []Field // end-to-end ones
-	length      int64   // of the body, or unknownLength
-	chunked     bool
-	close       bool // the connection ends after this answer
-	id          string
-	hasID       bool
-	stamped     bool
-	encoded     bool
-	notExecuted bool
-	stream      bool
-	load        string
-	advice      string        // Retry-After
-	keepAlive   time.Duration // 0: not told
-	connection  string        // names of headers that concern this connection only
+	status           int
+	fields           []Field // end-to-end headers
+	length           int64   // of the body, or unknownLength
+	chunked          bool
+	close            bool // the connection closes after this response
+	id               string
+	hasID            bool
+	signed           bool
+	encoded          bool
+	notExecuted      bool
+	stream           bool
+	load             string
+	retryAfterValue  string        // of the Retry-After header
+	keepAlive        time.Duration // idle timeout announced by the instance; 0: none
+	connectionTokens string        // comma-separated values of the Connection headers
 }
 
-// readHead reads the head of the next answer that isn't interim.
+// readHead reads the head of the next final response, skipping interim ones.
 func readHead(r *bufio.Reader, method string) (*head, error) {
-	for range interimLimit + 1 {
+	for range maxInterimResponses + 1 {
 		text, err := readHeadText(r)
 		if err != nil {
 			return nil, err
@@ -68,34 +69,34 @@
 			return nil, errors.Wrap(ErrMalformed, "protocol switch")
 		}
 	}
-	return nil, errors.Wrap(ErrMalformed, "too many interim answers")
+	return nil, errors.Wrap(ErrMalformed, "too many interim responses")
 }
 
-var headEnd = []byte("\r\n\r\n")
+var headTerminator = []byte("\r\n\r\n")
 
-// readHeadText reads up to the empty line, which it leaves out.
+// readHeadText reads a head up to the empty line, which it consumes but does not return.
 func readHeadText(r *bufio.Reader) (string, error) {
 	searched := 0
 	for {
 		waiting, err := r.Peek(max(r.Buffered(), searched+1))
 		if err == bufio.ErrBufferFull {
-			return "", errors.Wrap(ErrMalformed, "head over the limit")
+			return "", errors.Wrap(ErrMalformed, "status line and header exceed the size limit")
 		}
 		if err != nil {
 			return "", err
 		}
 		waiting, _ = r.Peek(r.Buffered())
-		from := max(0, searched-len(headEnd)+1)
-		if end := bytes.Index(waiting[from:], headEnd); end >= 0 {
+		from := max(0, searched-len(headTerminator)+1)
+		if end := bytes.Index(waiting[from:], headTerminator); end >= 0 {
 			text := string(waiting[:from+end])
-			r.Discard(from + end + len(headEnd))
+			r.Discard(from + end + len(headTerminator))
 			return text, nil
 		}
 		searched = len(waiting)
 	}
 }
 
-// parseHead parses the text of a head. What could be read in two ways is an error.
+// parseHead parses the text of a head. Anything ambiguous is an error.
 func parseHead(text, method string) (*head, error) {
 	line, rest, _ := strings.Cut(text, "\r\n")
 	h := &head{length: unknownLength}
@@ -109,8 +110,8 @@
 			return nil, err
 		}
 	}
-	h.dropNamed()
-	return h, h.settleFraming(method)
+	h.removeConnectionFields()
+	return h, h.resolveFraming(method)
 }
 
 // parseStatusLine parses a line such as "HTTP/1.1 200 OK".
@@ -142,14 +143,14 @@
 		return errors.Wrap(ErrMalformed, "header line")
 	}
 	name = textproto.CanonicalMIMEHeaderKey(name)
-	return h.note(name, textproto.TrimString(value))
+	return h.setField(name, textproto.TrimString(value))
 }
 
-// note takes in one header.
-func (h *head) note(name, value string) error {
+// setField processes one header. Connection-related headers and the load report are not added to fields.
+func (h *head) setField(name, value string) error {
 	switch name {
 	case "Content-Length":
-		return h.noteLength(value)
+		return h.setLength(value)
 	case "Transfer-Encoding":
 		if h.chunked || !strings.EqualFold(value, "chunked") {
 			return errors.Wrap(ErrMalformed, "transfer encoding")
@@ -157,39 +158,39 @@
 		h.chunked = true
 		return nil
 	case "Connection":
-		h.connection += "," + value
+		h.connectionTokens += "," + value
 		return nil
 	case "Keep-Alive":
-		h.keepAlive = keepAliveTime(value)
+		h.keepAlive = parseKeepAlive(value)
 		return nil
 	case protocol.HeaderLoad:
 		h.load = value
 		return nil
 	case protocol.HeaderRequestID:
 		if h.hasID {
-			return errors.Wrap(ErrMalformed, "two ids")
+			return errors.Wrap(ErrMalformed, "two request ids")
 		}
 		h.id, h.hasID = value, true
 	case protocol.HeaderSignature:
-		h.stamped = true
+		h.signed = true
 	case protocol.HeaderNotExecuted:
 		h.notExecuted = true
 	case protocol.HeaderRetryAfter:
-		h.advice = value
+		h.retryAfterValue = value
 	case "Content-Encoding":
 		h.encoded = !strings.EqualFold(value, "identity")
 	case "Content-Type":
 		h.stream = isEventStream(value)
 	}
-	if !hopByHop(name) {
+	if !isHopByHop(name) {
 		h.fields = append(h.fields, Field{Name: name, Value: value})
 	}
 	return nil
 }
 
-// noteLength takes in a Content-Length. A second one, signs and blanks are errors.
-func (h *head) noteLength(value string) error {
-	if h.length != unknownLength || value == "" || len(value) > lengthDigits {
+// setLength processes a Content-Length. A second one, a sign or a space in it is an error.
+func (h *head) setLength(value string) error {
+	if h.length != unknownLength || value == "" || len(value) > maxLengthDigits {
 		return errors.Wrap(ErrMalformed, "content length")
 	}
 	for i := range len(value) {
@@ -205,10 +206,10 @@
 	return nil
 }
 
-// settleFraming decides how the body ends.
-func (h *head) settleFraming(method string) error {
-	if h.chunked && (h.length != unknownLength || h.close && h.connection == "") {
-		return errors.Wrap(ErrMalformed, "framed twice")
+// resolveFraming determines how the body ends.
+func (h *head) resolveFraming(method string) error {
+	if h.chunked && (h.length != unknownLength || h.close && h.connectionTokens == "") {
+		return errors.Wrap(ErrMalformed, "ambiguous body framing")
 	}
 	if method == http.MethodHead || h.status < 200 || h.status == http.StatusNoContent || h.status == http.StatusNotModified {
 		if h.length != unknownLength && method == http.MethodHead {
@@ -223,21 +224,21 @@
 	return nil
 }
 
-// dropNamed drops the headers that Connection names, and notes what it says about the connection.
-func (h *head) dropNamed() {
-	if h.connection == "" {
+// removeConnectionFields removes the headers named by Connection and handles its close option.
+func (h *head) removeConnectionFields() {
+	if h.connectionTokens == "" {
 		return
 	}
-	for token := range strings.SplitSeq(h.connection, ",") {
+	for token := range strings.SplitSeq(h.connectionTokens, ",") {
 		token = textproto.TrimString(token)
 		if strings.EqualFold(token, "close") {
 			h.close = true
 		}
-		h.drop(textproto.CanonicalMIMEHeaderKey(token))
+		h.removeField(textproto.CanonicalMIMEHeaderKey(token))
 	}
 }
 
-func (h *head) drop(name string) {
+func (h *head) removeField(name string) {
 	kept := h.fields[:0]
 	for _, field := range h.fields {
 		if field.Name != name {
@@ -247,17 +248,19 @@
 	h.fields = kept
 }
 
-// retryAfter reads the advice, in seconds and fractions.
+// retryAfter parses Retry-After in seconds with an optional fraction. It returns 0 if the value is missing, invalid, not
+// positive, or an hour or more.
 func (h *head) retryAfter() time.Duration {
-	seconds, err := strconv.ParseFloat(h.advice, 64)
+	seconds, err := strconv.ParseFloat(h.retryAfterValue, 64)
 	if err != nil || !(seconds > 0 && seconds < 3600) {
 		return 0
 	}
 	return time.Duration(seconds * float64(time.Second))
 }
 
-// keepAliveTime reads "timeout=5, max=100".
-func keepAliveTime(value string) time.Duration {
+// parseKeepAlive returns the timeout of a Keep-Alive value such as "timeout=5, max=100", at least 1 ns. It returns 0 if
+// the timeout is missing, invalid, or a day or more.
+func parseKeepAlive(value string) time.Duration {
 	for part := range strings.SplitSeq(value, ",") {
 		name, text, _ := strings.Cut(textproto.TrimString(part), "=")
 		if !strings.EqualFold(textproto.TrimString(name), "timeout") {
@@ -276,20 +279,20 @@
 	return strings.EqualFold(textproto.TrimString(kind), protocol.ContentTypeEventStream)
 }
 
-// validName tells whether a header name consists of the characters of a token.
+// validName reports whether a header name is a token.
 func validName(name string) bool {
 	if name == "" {
 		return false
 	}
 	for i := range len(name) {
-		if !tokenCharacter(name[i]) {
+		if !isTokenChar(name[i]) {
 			return false
 		}
 	}
 	return true
 }
 
-func tokenCharacter(c byte) bool {
+func isTokenChar(c byte) bool {
 	switch {
 	case c >= 'a' && c <= 'z', c >= 'A' && c <= 'Z', c >= '0' && c <= '9':
 		return true
@@ -297,7 +300,7 @@
 	return strings.IndexByte("!#$%&'*+-.^_`|~", c) >= 0
 }
 
-// validValue tells whether a header value holds no control characters.
+// validValue reports whether a header value contains no control characters other than tabs.
 func validValue(value string) bool {
 	for i := range len(value) {
 		if c := value[i]; c < ' ' && c != '\t' || c == 0x7f {
--- a/internal/router/attempt/outcome_test.go
+++ b/internal/router/attempt/outcome_test.go
@@ -16,9 +16,9 @@
 )
 
 func TestAnswered(t *testing.T) {
-	s := answering(t, answer(testID, 200, "fine", stampLine, "X-Own: a", "X-Own: b", "X-Pewterrudder-Load: 1,2,3",
+	s := newRespondingInstance(t, responseText(testID, 200, "fine", signatureLine, "X-Own: a", "X-Own: b", "X-Pewterrudder-Load: 1,2,3",
 		"Connection: X-Hop", "X-Hop: 1", "Keep-Alive: timeout=5"))
-	response, err := tryOnce(t, s)
+	response, err := roundTripOnce(t, s)
 	assert.NilError(t, err)
 	assert.Equal(t, response.Status, 200)
 	assert.Equal(t, string(response.Body), "fine")
@@ -27,13 +27,13 @@
 		{protocol.HeaderRequestID, testID}})
 }
 
-func TestNothingListens(t *testing.T) {
+func TestConnectionRefused(t *testing.T) {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	assert.NilError(t, err)
 	address := listener.Addr().String()
 	listener.Close()
-	_, err = NewPool(Options{}).Try(context.Background(), Target{ID: "i", Address: address}, newRequest())
-	assert.Assert(t, checkOutcome(t, err, NeverSent).Dial)
+	_, err = NewPool(Options{}).RoundTrip(context.Background(), Target{ID: "i", Address: address}, newRequest())
+	assert.Assert(t, checkOutcome(t, err, NeverSent).DialFailed)
 }
 
 func TestDialTimeoutIsBoundedByTheTimeLeft(t *testing.T) {
@@ -50,131 +50,131 @@
 			request := newRequest()
 			began := time.Now()
 			request.Deadline = began.Add(c.left)
-			_, err := pool.Try(context.Background(), Target{ID: "i", Address: "a"}, request)
+			_, err := pool.RoundTrip(context.Background(), Target{ID: "i", Address: "a"}, request)
 			checkOutcome(t, err, NeverSent)
 			assert.Equal(t, time.Since(began), c.want)
 		}
-		assert.Equal(t, pool.Figures().Open, 0)
+		assert.Equal(t, pool.Stats().Open, 0)
 	})
 }
 
 func TestRejected(t *testing.T) {
 	for name, text := range map[string]string{
-		"not executed":   answer(testID, 503, "full", "X-Pewterrudder-Not-Executed: 1", "Retry-After: 0.25", "X-Pewterrudder-Load: 9,9,9"),
-		"wrong instance": answer(testID, 421, "", "Retry-After: 0.25", "X-Pewterrudder-Load: 9,9,9"),
+		"not executed":   responseText(testID, 503, "full", "X-Pewterrudder-Not-Executed: 1", "Retry-After: 0.25", "X-Pewterrudder-Load: 9,9,9"),
+		"wrong instance": responseText(testID, 421, "", "Retry-After: 0.25", "X-Pewterrudder-Load: 9,9,9"),
 	} {
 		t.Run(name, func(t *testing.T) {
-			s := answering(t, text)
+			s := newRespondingInstance(t, text)
 			pool := NewPool(Options{})
 			for range 2 {
-				_, err := pool.Try(context.Background(), s.target, newRequest())
+				_, err := pool.RoundTrip(context.Background(), s.target, newRequest())
 				failure := checkOutcome(t, err, Rejected)
 				assert.Equal(t, failure.RetryAfter, 250*time.Millisecond)
 				assert.Equal(t, failure.Load, "9,9,9")
 			}
-			assert.Equal(t, s.connections.Load(), int64(1), "the connection stays in use")
+			assert.Equal(t, s.connections.Load(), int64(1), "the connection must be reused")
 		})
 	}
 }
 
 func TestRejectionThatEndsTheConnection(t *testing.T) {
-	s := answering(t, answer(testID, 503, "full", "X-Pewterrudder-Not-Executed: 1", "Connection: close"))
+	s := newRespondingInstance(t, responseText(testID, 503, "full", "X-Pewterrudder-Not-Executed: 1", "Connection: close"))
 	pool := NewPool(Options{})
-	_, err := pool.Try(context.Background(), s.target, newRequest())
+	_, err := pool.RoundTrip(context.Background(), s.target, newRequest())
 	checkOutcome(t, err, Rejected)
-	assert.Equal(t, pool.Figures().Open, 0)
+	assert.Equal(t, pool.Stats().Open, 0)
 }
 
-func TestFailureIsAnAnswer(t *testing.T) {
-	response, err := tryOnce(t, answering(t, answer(testID, 500, "oops", stampLine)))
+func TestServerErrorIsAnswered(t *testing.T) {
+	response, err := roundTripOnce(t, newRespondingInstance(t, responseText(testID, 500, "oops", signatureLine)))
 	assert.NilError(t, err)
 	assert.Equal(t, response.Status, 500)
 	assert.Equal(t, string(response.Body), "oops")
 }
 
-// TestMayHaveRun lists what comes after a request went out and is no usable answer.
+// TestMayHaveRun lists unusable responses to a request that was sent; the outcome must be MayHaveRun.
 func TestMayHaveRun(t *testing.T) {
 	id := protocol.HeaderRequestID + ": " + testID + "\r\n"
 	for name, text := range map[string]string{
 		"close":                     "",
-		"half a head":               "HTTP/1.1 200 OK\r\n" + id,
-		"half a body":               strings.TrimSuffix(good(testID, "fine"), "e"),
-		"no http":                   "hello\r\n\r\n",
-		"other protocol":            "HTTP/2.0 200 OK\r\n" + id + stampLine + "\r\nContent-Length: 0\r\n\r\n",
-		"later version":             "HTTP/1.2 200 OK\r\n" + id + stampLine + "\r\nContent-Length: 0\r\n\r\n",
+		"truncated head":            "HTTP/1.1 200 OK\r\n" + id,
+		"truncated body":            strings.TrimSuffix(signedResponse(testID, "fine"), "e"),
+		"not http":                  "hello\r\n\r\n",
+		"other protocol":            "HTTP/2.0 200 OK\r\n" + id + signatureLine + "\r\nContent-Length: 0\r\n\r\n",
+		"later version":             "HTTP/1.2 200 OK\r\n" + id + signatureLine + "\r\nContent-Length: 0\r\n\r\n",
 		"protocol switch":           "HTTP/1.1 101 Switching\r\n" + id + "\r\n",
-		"interim answers":           strings.Repeat("HTTP/1.1 103 Hints\r\n\r\n", 9) + good(testID, "fine"),
-		"other request":             good("id-0", "fine"),
-		"other request's rejection": answer("id-0", 503, "", "X-Pewterrudder-Not-Executed: 1"),
+		"interim responses":         strings.Repeat("HTTP/1.1 103 Hints\r\n\r\n", 9) + signedResponse(testID, "fine"),
+		"other request":             signedResponse("id-0", "fine"),
+		"other request's rejection": responseText("id-0", 503, "", "X-Pewterrudder-Not-Executed: 1"),
 		"rejection without id":      "HTTP/1.1 503 Full\r\nX-Pewterrudder-Not-Executed: 1\r\nContent-Length: 0\r\n\r\n",
-		"no id":                     "HTTP/1.1 200 OK\r\n" + stampLine + "\r\nContent-Length: 4\r\n\r\nfine",
-		"two ids":                   answer(testID, 200, "fine", stampLine, protocol.HeaderRequestID+": id-2"),
-		"no stamp":                  answer(testID, 200, "fine"),
-		"encoding":                  answer(testID, 200, "fine", stampLine, "Content-Encoding: gzip"),
-		"length and chunks":         answer(testID, 200, "0\r\n\r\n", stampLine, "Transfer-Encoding: chunked"),
-		"two lengths":               answer(testID, 200, "fine", stampLine, "Content-Length: 2"),
-		"signed length":             "HTTP/1.1 200 OK\r\n" + id + stampLine + "\r\nContent-Length: +4\r\n\r\nfine",
-		"listed length":             "HTTP/1.1 200 OK\r\n" + id + stampLine + "\r\nContent-Length: 4, 4\r\n\r\nfine",
-		"empty length":              "HTTP/1.1 200 OK\r\n" + id + stampLine + "\r\nContent-Length:\r\n\r\nfine",
-		"other coding":              "HTTP/1.1 200 OK\r\n" + id + stampLine + "\r\nTransfer-Encoding: gzip, chunked\r\n\r\n0\r\n\r\n",
-		"chunks without end":        "HTTP/1.1 200 OK\r\n" + id + stampLine + "\r\nTransfer-Encoding: chunked\r\n\r\n4\r\nfine\r\n",
-		"chunks without trailer":    "HTTP/1.1 200 OK\r\n" + id + stampLine + "\r\nTransfer-Encoding: chunked\r\n\r\n4\r\nfine\r\n0\r\n",
-		"bad chunk":                 "HTTP/1.1 200 OK\r\n" + id + stampLine + "\r\nTransfer-Encoding: chunked\r\n\r\nxyz\r\nfine\r\n0\r\n\r\n",
-		"length not told":           "HTTP/1.1 200 OK\r\n" + id + stampLine + "\r\n\r\nfine",
-		"name with blank":           answer(testID, 200, "fine", stampLine, "X-A : 1"),
-		"folded line":               answer(testID, 200, "fine", stampLine, "X-A: 1\r\n 2"),
-		"line without colon":        answer(testID, 200, "fine", stampLine, "X-A"),
-		"control character":         answer(testID, 200, "fine", stampLine, "X-A: \x01"),
-		"head over the limit":       answer(testID, 200, "fine", stampLine, "X-A: "+strings.Repeat("a", headLimit)),
+		"no id":                     "HTTP/1.1 200 OK\r\n" + signatureLine + "\r\nContent-Length: 4\r\n\r\nfine",
+		"two ids":                   responseText(testID, 200, "fine", signatureLine, protocol.HeaderRequestID+": id-2"),
+		"no signature":              responseText(testID, 200, "fine"),
+		"encoding":                  responseText(testID, 200, "fine", signatureLine, "Content-Encoding: gzip"),
+		"length and chunks":         responseText(testID, 200, "0\r\n\r\n", signatureLine, "Transfer-Encoding: chunked"),
+		"two lengths":               responseText(testID, 200, "fine", signatureLine, "Content-Length: 2"),
+		"signed length":             "HTTP/1.1 200 OK\r\n" + id + signatureLine + "\r\nContent-Length: +4\r\n\r\nfine",
+		"listed length":             "HTTP/1.1 200 OK\r\n" + id + signatureLine + "\r\nContent-Length: 4, 4\r\n\r\nfine",
+		"empty length":              "HTTP/1.1 200 OK\r\n" + id + signatureLine + "\r\nContent-Length:\r\n\r\nfine",
+		"other coding":              "HTTP/1.1 200 OK\r\n" + id + signatureLine + "\r\nTransfer-Encoding: gzip, chunked\r\n\r\n0\r\n\r\n",
+		"chunks without end":        "HTTP/1.1 200 OK\r\n" + id + signatureLine + "\r\nTransfer-Encoding: chunked\r\n\r\n4\r\nfine\r\n",
+		"chunks without trailer":    "HTTP/1.1 200 OK\r\n" + id + signatureLine + "\r\nTransfer-Encoding: chunked\r\n\r\n4\r\nfine\r\n0\r\n",
+		"bad chunk":                 "HTTP/1.1 200 OK\r\n" + id + signatureLine + "\r\nTransfer-Encoding: chunked\r\n\r\nxyz\r\nfine\r\n0\r\n\r\n",
+		"no length":                 "HTTP/1.1 200 OK\r\n" + id + signatureLine + "\r\n\r\nfine",
+		"name with space":           responseText(testID, 200, "fine", signatureLine, "X-A : 1"),
+		"folded line":               responseText(testID, 200, "fine", signatureLine, "X-A: 1\r\n 2"),
+		"line without colon":        responseText(testID, 200, "fine", signatureLine, "X-A"),
+		"control character":         responseText(testID, 200, "fine", signatureLine, "X-A: \x01"),
+		"head too large":            responseText(testID, 200, "fine", signatureLine, "X-A: "+strings.Repeat("a", maxHeadSize)),
 	} {
 		t.Run(name, func(t *testing.T) {
-			s := newStandIn(t, func(p *peer) {
+			s := newFakeInstance(t, func(p *peer) {
 				p.read()
 				p.write(text)
 			})
 			pool := NewPool(Options{})
-			_, err := pool.Try(context.Background(), s.target, newRequest())
+			_, err := pool.RoundTrip(context.Background(), s.target, newRequest())
 			checkOutcome(t, err, MayHaveRun)
-			assert.Equal(t, pool.Figures().Open, 0)
+			assert.Equal(t, pool.Stats().Open, 0)
 		})
 	}
 }
 
 func TestResetAfterTheRequest(t *testing.T) {
-	s := newStandIn(t, func(p *peer) {
+	s := newFakeInstance(t, func(p *peer) {
 		p.read()
 		p.reset()
 	})
-	_, err := tryOnce(t, s)
+	_, err := roundTripOnce(t, s)
 	checkOutcome(t, err, MayHaveRun)
 }
 
-func TestInterimAnswersArePassedOver(t *testing.T) {
-	response, err := tryOnce(t, answering(t, "HTTP/1.1 103 Hints\r\nLink: x\r\n\r\n"+good(testID, "fine")))
+func TestInterimResponsesAreSkipped(t *testing.T) {
+	response, err := roundTripOnce(t, newRespondingInstance(t, "HTTP/1.1 103 Hints\r\nLink: x\r\n\r\n"+signedResponse(testID, "fine")))
 	assert.NilError(t, err)
 	assert.Equal(t, string(response.Body), "fine")
 }
 
-func TestSilenceEndsAtTheDeadline(t *testing.T) {
+func TestNoResponseBeforeTheDeadline(t *testing.T) {
 	ended := make(chan error, 1)
-	s := newStandIn(t, func(p *peer) {
+	s := newFakeInstance(t, func(p *peer) {
 		p.read()
-		ended <- p.ended()
+		ended <- p.waitClosed()
 	})
 	request := newRequest()
 	request.Deadline = time.Now().Add(100 * time.Millisecond)
 	began := time.Now()
-	_, err := NewPool(Options{}).Try(context.Background(), s.target, request)
+	_, err := NewPool(Options{}).RoundTrip(context.Background(), s.target, request)
 	assert.Assert(t, time.Since(began) < 900*time.Millisecond)
 	assert.Assert(t, errors.Is(checkOutcome(t, err, MayHaveRun), ErrDeadline))
 	assert.Assert(t, isReset(<-ended))
 }
 
-func TestDeadlineThatHasPassed(t *testing.T) {
-	s := answering(t, good(testID, "fine"))
+func TestPassedDeadline(t *testing.T) {
+	s := newRespondingInstance(t, signedResponse(testID, "fine"))
 	request := newRequest()
 	request.Deadline = time.Now()
-	_, err := NewPool(Options{}).Try(context.Background(), s.target, request)
+	_, err := NewPool(Options{}).RoundTrip(context.Background(), s.target, request)
 	checkOutcome(t, err, NeverSent)
 	assert.Equal(t, s.connections.Load(), int64(0))
 }
@@ -182,26 +182,26 @@
 func TestAbandonedTryResetsTheConnection(t *testing.T) {
 	ended := make(chan error, 1)
 	arrived := make(chan struct{})
-	s := newStandIn(t, func(p *peer) {
+	s := newFakeInstance(t, func(p *peer) {
 		p.read()
 		close(arrived)
-		ended <- p.ended()
+		ended <- p.waitClosed()
 	})
 	ctx, cancel := context.WithCancel(context.Background())
 	go func() {
 		<-arrived
 		cancel()
 	}()
-	_, err := NewPool(Options{}).Try(ctx, s.target, newRequest())
+	_, err := NewPool(Options{}).RoundTrip(ctx, s.target, newRequest())
 	assert.Assert(t, errors.Is(checkOutcome(t, err, MayHaveRun), ErrAbandoned))
 	assert.Assert(t, isReset(<-ended))
 }
 
 func TestRequestOnTheWire(t *testing.T) {
 	got := make(chan *http.Request, 1)
-	s := newStandIn(t, func(p *peer) {
+	s := newFakeInstance(t, func(p *peer) {
 		got <- p.read()
-		p.write(good(testID, ""))
+		p.write(signedResponse(testID, ""))
 	})
 	request := newRequest()
 	request.RequestURI = "/a//b%2Fc/../d?x=1&&y="
@@ -211,7 +211,7 @@
 		protocol.HeaderTenant: {"tenant-b"}, protocol.HeaderExpectInstance: {"i-9"}, protocol.HeaderDeadlineMs: {"99999"},
 		protocol.HeaderPriority: {"0"}, protocol.HeaderLastEventID: {"3"}, "Transfer-Encoding": {"chunked"}, "Content-Length": {"9"},
 		"Upgrade": {"h2c"}, "Proxy-Connection": {"close"}, "Trailer": {"X-T"}}
-	response, err := NewPool(Options{}).Try(context.Background(), s.target, request)
+	response, err := NewPool(Options{}).RoundTrip(context.Background(), s.target, request)
 	assert.NilError(t, err)
 	response.Close()
 	r := <-got
@@ -226,42 +226,43 @@
 		protocol.HeaderLastEventID: {"17"}})
 }
 
-// TestEmptyBody checks that a method that usually has a body states the length of an empty one.
+// TestEmptyBody checks that an empty body gets a Content-Length for the methods that usually have a body, and none for
+// others.
 func TestEmptyBody(t *testing.T) {
 	got := make(chan *http.Request, 1)
-	s := newStandIn(t, func(p *peer) {
+	s := newFakeInstance(t, func(p *peer) {
 		for r := p.read(); r != nil; r = p.read() {
 			got <- r
-			p.write(good(testID, ""))
+			p.write(signedResponse(testID, ""))
 		}
 	})
 	pool := NewPool(Options{})
 	for method, want := range map[string][]string{"POST": {"0"}, "PUT": {"0"}, "PATCH": {"0"}, "GET": nil, "DELETE": nil} {
 		request := newRequest()
 		request.Method, request.Body = method, nil
-		_, err := pool.Try(context.Background(), s.target, request)
+		_, err := pool.RoundTrip(context.Background(), s.target, request)
 		assert.NilError(t, err)
 		assert.DeepEqual(t, (<-got).Header["Content-Length"], want)
 	}
 }
 
-func TestHeadAndBodilessAnswers(t *testing.T) {
+func TestBodilessResponses(t *testing.T) {
 	for _, c := range []struct {
 		method string
 		text   string
 	}{
-		{"HEAD", "HTTP/1.1 200 OK\r\nX-Pewterrudder-Request-Id: id-1\r\n" + stampLine + "\r\nContent-Length: 99\r\n\r\n"},
-		{"GET", "HTTP/1.1 204 None\r\nX-Pewterrudder-Request-Id: id-1\r\n" + stampLine + "\r\n\r\n"},
+		{"HEAD", "HTTP/1.1 200 OK\r\nX-Pewterrudder-Request-Id: id-1\r\n" + signatureLine + "\r\nContent-Length: 99\r\n\r\n"},
+		{"GET", "HTTP/1.1 204 None\r\nX-Pewterrudder-Request-Id: id-1\r\n" + signatureLine + "\r\n\r\n"},
 		{"GET", "HTTP/1.1 304 Same\r\nX-Pewterrudder-Request-Id: id-1\r\nContent-Length: 7\r\n\r\n"},
 	} {
-		s := answering(t, c.text)
+		s := newRespondingInstance(t, c.text)
 		pool := NewPool(Options{})
 		for range 2 {
 			request := newRequest()
 			request.Method, request.Body = c.method, nil
-			response, err := pool.Try(context.Background(), s.target, request)
+			response, err := pool.RoundTrip(context.Background(), s.target, request)
 			assert.NilError(t, err)
-			assert.Assert(t, response.Whole && len(response.Body) == 0)
+			assert.Assert(t, response.Buffered && len(response.Body) == 0)
 		}
 		assert.Equal(t, s.connections.Load(), int64(1))
 	}
@@ -269,22 +270,22 @@
 
 func TestLargeBodies(t *testing.T) {
 	body := strings.Repeat("0123456789abcdef", 4<<20/16)
-	s := newStandIn(t, func(p *peer) {
+	s := newFakeInstance(t, func(p *peer) {
 		for {
 			r := p.read()
 			if r == nil {
 				return
 			}
-			p.write(good(testID, body))
+			p.write(signedResponse(testID, body))
 		}
 	})
 	pool := NewPool(Options{})
 	for range 2 {
 		request := newRequest()
 		request.Body, request.Deadline = []byte(body), time.Now().Add(time.Minute)
-		response, err := pool.Try(context.Background(), s.target, request)
+		response, err := pool.RoundTrip(context.Background(), s.target, request)
 		assert.NilError(t, err)
-		assert.Assert(t, !response.Whole)
+		assert.Assert(t, !response.Buffered)
 		assert.Equal(t, response.Length(), int64(len(body)))
 		var got strings.Builder
 		for err == nil {
@@ -299,19 +300,19 @@
 	assert.Equal(t, s.connections.Load(), int64(1))
 }
 
-// TestAnswerBeforeTheWholeBody has the instance reject a large body that it does not read.
+// TestAnswerBeforeTheWholeBody checks that an instance can reject a request with a large body without reading the body.
 func TestAnswerBeforeTheWholeBody(t *testing.T) {
-	s := newStandIn(t, func(p *peer) {
+	s := newFakeInstance(t, func(p *peer) {
 		p.reader.ReadString('\n')
-		p.write(answer(testID, 503, "", "X-Pewterrudder-Not-Executed: 1"))
+		p.write(responseText(testID, 503, "", "X-Pewterrudder-Not-Executed: 1"))
 		time.Sleep(1500 * time.Millisecond)
 	})
 	request := newRequest()
 	request.Body = make([]byte, 16<<20)
 	pool := NewPool(Options{})
 	began := time.Now()
-	_, err := pool.Try(context.Background(), s.target, request)
+	_, err := pool.RoundTrip(context.Background(), s.target, request)
 	checkOutcome(t, err, Rejected)
 	assert.Assert(t, time.Since(began) < time.Second)
-	assert.Equal(t, pool.Figures().Open, 0)
+	assert.Equal(t, pool.Stats().Open, 0)
 }
--- a/internal/router/attempt/pool.go
+++ b/internal/router/attempt/pool.go
@@ -15,38 +15,39 @@
 
 const (
 	defaultDialTimeout = 250 * time.Millisecond
-	// dialShare is the part of the time left that the opening of a connection may take.
-	dialShare       = 3
-	userTimeout     = 1500 * time.Millisecond
+	// dialTimeDivisor bounds the time for opening a connection to 1/dialTimeDivisor of the time until the deadline.
+	dialTimeDivisor = 3
+	tcpUserTimeout  = 1500 * time.Millisecond
 	keepAliveIdle   = 2 * time.Second
 	keepAlivePeriod = time.Second
 	keepAliveCount  = 2
-	// defaultIdleTime is how long a connection may rest whose instance told nothing.
+	// defaultIdleTime is how long a connection may be idle if its instance announced no idle timeout.
 	defaultIdleTime = 20 * time.Second
-	// soonIdleTime is the age below which an idle connection that has ended shows that the instance ends them early. A request
-	// that must not run twice then takes up none older than sureIdleTime: it could cross with the end.
-	soonIdleTime = 1200 * time.Millisecond
-	sureIdleTime = 350 * time.Millisecond
-	// idleMargin and idleShare say how long before its announced end an idle connection is no longer taken up: the larger of
-	// the margin, up to half of the time, and the share.
-	idleMargin  = 500 * time.Millisecond
-	idleShare   = 4
-	sweepPeriod = time.Second
-	// newWatch and newWatchLimit say how long a new connection is watched before a request goes out that must not run twice:
-	// as long as the opening took, which is a round trip, and a little more, up to the limit.
-	newWatch      = 2 * time.Millisecond
-	newWatchLimit = 20 * time.Millisecond
+	// earlyCloseAge and safeIdleAge handle instances that close idle connections early without announcing it, which is
+	// detected when a connection that was idle for less than earlyCloseAge has been closed. A non-repeatable request then
+	// reuses no connection idle for longer than safeIdleAge, since it could be in flight when the instance closes it.
+	earlyCloseAge = 1200 * time.Millisecond
+	safeIdleAge   = 350 * time.Millisecond
+	// minIdleMargin and idleMarginDivisor determine how long before the announced idle timeout a connection is no longer
+	// reused: the larger of 1/idleMarginDivisor of the timeout and minIdleMargin, the latter limited to half of the timeout.
+	minIdleMargin     = 500 * time.Millisecond
+	idleMarginDivisor = 4
+	sweepPeriod       = time.Second
+	// earlyCloseWatch and maxEarlyCloseWatch determine how long a new connection is watched before a non-repeatable request
+	// is sent: as long as opening it took, which is one round trip, plus earlyCloseWatch, but at most maxEarlyCloseWatch.
+	earlyCloseWatch    = 2 * time.Millisecond
+	maxEarlyCloseWatch = 20 * time.Millisecond
 )
 
-// Options of a pool. Zero values mean the defaults.
+// Options configures a Pool. Zero values select the defaults.
 type Options struct {
 	DialTimeout time.Duration
-	IdleTime    time.Duration // of connections whose instance tells none
+	IdleTime    time.Duration // of connections whose instance announced no idle timeout
 	// Dial opens a connection; it exists for tests.
 	Dial func(ctx context.Context, address string) (net.Conn, error)
 }
 
-// Pool holds the connections to all instances.
+// Pool holds the connections to all instances. It is safe for concurrent use.
 type Pool struct {
 	options Options
 
@@ -54,23 +55,23 @@
 	hosts     map[hostKey]*host
 	nextSweep time.Time
 
-	figures figures
+	counters counters
 }
 
-// hostKey names an incarnation of an instance at an address, so that a connection never outlives either.
+// hostKey identifies an instance at an address, so that a connection is never reused after either has changed.
 type hostKey struct{ id, address string }
 
-// host holds the connections to one instance; the pool's mutex guards it, but for endsSoon.
+// host holds the connections to one instance. The pool's mutex guards all fields but closesIdleEarly.
 type host struct {
-	// endsSoon says that the instance ends idle connections within soonIdleTime, without telling when: it tells whole seconds
-	// only.
-	endsSoon atomic.Bool
-	key      hostKey
-	idle     []*connection // the last used one last
-	open     int           // idle, in use and being opened
+	// closesIdleEarly is set if the instance closes idle connections within earlyCloseAge without announcing the timeout,
+	// which the Keep-Alive header can express in whole seconds only.
+	closesIdleEarly atomic.Bool
+	key             hostKey
+	idle            []*connection // the most recently used one last
+	open            int           // number of connections idle, in use or being opened
 }
 
-// NewPool makes an empty pool.
+// NewPool returns an empty pool.
 func NewPool(options Options) *Pool {
 	if options.DialTimeout <= 0 {
 		options.DialTimeout = defaultDialTimeout
@@ -84,7 +85,7 @@
 	return &Pool{options: options, hosts: map[hostKey]*host{}}
 }
 
-// dial opens a TCP connection.
+// dial opens a TCP connection with keep-alive and a TCP user timeout.
 func dial(ctx context.Context, address string) (net.Conn, error) {
 	dialer := net.Dialer{KeepAliveConfig: net.KeepAliveConfig{
 		Enable: true, Idle: keepAliveIdle, Interval: keepAlivePeriod, Count: keepAliveCount}}
@@ -96,43 +97,44 @@
 	return connected, nil
 }
 
-// setUserTimeout bounds the time that sent bytes stay without acknowledgement.
+// setUserTimeout bounds the time for which sent data may stay unacknowledged. Errors are ignored.
 func setUserTimeout(connected *net.TCPConn) {
 	raw, err := connected.SyscallConn()
 	if err != nil {
 		return
 	}
 	raw.Control(func(fd uintptr) {
-		unix.SetsockoptInt(int(fd), unix.IPPROTO_TCP, unix.TCP_USER_TIMEOUT, int(userTimeout.Milliseconds()))
+		unix.SetsockoptInt(int(fd), unix.IPPROTO_TCP, unix.TCP_USER_TIMEOUT, int(tcpUserTimeout.Milliseconds()))
 	})
 }
 
-// take returns an idle connection that is still good, or opens one.
-func (p *Pool) take(ctx context.Context, target Target, request *Request) (*connection, error) {
+// acquire returns a reusable idle connection, or opens a new one. Idle connections unfit for the request are reset.
+func (p *Pool) acquire(ctx context.Context, target Target, request *Request) (*connection, error) {
 	now := time.Now()
 	if !now.Before(request.Deadline) {
 		return nil, &Error{Outcome: NeverSent, Cause: ErrDeadline}
 	}
 	for {
-		c, err := p.takeIdleOrReserve(target, now)
+		c, err := p.acquireIdleOrReserve(target, now)
 		if err != nil {
 			return nil, err
 		}
 		if c == nil {
 			return p.open(ctx, target, request)
 		}
-		if c.usable(now, request) {
-			c.ended = false
+		if c.isReusable(now, request) {
+			c.finished = false
 			return c, nil
 		}
-		p.figures.stale.Add(1)
+		p.counters.stale.Add(1)
 		c.reset()
-		p.forget(c)
+		p.remove(c)
 	}
 }
 
-// takeIdleOrReserve takes the idle connection that was used last, or, where none is idle, reserves the place of a new one.
-func (p *Pool) takeIdleOrReserve(target Target, now time.Time) (*connection, error) {
+// acquireIdleOrReserve returns the most recently used idle connection. If none is idle, it returns nil and reserves a slot
+// for a new connection, or an error if the target's connection limit is reached.
+func (p *Pool) acquireIdleOrReserve(target Target, now time.Time) (*connection, error) {
 	key := hostKey{target.ID, target.Address}
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -154,17 +156,17 @@
 	return nil, nil
 }
 
-// open opens a connection whose place is reserved.
+// open opens a connection for which a slot has been reserved. If it fails, it frees the slot.
 func (p *Pool) open(ctx context.Context, target Target, request *Request) (*connection, error) {
 	key := hostKey{target.ID, target.Address}
 	began := time.Now()
-	ctx, cancel := context.WithTimeout(ctx, min(p.options.DialTimeout, request.Deadline.Sub(began)/dialShare))
+	ctx, cancel := context.WithTimeout(ctx, min(p.options.DialTimeout, request.Deadline.Sub(began)/dialTimeDivisor))
 	defer cancel()
-	p.figures.dials.Add(1)
+	p.counters.dials.Add(1)
 	connected, err := p.options.Dial(ctx, target.Address)
 	if err != nil {
 		p.unreserve(key)
-		return nil, &Error{Outcome: NeverSent, Dial: true, Cause: err}
+		return nil, &Error{Outcome: NeverSent, DialFailed: true, Cause: err}
 	}
 	probe, err := socket.NewProbe(connected)
 	if err != nil {
@@ -176,42 +178,43 @@
 	h := p.hosts[key]
 	p.mu.Unlock()
 	c := &connection{pool: p, host: h, target: target, socket: connected, probe: probe,
-		reader: bufio.NewReaderSize(connected, headLimit)}
-	if request.Once {
-		c.watchNew(time.Since(began))
+		reader: bufio.NewReaderSize(connected, maxHeadSize)}
+	if request.NonRepeatable {
+		c.watchForEarlyClose(time.Since(began))
 	}
 	if c.reader.Buffered() > 0 || !probe.Quiet() {
 		c.reset()
-		p.forget(c)
-		return nil, &Error{Outcome: NeverSent, Dial: true, Cause: errEndedAtOnce}
+		p.remove(c)
+		return nil, &Error{Outcome: NeverSent, DialFailed: true, Cause: errClosedOnOpen}
 	}
 	return c, nil
 }
 
-// unreserve gives up the place of a connection that could not be opened.
+// unreserve frees the slot of a connection that could not be opened.
 func (p *Pool) unreserve(key hostKey) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.leave(p.hosts[key])
+	p.decrementOpen(p.hosts[key])
 }
 
-// forget gives up the place of a connection that has ended.
-func (p *Pool) forget(c *connection) {
+// remove frees the slot of a connection that has been closed.
+func (p *Pool) remove(c *connection) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.leave(c.host)
+	p.decrementOpen(c.host)
 }
 
-// leave counts one open connection less and drops a host without any, unless something is known of it.
-func (p *Pool) leave(h *host) {
+// decrementOpen decrements the number of open connections. It deletes a host without any, unless it is known to close idle
+// connections early. The pool's mutex must be held.
+func (p *Pool) decrementOpen(h *host) {
 	h.open--
-	if h.open == 0 && !h.endsSoon.Load() {
+	if h.open == 0 && !h.closesIdleEarly.Load() {
 		delete(p.hosts, h.key)
 	}
 }
 
-// release makes a connection idle whose idleEnd is set.
-func (p *Pool) release(c *connection) {
+// putIdle adds a connection, whose reusableUntil is set, to the idle ones of its host, and sweeps if that is due.
+func (p *Pool) putIdle(c *connection) {
 	now := time.Now()
 	p.mu.Lock()
 	c.host.idle = append(c.host.idle, c)
@@ -222,17 +225,17 @@
 	}
 }
 
-// Sweep closes idle connections whose time is over and, if alive isn't nil, those to instances that are not alive.
+// Sweep closes idle connections whose reuse time is over and, if alive is not nil, those to instances that are not alive.
 func (p *Pool) Sweep(now time.Time, alive func(id string) bool) {
-	var over []*connection
+	var expired []*connection
 	p.mu.Lock()
 	p.nextSweep = now.Add(sweepPeriod)
 	for _, h := range p.hosts {
 		gone := alive != nil && !alive(h.key.id)
 		kept := h.idle[:0]
 		for _, c := range h.idle {
-			if gone || now.After(c.idleEnd) {
-				over = append(over, c)
+			if gone || now.After(c.reusableUntil) {
+				expired = append(expired, c)
 			} else {
 				kept = append(kept, c)
 			}
@@ -240,8 +243,8 @@
 		clear(h.idle[len(kept):])
 		h.idle = kept
 	}
-	for _, c := range over {
-		p.leave(c.host)
+	for _, c := range expired {
+		p.decrementOpen(c.host)
 	}
 	for key, h := range p.hosts {
 		if h.open == 0 && alive != nil && !alive(key.id) {
@@ -249,16 +252,17 @@
 		}
 	}
 	p.mu.Unlock()
-	for _, c := range over {
+	for _, c := range expired {
 		c.socket.Close()
 	}
 }
 
-// idleTime is how long after now a connection may be taken up whose instance told that it ends idle ones after announced.
-func (p *Pool) idleTime(announced time.Duration) time.Duration {
+// reuseTime returns how long a connection may be reused after it became idle, given the idle timeout that its instance
+// announced, or 0 if it announced none.
+func (p *Pool) reuseTime(announced time.Duration) time.Duration {
 	if announced <= 0 {
 		return p.options.IdleTime
 	}
-	margin := max(announced/idleShare, min(idleMargin, announced/2))
+	margin := max(announced/idleMarginDivisor, min(minIdleMargin, announced/2))
 	return announced - margin
 }
--- a/internal/router/attempt/response.go
+++ b/internal/router/attempt/response.go
@@ -10,40 +10,41 @@
 )
 
 const (
-	// wholeLimit is the largest body that is read whole before the answer is handed over.
-	wholeLimit = 1 << 20
-	// foreignLimit bounds the body of another request's answer that is read over.
-	foreignLimit = 64 << 10
-	// foreignAnswers bounds the answers of other requests before the right one.
-	foreignAnswers = 2
-	// firstRead is the first buffer for a body of unknown length.
-	firstRead = 2 << 10
-	// trailerLimit bounds the lines behind the last chunk.
-	trailerLimit = 16
+	// maxBufferedBody is the maximum size of a body that is read completely before RoundTrip returns the response.
+	maxBufferedBody = 1 << 20
+	// maxForeignBody is the maximum size of a body that is read and discarded, in bytes.
+	maxForeignBody = 64 << 10
+	// maxForeignResponses is the maximum number of responses to other requests that are skipped before the right one.
+	maxForeignResponses = 2
+	// initialBodyBuffer is the initial buffer size for a body of unknown length, in bytes.
+	initialBodyBuffer = 2 << 10
+	// maxTrailerLines is the maximum number of lines after the last chunk, including the empty one.
+	maxTrailerLines = 16
 )
 
-// Response is an instance's answer. Where Whole is set, Body holds all of the body; else Next returns it as it comes.
+// Response is an instance's response. If Buffered is set, Body holds the entire body; otherwise Next returns it as it
+// arrives.
 type Response struct {
-	Status  int
-	Fields  []Field // end-to-end headers, without the length of a body
-	Load    string  // load report, if any
-	Stamped bool
-	Stream  bool // an event stream
-	Whole   bool
-	Body    []byte
+	Status   int
+	Fields   []Field // end-to-end headers, without Content-Length except in a response to HEAD
+	Load     string  // load report, if any
+	Signed   bool
+	Stream   bool // the body is an event stream
+	Buffered bool
+	Body     []byte
 
-	connection *connection
-	head       *head
-	reader     io.Reader
-	ended      bool // the body has been read whole
-	scanner    eventScanner
-	pending    []byte // read while it was open whether the body is small
+	connection   *connection
+	head         *head
+	reader       io.Reader
+	bodyComplete bool // the entire body has been read
+	scanner      eventScanner
+	prefetched   []byte // part of the body read before it proved too large to buffer
 }
 
-// receive reads the answer to a request that was sent. sendError is the error of sending, if any: an instance may answer
-// without having read all.
+// receive reads the response to a request that was sent. sendError is the error of sending it, if any: an instance may
+// respond before it has read the whole request.
 func (c *connection) receive(request *Request, sendError error) (*Response, *Error) {
-	for range foreignAnswers + 1 {
+	for range maxForeignResponses + 1 {
 		h, err := readHead(c.reader, request.Method)
 		if err != nil {
 			if sendError != nil {
@@ -52,19 +53,19 @@
 			return nil, &Error{Outcome: MayHaveRun, Cause: err}
 		}
 		if h.hasID && h.id == request.ID {
-			return c.accept(h)
+			return c.acceptResponse(h)
 		}
-		c.pool.figures.foreign.Add(1)
+		c.pool.counters.foreign.Add(1)
 		c.tainted = true
-		if err := c.skip(h); err != nil {
+		if err := c.skipBody(h); err != nil {
 			break
 		}
 	}
-	return nil, &Error{Outcome: MayHaveRun, Cause: ErrForeignAnswer}
+	return nil, &Error{Outcome: MayHaveRun, Cause: ErrForeignResponse}
 }
 
-// skip reads over the body of another request's answer.
-func (c *connection) skip(h *head) error {
+// skipBody reads and discards the body of a rejection or of a response to another request.
+func (c *connection) skipBody(h *head) error {
 	reader, err := c.bodyReader(h)
 	if err != nil {
 		return err
@@ -72,91 +73,93 @@
 	if h.close {
 		return io.EOF
 	}
-	n, err := io.Copy(io.Discard, io.LimitReader(reader, foreignLimit+1))
+	n, err := io.Copy(io.Discard, io.LimitReader(reader, maxForeignBody+1))
 	if err != nil {
 		return err
 	}
-	if n > foreignLimit {
+	if n > maxForeignBody {
 		return ErrTooLarge
 	}
-	return c.endBody(h)
+	return c.readTrailer(h)
 }
 
-// accept takes an answer to this connection's request.
-func (c *connection) accept(h *head) (*Response, *Error) {
-	if failure := rejection(h); failure != nil {
-		failure.isSettled = c.finishRejection(h)
+// acceptResponse turns a response to this connection's request into a Response or an Error.
+func (c *connection) acceptResponse(h *head) (*Response, *Error) {
+	if failure := rejectionError(h); failure != nil {
+		failure.connectionReleased = c.finishRejection(h)
 		return nil, failure
 	}
-	if unusable(h) {
-		return nil, &Error{Outcome: MayHaveRun, Status: h.status, Load: h.load, Cause: ErrUnusable}
+	if isUnusable(h) {
+		return nil, &Error{Outcome: MayHaveRun, Status: h.status, Load: h.load, Cause: ErrUnusableResponse}
 	}
 	reader, err := c.bodyReader(h)
 	if err != nil {
 		return nil, &Error{Outcome: MayHaveRun, Cause: err}
 	}
-	response := &Response{Status: h.status, Fields: h.fields, Load: h.load, Stamped: h.stamped, Stream: h.stream,
+	response := &Response{Status: h.status, Fields: h.fields, Load: h.load, Signed: h.signed, Stream: h.stream,
 		connection: c, head: h, reader: reader}
 	if response.Stream {
 		return response, nil
 	}
-	if err := response.readWhole(); err != nil {
+	if err := response.bufferBody(); err != nil {
 		return nil, &Error{Outcome: MayHaveRun, Cause: err}
 	}
 	return response, nil
 }
 
-// finishRejection reads over the body of a rejection and settles the connection, unless the body isn't whole.
+// finishRejection discards the body of a rejection and finishes the exchange. It returns false if the connection can't be
+// reused; the caller then has to discard it.
 func (c *connection) finishRejection(h *head) bool {
 	if h.close {
 		return false
 	}
-	if err := c.skip(h); err != nil {
+	if err := c.skipBody(h); err != nil {
 		return false
 	}
-	c.settle(h)
+	c.finishExchange(h)
 	return true
 }
 
-// bodyReader returns the reader of a body, which ends with io.EOF only if the body is whole.
+// bodyReader returns a reader of the body. If the body has a length or chunks, the reader returns io.EOF only if the body
+// is complete.
 func (c *connection) bodyReader(h *head) (io.Reader, error) {
 	switch {
 	case h.chunked:
 		return httputil.NewChunkedReader(c.reader), nil
 	case h.length >= 0:
-		return &sizedReader{reader: c.reader, left: h.length}, nil
+		return &sizedReader{reader: c.reader, remaining: h.length}, nil
 	case h.status >= 200 && h.status < 300:
-		return nil, errors.Wrap(ErrMalformed, "a success that does not tell its length")
+		return nil, errors.Wrap(ErrMalformed, "successful response without a body length")
 	}
 	return c.reader, nil
 }
 
-// sizedReader reads a body of known length; its early end is an error.
+// sizedReader reads a body of known length. A premature end is io.ErrUnexpectedEOF.
 type sizedReader struct {
-	reader *bufio.Reader
-	left   int64
+	reader    *bufio.Reader
+	remaining int64
 }
 
 // Read implements io.Reader.
 func (s *sizedReader) Read(p []byte) (int, error) {
-	if s.left == 0 {
+	if s.remaining == 0 {
 		return 0, io.EOF
 	}
-	p = p[:min(int64(len(p)), s.left)]
+	p = p[:min(int64(len(p)), s.remaining)]
 	n, err := s.reader.Read(p)
-	s.left -= int64(n)
+	s.remaining -= int64(n)
 	if err == io.EOF {
 		err = io.ErrUnexpectedEOF
 	}
 	return n, err
 }
 
-// endBody reads what follows the last chunk of a body.
-func (c *connection) endBody(h *head) error {
+// readTrailer reads the trailer of a chunked body, up to the empty line.
+func (c *connection) readTrailer(h *head) error {
 	if !h.chunked {
 		return nil
 	}
-	for range trailerLimit {
+	for range maxTrailerLines {
 		line, err := c.reader.ReadSlice('\n')
 		if err != nil {
 			return err
@@ -168,22 +171,23 @@
 	return errors.Wrap(ErrMalformed, "trailer")
 }
 
-// settle gives the connection back after a whole answer, or discards it.
-func (c *connection) settle(h *head) {
-	if !c.stopBody() || h.close || c.tainted || c.reader.Buffered() > 0 {
+// finishExchange ends the attempt after a complete response: it releases the connection if it can be reused, or else
+// discards it.
+func (c *connection) finishExchange(h *head) {
+	if !c.stopBodyWrite() || h.close || c.tainted || c.reader.Buffered() > 0 {
 		c.discard()
 		return
 	}
-	c.idleStart = time.Now()
-	c.idleEnd = c.idleStart.Add(c.pool.idleTime(h.keepAlive))
-	c.isAnnounced = h.keepAlive > 0
-	c.giveBack()
+	c.idleSince = time.Now()
+	c.reusableUntil = c.idleSince.Add(c.pool.reuseTime(h.keepAlive))
+	c.idleTimeoutAnnounced = h.keepAlive > 0
+	c.release()
 }
 
-// readWhole reads a body up to wholeLimit.
-func (r *Response) readWhole() error {
-	body := make([]byte, 0, r.firstSize())
-	for len(body) < wholeLimit {
+// bufferBody reads a body of up to maxBufferedBody bytes into Body. The start of a larger one is kept for Next.
+func (r *Response) bufferBody() error {
+	body := make([]byte, 0, r.initialBufferSize())
+	for len(body) < maxBufferedBody {
 		if len(body) == cap(body) {
 			if r.head.length == int64(len(body)) {
 				break
@@ -193,40 +197,42 @@
 		n, err := r.reader.Read(body[len(body):cap(body)])
 		body = body[:len(body)+n]
 		if err == io.EOF {
-			return r.finishWhole(body)
+			return r.finishBuffering(body)
 		}
 		if err != nil {
 			return err
 		}
 	}
 	if r.head.length == int64(len(body)) {
-		return r.finishWhole(body)
+		return r.finishBuffering(body)
 	}
-	r.pending = body
+	r.prefetched = body
 	return nil
 }
 
-func (r *Response) firstSize() int64 {
+func (r *Response) initialBufferSize() int64 {
 	if r.head.length >= 0 {
-		return min(r.head.length, wholeLimit)
+		return min(r.head.length, maxBufferedBody)
 	}
-	return firstRead
+	return initialBodyBuffer
 }
 
-func (r *Response) finishWhole(body []byte) error {
-	if err := r.connection.endBody(r.head); err != nil {
+// finishBuffering sets the complete body and finishes the exchange.
+func (r *Response) finishBuffering(body []byte) error {
+	if err := r.connection.readTrailer(r.head); err != nil {
 		return err
 	}
-	r.Whole, r.Body, r.ended = true, body, true
-	r.connection.settle(r.head)
-	r.connection = nil // it may belong to another try from now on
+	r.Buffered, r.Body, r.bodyComplete = true, body, true
+	r.connection.finishExchange(r.head)
+	r.connection = nil // another attempt may use it from now on
 	return nil
 }
 
-// Next returns the next part of a body that isn't whole: of a stream one or more whole events, else what has come. The slice is
-// valid until the next call. The error is io.EOF behind a whole body only.
+// Next returns the next part of a body that is not buffered: one or more complete events of a stream, or otherwise the
+// bytes available. The slice is valid until the next call. The error is io.EOF only at the end of a complete body, and may
+// come with the last part.
 func (r *Response) Next() ([]byte, error) {
-	if r.ended {
+	if r.bodyComplete {
 		return nil, io.EOF
 	}
 	var part []byte
@@ -234,54 +240,57 @@
 	if r.Stream {
 		part, err = r.scanner.next(r.reader)
 	} else {
-		part, err = r.nextPlain()
+		part, err = r.nextBytes()
 	}
 	if err == io.EOF {
-		if err := r.connection.endBody(r.head); err != nil {
+		if err := r.connection.readTrailer(r.head); err != nil {
 			return nil, err
 		}
-		r.ended = true
+		r.bodyComplete = true
 		return part, io.EOF
 	}
 	return part, err
 }
 
-// nextPlain returns what was read already, then what comes.
-func (r *Response) nextPlain() ([]byte, error) {
-	if first := r.pending; first != nil {
-		r.pending = nil
+// nextBytes returns the prefetched part of the body first, then further bytes as they arrive.
+func (r *Response) nextBytes() ([]byte, error) {
+	if first := r.prefetched; first != nil {
+		r.prefetched = nil
 		return first, nil
 	}
-	r.scanner.reserve()
+	r.scanner.acquireBuffer()
 	n, err := r.reader.Read(r.scanner.buffer[:cap(r.scanner.buffer)])
 	return r.scanner.buffer[:n], err
 }
 
-// EndIsHere tells that the end of the body has come right behind what Next returned, so that the next call returns io.EOF at once.
-func (r *Response) EndIsHere() bool {
-	if r.ended || !r.scanner.lastChunk || r.scanner.handed < len(r.scanner.buffer) {
-		return r.ended
+// EndReceived reports whether the end of the body has been received right after what Next returned, so that the next call
+// returns io.EOF without waiting.
+func (r *Response) EndReceived() bool {
+	if r.bodyComplete || !r.scanner.endReceived || r.scanner.returned < len(r.scanner.buffer) {
+		return r.bodyComplete
 	}
 	return r.connection.reader.Buffered() >= len("\r\n")
 }
 
-// LastEventID is the id of the last event that Next returned, or empty. It is valid until the next call of Next.
+// LastEventID returns the id of the last event that Next returned, or an empty string. It changes with the next call of
+// Next.
 func (r *Response) LastEventID() string { return string(r.scanner.lastID) }
 
-// Length is the length of the body, or -1 if it isn't known.
+// Length returns the length of the body, or -1 if it is unknown.
 func (r *Response) Length() int64 { return r.head.length }
 
-// Close ends the response. A connection whose body was not read whole is reset, so that the instance drops the work.
+// Close releases the response's connection. If the body has not been read completely, the connection is reset, so that the
+// instance abandons the work.
 func (r *Response) Close() {
 	c := r.connection
 	if c == nil {
 		return
 	}
 	r.connection = nil
-	if r.ended {
-		c.settle(r.head)
+	if r.bodyComplete {
+		c.finishExchange(r.head)
 	} else {
 		c.discard()
 	}
-	r.scanner.release()
+	r.scanner.releaseBuffer()
 }
--- a/internal/router/attempt/write.go
+++ b/internal/router/attempt/write.go
@@ -9,17 +9,17 @@
 	"pewterrudder/internal/router/protocol"
 )
 
-// joinLimit is the largest body that is copied behind the head, so that both go out in one write.
-const joinLimit = 16 << 10
+// maxJoinedBody is the maximum size of a body that is copied after the head, so that both are sent in one write.
+const maxJoinedBody = 16 << 10
 
 var headBuffers = sync.Pool{New: func() any { return new([]byte) }}
 
-// send writes the request and tells whether anything of it may have left.
+// send writes the request and reports whether any part of it may have been sent.
 func (c *connection) send(request *Request) (sent bool, err error) {
 	buffer := headBuffers.Get().(*[]byte)
 	defer headBuffers.Put(buffer)
 	*buffer = appendHead((*buffer)[:0], request, c.target.ID, time.Until(request.Deadline))
-	if len(request.Body) > joinLimit {
+	if len(request.Body) > maxJoinedBody {
 		return c.sendLarge(*buffer, request.Body)
 	}
 	*buffer = append(*buffer, request.Body...)
@@ -27,39 +27,39 @@
 	return n > 0, err
 }
 
-// sendLarge writes a large body behind the head. Its own goroutine pushes the body, since an instance may answer before it has
-// read all of it, and read no more; the reading of the answer ends the writing.
+// sendLarge writes the head and starts a goroutine that writes the body, since an instance may respond before it has read
+// the whole body and then stop reading. The writing is stopped when the attempt ends.
 func (c *connection) sendLarge(head, body []byte) (sent bool, err error) {
 	n, err := c.socket.Write(head)
 	if err != nil {
 		return n > 0, err
 	}
 	written := make(chan struct{})
-	c.bodyWritten = written
+	c.bodyWriteDone = written
 	go func() {
 		defer close(written)
-		_, c.bodyError = c.socket.Write(body)
+		_, c.bodyWriteError = c.socket.Write(body)
 	}()
 	return true, nil
 }
 
-// stopBody ends the writing of a large body and tells whether it went out whole.
-func (c *connection) stopBody() bool {
-	if c.bodyWritten == nil {
+// stopBodyWrite stops writing a large body and reports whether all of it was written.
+func (c *connection) stopBodyWrite() bool {
+	if c.bodyWriteDone == nil {
 		return true
 	}
 	select {
-	case <-c.bodyWritten:
+	case <-c.bodyWriteDone:
 	default:
 		c.socket.SetWriteDeadline(time.Unix(1, 0))
-		<-c.bodyWritten
+		<-c.bodyWriteDone
 	}
-	c.bodyWritten = nil
-	return c.bodyError == nil
+	c.bodyWriteDone = nil
+	return c.bodyWriteError == nil
 }
 
-// appendHead appends the head of the request as it goes to the instance.
-func appendHead(out []byte, request *Request, instance string, left time.Duration) []byte {
+// appendHead appends the head of the request as it is sent to the instance.
+func appendHead(out []byte, request *Request, instance string, timeLeft time.Duration) []byte {
 	out = append(out, request.Method...)
 	out = append(out, ' ')
 	out = append(out, request.RequestURI...)
@@ -67,24 +67,24 @@
 	out = appendField(out, "Host", request.Host)
 	listed := request.Header["Connection"]
 	for name, values := range request.Header {
-		if dropped(name) || droppedByConnection(listed, name) || replaced(name, request) {
+		if isStripped(name) || isNamedByConnection(listed, name) || isReplaced(name, request) {
 			continue
 		}
 		for _, value := range values {
 			out = appendField(out, name, value)
 		}
 	}
-	out = appendOwnFields(out, request, instance, left)
-	if hasBody(request) {
+	out = appendSystemFields(out, request, instance, timeLeft)
+	if sendsContentLength(request) {
 		out = appendNumber(out, "Content-Length", int64(len(request.Body)))
 	}
 	return append(out, "\r\n"...)
 }
 
-// appendOwnFields appends the headers that the system sets.
-func appendOwnFields(out []byte, request *Request, instance string, left time.Duration) []byte {
+// appendSystemFields appends the headers set by this package.
+func appendSystemFields(out []byte, request *Request, instance string, timeLeft time.Duration) []byte {
 	out = appendField(out, protocol.HeaderExpectInstance, instance)
-	out = appendNumber(out, protocol.HeaderDeadlineMs, max(1, left.Milliseconds()))
+	out = appendNumber(out, protocol.HeaderDeadlineMs, max(1, timeLeft.Milliseconds()))
 	if request.Tenant != "" {
 		out = appendField(out, protocol.HeaderTenant, request.Tenant)
 	}
@@ -97,8 +97,8 @@
 	return out
 }
 
-// replaced tells whether the system's value takes the place of the client's.
-func replaced(name string, request *Request) bool {
+// isReplaced reports whether this package sets the header instead of forwarding the client's value.
+func isReplaced(name string, request *Request) bool {
 	switch name {
 	case protocol.HeaderPriority:
 		return request.Priority != NoPriority
@@ -108,8 +108,8 @@
 	return false
 }
 
-// hasBody tells whether the request states the length of its body, which methods that usually have one do for an empty one too.
-func hasBody(request *Request) bool {
+// sendsContentLength reports whether the request gets a Content-Length. POST, PUT and PATCH get one for an empty body too.
+func sendsContentLength(request *Request) bool {
 	if len(request.Body) > 0 {
 		return true
 	}
--- a/internal/router/front/admit.go
+++ b/internal/router/front/admit.go
@@ -180,7 +180,7 @@
 		c.request.Priority = c.tenant.Priority
 	}
 	c.request.Priority = min(c.request.Priority, lowestPriority)
-	c.request.Once = !c.route.Repeatable()
+	c.request.NonRepeatable = !c.route.Repeatable()
 }
 
 // lowestPriority is the numerically largest priority that instances support; 0 is the highest.
--- a/internal/router/front/attempts.go
+++ b/internal/router/front/attempts.go
@@ -54,7 +54,7 @@
 	c.attempts++
 	c.selection.Excluded = append(c.selection.Excluded, instance.ID)
 	target := attempt.Target{ID: instance.ID, Address: instance.Address, MaxConnections: c.connectionLimit()}
-	response, err := c.server.dependencies.Pool.Try(ctx, target, &c.request)
+	response, err := c.server.dependencies.Pool.RoundTrip(ctx, target, &c.request)
 	if err != nil {
 		c.recordFailure(pick, err)
 		return false
--- a/internal/router/front/attempts_test.go
+++ b/internal/router/front/attempts_test.go
@@ -233,7 +233,7 @@
 	close(release)
 	response, _, _ = waiting.readResponse()
 	assert.Equal(t, response.StatusCode, 200)
-	assert.Equal(t, f.deps.Pool.Figures().Open, 1)
+	assert.Equal(t, f.deps.Pool.Stats().Open, 1)
 }
 
 func TestFigures(t *testing.T) {
--- a/internal/router/front/response.go
+++ b/internal/router/front/response.go
@@ -31,7 +31,7 @@
 	failed := response.Status >= http.StatusInternalServerError
 	if failed {
 		pick.Done(now, selection.Outcome{Result: selection.Failed})
-		if response.Whole && c.route.Repeatable() {
+		if response.Buffered && c.route.Repeatable() {
 			c.lastFailure = response
 			return false
 		}
@@ -51,7 +51,7 @@
 		return
 	}
 	c.copyHeader(response)
-	if response.Whole {
+	if response.Buffered {
 		if hasBody(c.incoming.Method, response.Status) {
 			c.writer.Header()["Content-Length"] = []string{strconv.Itoa(len(response.Body))}
 		}
--- a/internal/router/front/stream.go
+++ b/internal/router/front/stream.go
@@ -21,7 +21,7 @@
 	}
 	for {
 		if len(part) > 0 {
-			c.writeEvents(part, response.EndIsHere())
+			c.writeEvents(part, response.EndReceived())
 			sent = true
 		}
 		if err != nil {
--- a/internal/router/front/stream_test.go
+++ b/internal/router/front/stream_test.go
@@ -197,7 +197,7 @@
 			}
 			assert.Equal(t, len(second.requests()), 0)
 			waitFor(t, "the count", func() bool { return f.server.Figures().Gone == 1 })
-			assert.Equal(t, f.deps.Pool.Figures().Open, 0)
+			assert.Equal(t, f.deps.Pool.Stats().Open, 0)
 			assert.DeepEqual(t, f.picks, []string{"i-1"})
 			assert.Equal(t, f.retries, 0)
 		})
