--- a/internal/router/attempt/pool_test.go
+++ b/internal/router/attempt/pool_test.go
@@ -119,7 +119,7 @@
 	once.NonRepeatable = true
 	once.Deadline = time.Now().Add(10 * time.Second)
 	for _, step := range []struct {
-		rest        time.Duration
+		idle        time.Duration
 		request     *Request
 		connections int64
 	}{
@@ -127,7 +127,7 @@
 		{700 * time.Millisecond, newRequest(), 2}, // finds the connection closed
 		{400 * time.Millisecond, newRequest(), 2}, {400 * time.Millisecond, once, 3}, {200 * time.Millisecond, once, 3},
 	} {
-		time.Sleep(step.rest)
+		time.Sleep(step.idle)
 		step.request.Deadline = time.Now().Add(time.Second)
 		_, err := pool.RoundTrip(context.Background(), s.target, step.request)
 		assert.NilError(t, err)
--- a/internal/router/front/attempts.go
+++ b/internal/router/front/attempts.go
@@ -74,8 +74,8 @@
 }
 
 func (c *call) connectionLimit() int {
-	if bound := c.server.dependencies.Connections; bound != nil {
-		return bound(c.backend)
+	if limit := c.server.dependencies.Connections; limit != nil {
+		return limit(c.backend)
 	}
 	return 0
 }
--- a/internal/router/front/attempts_test.go
+++ b/internal/router/front/attempts_test.go
@@ -188,9 +188,9 @@
 			took := time.Since(began)
 			assert.Equal(t, response.StatusCode, 504, body)
 			assert.Assert(t, took >= time.Duration(c.left)*time.Millisecond && took < time.Second, "%v", took)
-			told, err := strconv.Atoi(instance.requests()[0].Header.Get(protocol.HeaderDeadlineMs))
+			sentDeadline, err := strconv.Atoi(instance.requests()[0].Header.Get(protocol.HeaderDeadlineMs))
 			assert.NilError(t, err)
-			assert.Assert(t, told <= c.left && told > 50, "%d", told)
+			assert.Assert(t, sentDeadline <= c.left && sentDeadline > 50, "%d", sentDeadline)
 		})
 	}
 }
--- a/internal/router/front/connection_test.go
+++ b/internal/router/front/connection_test.go
@@ -17,8 +17,8 @@
 func TestIdleTimeout(t *testing.T) {
 	f := newTestFront(t, func(c *document.Configuration, _ *Dependencies, _ *Options) { c.Limits.IdleTimeoutMs = 1000 }, newFakeInstance(t, "i-1", respondOK))
 	c := f.dial(t)
-	for _, rest := range []time.Duration{0, 800 * time.Millisecond, 800 * time.Millisecond} { // four fifths of the timeout
-		time.Sleep(rest)
+	for _, idle := range []time.Duration{0, 800 * time.Millisecond, 800 * time.Millisecond} { // four fifths of the timeout
+		time.Sleep(idle)
 		c.send(requestText("GET", "/once/"))
 		response, _, _ := c.readResponse()
 		assert.Equal(t, response.StatusCode, 200)
--- a/internal/router/front/front.go
+++ b/internal/router/front/front.go
@@ -50,7 +50,7 @@
 	Connections func(backend *routing.Backend) int
 	// Quota charges a request of the given cost, in the unit of the tenant's quota, and reports whether it is within the
 	// quota. If not, retryAfter is the time to wait.
-	Quota func(now time.Time, tenant *routing.Tenant, tokens int) (ok bool, retryAfter time.Duration)
+	Quota func(now time.Time, tenant *routing.Tenant, cost int) (ok bool, retryAfter time.Duration)
 	// KeysHold reports whether the API keys of the current configuration are still known to be valid; nil means always.
 	KeysHold func() bool
 	// Retry takes one retry from the fleet's retry budget and reports whether one was left.
