--- a/internal/router/node/node.go
+++ b/internal/router/node/node.go
@@ -221,9 +221,9 @@
 		Publisher: n.cluster,
 		Log:       n.log,
 		Confirm:   quorumConfirmer{sets: n.store, replicas: n.cluster}.confirm,
-		Changed:   n.onInstancesChanged,
+		OnChange:  n.onInstancesChanged,
 	})
-	n.cluster.Watch(recordInstance, n.registry.Hear)
+	n.cluster.Watch(recordInstance, n.registry.HandleRecord)
 	n.cluster.Watch(recordConfiguration, func(record softstate.Record) { n.store.Learn(record.Payload) })
 	n.cluster.OnView(n.onMembershipChange)
 	n.store.OnChosen(n.onConfigurationChosen)
--- a/internal/router/registry/fleet_test.go
+++ b/internal/router/registry/fleet_test.go
@@ -20,39 +20,39 @@
 const (
 	testKind      softstate.Kind = 16
 	testHeartbeat                = time.Second
-	// testSilence is longer than a registry waits for a silent instance, with its next look.
-	testSilence = 4 * testHeartbeat
-	// exchangeEvery is how often routers compare their records, which makes up for lost ones.
-	exchangeEvery = 500 * time.Millisecond
+	// testSilenceTimeout is longer than the silence timeout of a registry plus one sweep interval.
+	testSilenceTimeout = 4 * testHeartbeat
+	// exchangeInterval is the interval at which routers exchange all records, which recovers lost ones.
+	exchangeInterval = 500 * time.Millisecond
 )
 
-// fleet joins registries by an in-memory network that loses, doubles and delays records.
+// fleet connects registries by an in-memory network that loses, duplicates and delays records.
 type fleet struct {
 	t       *testing.T
 	routers []*router
 
-	mu    sync.Mutex
-	draw  *rand.Rand
-	loss  float64
-	delay time.Duration
+	mu     sync.Mutex
+	random *rand.Rand
+	loss   float64
+	delay  time.Duration
 }
 
-// router is one registry with its table of records, as package cluster keeps one.
+// router is one registry with its table of records, like the one in package cluster.
 type router struct {
 	fleet    *fleet
 	name     string
 	registry *Registry
 
-	mu        sync.Mutex
-	records   *softstate.Table
-	live      []string
-	cut       bool
-	published []softstate.Record
+	mu          sync.Mutex
+	records     *softstate.Table
+	live        []string
+	partitioned bool
+	published   []softstate.Record
 }
 
-// newFleet starts a registry for each name. It ends with the test.
+// newFleet starts a registry for each name. They stop when the test ends.
 func newFleet(t *testing.T, names ...string) *fleet {
-	f := &fleet{t: t, draw: rand.New(rand.NewPCG(1, 2))}
+	f := &fleet{t: t, random: rand.New(rand.NewPCG(1, 2))}
 	log, _ := test.NewNullLogger()
 	for _, name := range names {
 		r := &router{fleet: f, name: name, records: softstate.NewTable(), live: names}
@@ -61,24 +61,24 @@
 	}
 	for _, r := range f.routers {
 		go r.registry.Run(t.Context())
-		go r.exchange()
+		go r.runExchange()
 	}
 	return f
 }
 
-// setNetwork sets the share of records that are lost and the longest delay of the others.
+// setNetwork sets the fraction of records that are lost and the maximum delay of the others.
 func (f *fleet) setNetwork(loss float64, delay time.Duration) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.loss, f.delay = loss, delay
 }
 
-// Publish merges a record and sends it to the others.
+// Publish merges a record and sends it to the other routers.
 func (r *router) Publish(record softstate.Record) {
 	r.mu.Lock()
 	r.published = append(r.published, record)
 	r.mu.Unlock()
-	r.take(record)
+	r.receive(record)
 	for _, other := range r.fleet.routers {
 		if other != r {
 			r.send(other, record)
@@ -86,7 +86,7 @@
 	}
 }
 
-// View is what this router knows of the others.
+// View returns a membership view in which the routers set by setLive are alive.
 func (r *router) View() *membership.View {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -101,46 +101,46 @@
 	return detector.View()
 }
 
-// take merges a record and hands it to the registry if it is newer.
-func (r *router) take(record softstate.Record) {
+// receive merges a record and passes it to the registry if it is newer.
+func (r *router) receive(record softstate.Record) {
 	r.mu.Lock()
 	merged := r.records.Merge(record, time.Now())
 	r.mu.Unlock()
 	if merged {
-		go r.registry.Hear(record)
+		go r.registry.HandleRecord(record)
 	}
 }
 
-// send brings a record to another router: late, twice or not at all.
+// send delivers a record to another router: delayed, twice or not at all.
 func (r *router) send(to *router, record softstate.Record) {
 	f := r.fleet
 	f.mu.Lock()
-	copies := 1 + f.draw.IntN(2)
-	if f.draw.Float64() < f.loss {
+	copies := 1 + f.random.IntN(2)
+	if f.random.Float64() < f.loss {
 		copies = 0
 	}
 	delays := make([]time.Duration, copies)
 	for i := range delays {
-		delays[i] = time.Duration(f.draw.Int64N(int64(f.delay + time.Millisecond)))
+		delays[i] = time.Duration(f.random.Int64N(int64(f.delay + time.Millisecond)))
 	}
 	f.mu.Unlock()
 	for _, delay := range delays {
 		time.AfterFunc(delay, func() {
-			if !r.isCut() && !to.isCut() {
-				to.take(record)
+			if !r.isPartitioned() && !to.isPartitioned() {
+				to.receive(record)
 			}
 		})
 	}
 }
 
-// exchange sends all records to another router now and then.
-func (r *router) exchange() {
+// runExchange periodically sends all records to a random router.
+func (r *router) runExchange() {
 	f := r.fleet
-	periodic.Run(f.t.Context(), exchangeEvery, func() {
+	periodic.Run(f.t.Context(), exchangeInterval, func() {
 		f.mu.Lock()
-		to := f.routers[f.draw.IntN(len(f.routers))]
+		to := f.routers[f.random.IntN(len(f.routers))]
 		f.mu.Unlock()
-		for _, record := range r.all() {
+		for _, record := range r.allRecords() {
 			if to != r {
 				r.send(to, record)
 			}
@@ -148,8 +148,8 @@
 	})
 }
 
-// all lists the records, removed ones included.
-func (r *router) all() []softstate.Record {
+// allRecords lists the records, including removals that this router has published.
+func (r *router) allRecords() []softstate.Record {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	list := r.records.Records(testKind)
@@ -161,46 +161,46 @@
 	return list
 }
 
-func (r *router) isCut() bool {
+func (r *router) isPartitioned() bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	return r.cut
+	return r.partitioned
 }
 
-// setCut ends or restores the router's links.
-func (r *router) setCut(cut bool) {
+// setPartitioned disconnects the router from all others, or reconnects it.
+func (r *router) setPartitioned(cut bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.cut = cut
+	r.partitioned = cut
 }
 
-// setLive sets the routers that this one takes for alive.
+// setLive sets the routers that this router considers live.
 func (r *router) setLive(names ...string) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.live = names
 }
 
-// beat sends a heartbeat.
-func (r *router) beat(id, state string, seq int64) {
-	beat := protocol.Heartbeat{Backend: "b", Address: "10.0.0.1:80", State: state, Seq: seq}
-	_ = r.registry.Heartbeat(r.fleet.t.Context(), id, &beat)
+// sendHeartbeat delivers an instance's heartbeat to the router and ignores errors.
+func (r *router) sendHeartbeat(id, state string, seq int64) {
+	heartbeat := protocol.Heartbeat{Backend: "b", Address: "10.0.0.1:80", State: state, Seq: seq}
+	_ = r.registry.Heartbeat(r.fleet.t.Context(), id, &heartbeat)
 }
 
-// newest returns the last record of an instance that the router published, and how many there were.
-func (r *router) newest(id string) (newest softstate.Record, count int) {
+// lastPublished returns the last record that the router published for an instance, and how many there were.
+func (r *router) lastPublished(id string) (last softstate.Record, count int) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	for _, record := range r.published {
 		if record.Key == id {
-			newest = record
+			last = record
 			count++
 		}
 	}
-	return newest, count
+	return last, count
 }
 
-// state is what a router's readers see of an instance; empty: nothing.
+// state returns an instance's state in the router's snapshot, or the empty string if it is not there.
 func (r *router) state(id string) string {
 	if instance := r.registry.Snapshot().Get(id); instance != nil {
 		return instance.State
@@ -208,7 +208,7 @@
 	return ""
 }
 
-// holder is the router that an instance's registration names.
+// holder returns the router that holds an instance, or the empty string if the instance is not registered.
 func (r *router) holder(id string) string {
 	for _, registration := range r.registry.Registrations() {
 		if registration.Instance.ID == id {
@@ -218,7 +218,7 @@
 	return ""
 }
 
-// assertAll checks what all routers see of an instance.
+// assertAll checks an instance's state at all routers.
 func (f *fleet) assertAll(id, state string) {
 	f.t.Helper()
 	synctest.Wait()
@@ -227,7 +227,8 @@
 	}
 }
 
-// assertAgreement checks that all routers hold the same registrations, but for heartbeats that only the holder knows.
+// assertAgreement checks that all routers have the same registrations, apart from sequence numbers, which only the
+// holder knows up to date.
 func (f *fleet) assertAgreement() {
 	f.t.Helper()
 	synctest.Wait()
--- a/internal/router/registry/inspect_test.go
+++ b/internal/router/registry/inspect_test.go
@@ -11,15 +11,15 @@
 	"pewterrudder/internal/router/softstate"
 )
 
-// silentPublisher spreads nothing.
-type silentPublisher struct{}
+// noopPublisher discards all records.
+type noopPublisher struct{}
 
-func (silentPublisher) Publish(softstate.Record) {}
-func (silentPublisher) View() *membership.View   { return nil }
+func (noopPublisher) Publish(softstate.Record) {}
+func (noopPublisher) View() *membership.View   { return nil }
 
 func TestRegistrationsNameTheHolder(t *testing.T) {
 	log, _ := test.NewNullLogger()
-	r := New(Options{Node: "router-1", Publisher: silentPublisher{}, Log: log})
+	r := New(Options{Node: "router-1", Publisher: noopPublisher{}, Log: log})
 	assert.NilError(t, r.Heartbeat(t.Context(), "i-2", &protocol.Heartbeat{State: protocol.StateReady, Seq: 1}))
 	assert.NilError(t, r.Heartbeat(t.Context(), "i-1", &protocol.Heartbeat{State: protocol.StateDraining, Seq: 4}))
 	assert.NilError(t, r.Heartbeat(t.Context(), "i-3", &protocol.Heartbeat{State: protocol.StateReady, Seq: 1}))
--- a/internal/router/registry/registry.go
+++ b/internal/router/registry/registry.go
@@ -1,5 +1,6 @@
-// Package registry takes the heartbeats of model instances, tells the other routers what has changed, and watches over
-// the silence of the instances that announce themselves here.
+// Package registry receives the heartbeats of model instances, publishes changes to the other routers, and removes
+// instances whose heartbeats stop. A router holds the instances that send their heartbeats to it, and detects their
+// failure.
 package registry
 
 import (
@@ -20,64 +21,66 @@
 )
 
 const (
-	// silentBeats is how many heartbeats an instance may miss.
-	silentBeats = 3
-	// defaultHeartbeat holds where the settings tell no interval.
+	// maxMissedHeartbeats is the number of heartbeats that an instance may miss before it is removed.
+	maxMissedHeartbeats = 3
+	// defaultHeartbeat is the heartbeat interval if the settings do not define one.
 	defaultHeartbeat = time.Second
-	// sweepEvery is the pause between two looks for silent instances.
-	sweepEvery = 250 * time.Millisecond
-	// stalledAfter is a gap between two looks that shows that this process did not run.
-	stalledAfter = time.Second
-	// forgetAfter is how long the end of an instance is remembered, so that a late heartbeat does not revive it.
-	forgetAfter = 10 * time.Minute
+	// sweepInterval is the interval between two checks for silent instances.
+	sweepInterval = 250 * time.Millisecond
+	// stallThreshold is the gap between two checks above which this process must have been suspended or starved.
+	stallThreshold = time.Second
+	// tombstoneRetention is how long the removal of an instance is remembered, so that a delayed heartbeat does not
+	// revive it.
+	tombstoneRetention = 10 * time.Minute
 )
 
-// Publisher spreads records to the other routers.
+// Publisher replicates records to the other routers and provides the membership view.
 type Publisher interface {
 	Publish(softstate.Record)
 	View() *membership.View
 }
 
-// Options of a Registry.
+// Options configures a Registry.
 type Options struct {
 	Node      string
 	Kind      softstate.Kind
 	Heartbeat time.Duration
 	Publisher Publisher
 	Log       logrus.FieldLogger
-	// Confirm returns nil once all routers that may go on sending to an instance have its record, or will get it. Nil: nobody asks.
+	// Confirm returns nil once every router that may still send requests to an instance has its record or is certain to
+	// receive it. Nil: removals are acknowledged without confirmation.
 	Confirm func(ctx context.Context, id softstate.ID) error
-	// Changed is called with each new snapshot.
-	Changed func(*instances.Snapshot)
+	// OnChange, if not nil, is called with each new snapshot while the registry's lock is held.
+	OnChange func(*instances.Snapshot)
 }
 
-// Registry is safe for concurrent use.
+// Registry is the table of model instances, replicated among the routers. It is safe for concurrent use.
 type Registry struct {
-	options  Options
-	silence  time.Duration
-	begin    time.Time
-	snapshot atomic.Pointer[instances.Snapshot]
+	options        Options
+	silenceTimeout time.Duration
+	startedAt      time.Time
+	snapshot       atomic.Pointer[instances.Snapshot]
 
-	mu       sync.Mutex
-	table    *instances.Table
-	lastLook time.Duration
-	// confirmed tells since when the end of an instance's service has been confirmed.
+	mu        sync.Mutex
+	table     *instances.Table
+	lastSweep time.Duration
+	// confirmed holds, by instance id, when the draining or removal of an instance was confirmed.
 	confirmed map[string]time.Duration
-	// outbox holds the records to be published once the lock is released.
+	// outbox holds the records to publish once the lock has been released.
 	outbox []softstate.Record
 }
 
-// New makes an empty registry.
+// New returns an empty registry.
 func New(options Options) *Registry {
-	beat := options.Heartbeat
-	if beat <= 0 {
-		beat = defaultHeartbeat
+	interval := options.Heartbeat
+	if interval <= 0 {
+		interval = defaultHeartbeat
 	}
 	r := &Registry{
-		options: options,
-		silence: silentBeats*beat + beat/4,
-		begin:   time.Now(),
-		table:   instances.NewTable(options.Node),
+		options:        options,
+		silenceTimeout: maxMissedHeartbeats*interval + interval/4,
+		startedAt:      time.Now(),
+		table:          instances.NewTable(options.Node),
 
 		confirmed: map[string]time.Duration{},
 	}
@@ -85,13 +88,13 @@
 	return r
 }
 
-// Snapshot returns the newest view of the table.
+// Snapshot returns the latest snapshot of the table, without taking the lock.
 func (r *Registry) Snapshot() *instances.Snapshot { return r.snapshot.Load() }
 
-func (r *Registry) now() time.Duration { return time.Since(r.begin) }
+func (r *Registry) now() time.Duration { return time.Since(r.startedAt) }
 
-// locked runs a change of the state and publishes afterwards what it has put into the outbox.
-func (r *Registry) locked(change func()) {
+// withLock runs a change with the lock held, and publishes the outbox after releasing the lock.
+func (r *Registry) withLock(change func()) {
 	r.mu.Lock()
 	change()
 	records := r.outbox
@@ -102,55 +105,56 @@
 	}
 }
 
-// Heartbeat takes an instance's heartbeat. What has changed is on its way to the other routers when it returns. Where the instance
-// says that it drains, an error means that other routers may not get to know it.
-func (r *Registry) Heartbeat(ctx context.Context, id string, beat *protocol.Heartbeat) error {
+// Heartbeat processes an instance's heartbeat. Changes have been handed to the Publisher when it returns. For a
+// draining instance, an error means that other routers may not learn of the draining.
+func (r *Registry) Heartbeat(ctx context.Context, id string, heartbeat *protocol.Heartbeat) error {
 	instance := instances.Instance{
 		ID:         id,
-		Backend:    beat.Backend,
-		Address:    beat.Address,
-		Zone:       beat.Zone,
-		Generation: beat.Generation,
-		Slots:      beat.Slots,
-		State:      beat.State,
-		ColdMs:     beat.ColdMs,
-		Phase:      beat.Phase,
-		Models:     beat.Models,
-		Seq:        beat.Seq,
+		Backend:    heartbeat.Backend,
+		Address:    heartbeat.Address,
+		Zone:       heartbeat.Zone,
+		Generation: heartbeat.Generation,
+		Slots:      heartbeat.Slots,
+		State:      heartbeat.State,
+		ColdMs:     heartbeat.ColdMs,
+		Phase:      heartbeat.Phase,
+		Models:     heartbeat.Models,
+		Seq:        heartbeat.Seq,
 	}
-	r.locked(func() { r.judge(instance) })
-	if beat.State != protocol.StateDraining {
+	r.withLock(func() { r.applyHeartbeat(instance) })
+	if heartbeat.State != protocol.StateDraining {
 		return nil
 	}
 	return r.confirm(ctx, id)
 }
 
-// judge compares a heartbeat with the table. The lock is held.
-func (r *Registry) judge(instance instances.Instance) {
+// applyHeartbeat updates the table from a heartbeat and queues a record if it changed anything. The lock must be held.
+func (r *Registry) applyHeartbeat(instance instances.Instance) {
 	now := r.now()
-	verdict := r.table.Judge(now, &instance)
-	if verdict != instances.Stale && instance.State != protocol.StateDraining {
+	result := r.table.Judge(now, &instance)
+	if result != instances.Stale && instance.State != protocol.StateDraining {
 		delete(r.confirmed, instance.ID)
 	}
-	if verdict != instances.Changed {
+	if result != instances.Changed {
 		return
 	}
 	registration := instances.Registration{Instance: instance, Holder: r.options.Node}
 	version := instances.AliveVersion(instance.Seq)
 	if r.table.Register(now, version, registration) {
-		r.swap()
+		r.updateSnapshot()
 	}
 	r.publish(registration, version)
 }
 
-// Deregister takes an instance's farewell. An error means that other routers may not get to know it.
+// Deregister removes an instance at its own request. An error means that other routers may not learn of the removal.
 func (r *Registry) Deregister(ctx context.Context, id string) error {
 	version := instances.DeregisteredVersion()
-	r.locked(func() { r.end(id, version) })
+	r.withLock(func() { r.removeInstance(id, version) })
 	return r.confirm(ctx, id)
 }
 
-// confirm waits until the end of an instance's service has been confirmed, unless it was before.
+// confirm waits until the draining or removal of an instance is confirmed. It returns at once if that was confirmed
+// earlier.
 func (r *Registry) confirm(ctx context.Context, id string) error {
 	if r.options.Confirm == nil || r.isConfirmed(id) {
 		return nil
@@ -171,58 +175,59 @@
 	return confirmed
 }
 
-// end removes an instance here and tells the others. The lock is held.
-func (r *Registry) end(id string, version instances.Version) {
+// removeInstance removes an instance and queues a removal record for the other routers. The lock must be held.
+func (r *Registry) removeInstance(id string, version instances.Version) {
 	if r.table.Remove(r.now(), version, id) {
-		r.swap()
+		r.updateSnapshot()
 	}
 	record := softstate.Record{Kind: r.options.Kind, Key: id, Version: recordVersion(version), Removed: true}
 	r.outbox = append(r.outbox, record)
 }
 
-// Hear takes a record that another router, or this one, has published.
-func (r *Registry) Hear(record softstate.Record) {
-	r.locked(func() { r.hear(record) })
+// HandleRecord merges a record that another router, or this one, has published.
+func (r *Registry) HandleRecord(record softstate.Record) {
+	r.withLock(func() { r.mergeRecord(record) })
 }
 
-// hear merges a record. The lock is held.
-func (r *Registry) hear(record softstate.Record) {
+// mergeRecord merges a record into the table. The lock must be held.
+func (r *Registry) mergeRecord(record softstate.Record) {
 	now := r.now()
 	version := instances.Version{Heartbeat: record.Version.Epoch, Ended: record.Version.Sequence}
 	if record.Removed {
 		if r.table.Remove(now, version, record.Key) {
-			r.swap()
+			r.updateSnapshot()
 		}
-		r.contradict(record.Key, version)
+		r.republishIfNewer(record.Key, version)
 		return
 	}
 	var registration instances.Registration
 	if err := msgpack.Unmarshal(record.Payload, &registration); err != nil {
-		r.options.Log.WithError(err).Warn("a registration of an instance cannot be read")
+		r.options.Log.WithError(err).Warn("cannot decode the registration of an instance")
 		return
 	}
 	if r.table.Register(now, version, registration) {
-		r.swap()
+		r.updateSnapshot()
 	}
 	if registration.Holder != r.options.Node {
-		r.contradict(record.Key, version)
+		r.republishIfNewer(record.Key, version)
 	}
 }
 
-// contradict announces an instance again that another router has wrongly taken for silent, or has taken over by a heartbeat that
-// came late. The lock is held.
-func (r *Registry) contradict(id string, heard instances.Version) {
+// republishIfNewer publishes an instance held by this router again if its version is newer than the published one. This
+// corrects another router that wrongly expired the instance, or took it over because of a delayed heartbeat. The lock
+// must be held.
+func (r *Registry) republishIfNewer(id string, published instances.Version) {
 	registration, version, held := r.table.Held(id)
-	if held && version.Newer(heard) {
+	if held && version.Newer(published) {
 		r.publish(registration, version)
 	}
 }
 
-// publish spreads a registration. The lock is held.
+// publish queues a registration for publication. The lock must be held.
 func (r *Registry) publish(registration instances.Registration, version instances.Version) {
 	payload, err := msgpack.Marshal(&registration)
 	if err != nil {
-		r.options.Log.WithError(err).Error("a registration of an instance cannot be encoded")
+		r.options.Log.WithError(err).Error("cannot encode the registration of an instance")
 		return
 	}
 	record := softstate.Record{
@@ -234,47 +239,49 @@
 	r.outbox = append(r.outbox, record)
 }
 
-// recordVersion is the version of the record that carries a registration.
+// recordVersion returns the version of the record that carries a registration.
 func recordVersion(version instances.Version) softstate.Version {
 	return softstate.Version{Epoch: version.Heartbeat, Sequence: version.Ended}
 }
 
-// swap makes the readers' view anew. The lock is held.
-func (r *Registry) swap() {
+// updateSnapshot rebuilds the snapshot for readers. The lock must be held.
+func (r *Registry) updateSnapshot() {
 	snapshot := r.table.Snapshot()
 	r.snapshot.Store(snapshot)
-	if r.options.Changed != nil {
-		r.options.Changed(snapshot)
+	if r.options.OnChange != nil {
+		r.options.OnChange(snapshot)
 	}
 }
 
-// Run watches over silent instances until the context ends.
+// Run removes silent instances until the context ends.
 func (r *Registry) Run(ctx context.Context) {
-	periodic.Run(ctx, sweepEvery, r.sweep)
+	periodic.Run(ctx, sweepInterval, r.sweep)
 }
 
-// sweep ends the instances that have been silent for too long.
+// sweep removes the instances that have been silent for too long. The first live router of the view also answers for
+// instances whose holder is not live.
 func (r *Registry) sweep() {
 	view := r.options.Publisher.View()
 	live := func(node string) bool {
 		_, found := view.Get(node)
 		return found
 	}
-	standsIn := len(view.Live()) > 0 && view.Live()[0].Node == r.options.Node
-	r.locked(func() { r.expire(live, standsIn) })
+	ownsOrphans := len(view.Live()) > 0 && view.Live()[0].Node == r.options.Node
+	r.withLock(func() { r.removeSilent(live, ownsOrphans) })
 }
 
-// expire ends the silent instances. The lock is held.
-func (r *Registry) expire(live func(node string) bool, standsIn bool) {
+// removeSilent removes the silent instances that this router answers for. After a stall of this process it gives all
+// instances the lost time. The lock must be held.
+func (r *Registry) removeSilent(live func(node string) bool, ownsOrphans bool) {
 	now := r.now()
-	if gap := now - r.lastLook; r.lastLook > 0 && gap > stalledAfter {
+	if gap := now - r.lastSweep; r.lastSweep > 0 && gap > stallThreshold {
 		r.table.Shift(now, gap)
 	}
-	r.lastLook = now
-	for _, expiry := range r.table.Expired(now, r.silence, live, standsIn) {
+	r.lastSweep = now
+	for _, expiry := range r.table.Expired(now, r.silenceTimeout, live, ownsOrphans) {
 		r.options.Log.WithField("instance", expiry.ID).Info("instance is silent")
-		r.end(expiry.ID, expiry.Version)
+		r.removeInstance(expiry.ID, expiry.Version)
 	}
-	r.table.Forget(now, forgetAfter)
-	maps.DeleteFunc(r.confirmed, func(_ string, at time.Duration) bool { return now-at >= forgetAfter })
+	r.table.Forget(now, tombstoneRetention)
+	maps.DeleteFunc(r.confirmed, func(_ string, at time.Duration) bool { return now-at >= tombstoneRetention })
 }
