--- a/internal/router/node/settledtracker.go
+++ b/internal/router/node/settledtracker.go
@@ -19,9 +19,9 @@
 	// acceptorSettleTime is how long a set of acceptors must have been in force to count as settled: twice the duration
 	// of a lease that earlier acceptors may have granted.
 	acceptorSettleTime = 4 * time.Second
-	// settledPollInterval is the interval between two checks of the set.
-	settledPollInterval = 250 * time.Millisecond
-	// settledPollIntervalDiskless is the interval on a router that cannot store the result.
+	// settledPollInterval is the interval between two checks of the set, settledPollIntervalDiskless that on a router
+	// that cannot store the result.
+	settledPollInterval         = 250 * time.Millisecond
 	settledPollIntervalDiskless = time.Second
 )
 
