--- a/internal/router/shares/benchmark_test.go
+++ b/internal/router/shares/benchmark_test.go
@@ -9,7 +9,7 @@
 	"pewterrudder/internal/router/quota"
 )
 
-// BenchmarkExchange encodes a report and its answer, and tells the bytes that each tenant in them takes.
+// BenchmarkExchange encodes a report and its answer, and reports their size for various numbers of tenants.
 func BenchmarkExchange(b *testing.B) {
 	for _, tenants := range []int{0, 1, 16, 200} {
 		b.Run(fmt.Sprintf("%d tenants", tenants), func(b *testing.B) {
@@ -22,9 +22,9 @@
 			}
 			size := 0
 			for b.Loop() {
-				asked, err := encodeRequest(request{Exchange: &exchange{Node: "edge-a-1", Quota: report}})
+				asked, err := encodeRequest(request{Exchange: &exchangeReport{Node: "edge-a-1", Quota: report}})
 				assert.NilError(b, err)
-				answered, err := encodeResponse(response{Answer: &answer{Quota: reply}})
+				answered, err := encodeResponse(response{Answer: &exchangeAnswer{Quota: reply}})
 				assert.NilError(b, err)
 				size = len(asked) + len(answered)
 			}
--- a/internal/router/shares/coordinator.go
+++ b/internal/router/shares/coordinator.go
@@ -2,13 +2,13 @@
 
 import "context"
 
-// Coordinator returns the address of the lease's holder, which may be this router.
+// Coordinator returns the address of the router that holds the coordinator lease, which may be this one.
 func (s *Shares) Coordinator(ctx context.Context) (string, error) { return s.coordinator(ctx) }
 
-// Holds tells whether this router holds the lease now.
+// Holds reports whether this router holds the coordinator lease now.
 func (s *Shares) Holds() bool {
-	s.role.Lock()
-	defer s.role.Unlock()
-	_, held := s.role.candidate.Held(s.now())
+	s.coordination.Lock()
+	defer s.coordination.Unlock()
+	_, held := s.coordination.candidate.Held(s.now())
 	return held
 }
--- a/internal/router/shares/exchangeloop.go
+++ b/internal/router/shares/exchangeloop.go
@@ -9,33 +9,33 @@
 )
 
 const (
-	// busyEvery and idleEvery are the pauses between two reports with and without traffic.
-	busyEvery = 250 * time.Millisecond
-	idleEvery = 750 * time.Millisecond
-	// urgentGap is the shortest pause between two reports.
-	urgentGap = 50 * time.Millisecond
-	// exchangeTimeout bounds the wait for the coordinator, lookupTimeout that for a grantor.
+	// busyExchangeInterval and idleExchangeInterval are the pauses between two reports with and without recent traffic.
+	busyExchangeInterval = 250 * time.Millisecond
+	idleExchangeInterval = 750 * time.Millisecond
+	// minExchangeInterval is the shortest pause between two reports, also when one is urgent.
+	minExchangeInterval = 50 * time.Millisecond
+	// exchangeTimeout bounds a report to the coordinator, lookupTimeout a question to a grantor about who it is.
 	exchangeTimeout = 400 * time.Millisecond
 	lookupTimeout   = 200 * time.Millisecond
 )
 
-// errNoCoordinator says that nobody named a coordinator.
+// errNoCoordinator is returned when no reachable router knows a coordinator.
 var errNoCoordinator = errors.New("no coordinator known")
 
-// runExchange reports to the coordinator until the context ends.
+// runExchange reports to the coordinator until the context ends, and then announces that this router leaves.
 func (s *Shares) runExchange(ctx context.Context) {
 	for {
 		if err := s.exchange(ctx); err != nil && ctx.Err() == nil {
-			s.options.Log.WithError(err).Debug("no shares from the coordinator")
+			s.options.Log.WithError(err).Debug("exchange with the coordinator failed")
 		}
-		if !s.pauseExchange(ctx) {
-			s.leave(ctx)
+		if !s.waitForNextExchange(ctx) {
+			s.announceLeaving(ctx)
 			return
 		}
 	}
 }
 
-// exchange makes one report and applies the answer.
+// exchange sends one report to the coordinator and applies its answer.
 func (s *Shares) exchange(ctx context.Context) error {
 	s.refreshRouters(s.now())
 	address, err := s.coordinator(ctx)
@@ -48,91 +48,92 @@
 	defer cancel()
 	reply, err := s.call(callCtx, address, request{Exchange: &report})
 	if err != nil {
-		s.lose("")
+		s.recordFailedExchange("")
 		return err
 	}
 	if reply.Answer == nil {
-		s.lose(reply.Coordinator)
-		return errors.Wrapf(errNoCoordinator, "%s isn't the coordinator", address)
+		s.recordFailedExchange(reply.Coordinator)
+		return errors.Wrapf(errNoCoordinator, "%s is not the coordinator", address)
 	}
 	s.apply(*reply.Answer)
-	if told := reply.Answer.Confirmation; told != nil && s.options.Confirmations != nil {
-		s.options.Confirmations.Take(askedAt, *told)
+	if confirmation := reply.Answer.Confirmation; confirmation != nil && s.options.Confirmations != nil {
+		s.options.Confirmations.Take(askedAt, *confirmation)
 	}
 	return nil
 }
 
-// lose notes that a report got no answer, and who may answer the next one, if that is known.
-func (s *Shares) lose(coordinator string) {
-	s.setKnown(coordinator)
+// recordFailedExchange notes that a report got no answer. The coordinator given gets the next report; empty means that
+// it has to be looked up first.
+func (s *Shares) recordFailedExchange(coordinator string) {
+	s.setKnownCoordinator(coordinator)
 	s.local.Lock()
 	defer s.local.Unlock()
 	s.local.admission.Lost()
 }
 
-func (s *Shares) makeReport() exchange {
+func (s *Shares) makeReport() exchangeReport {
 	s.local.Lock()
 	defer s.local.Unlock()
 	now := s.now()
-	return exchange{
+	return exchangeReport{
 		Node:  s.options.Node,
 		Quota: s.local.admission.Demand(now),
 		Retry: s.local.budget.Demand(now),
 	}
 }
 
-func (s *Shares) apply(result answer) {
-	s.heard.Store(true)
+func (s *Shares) apply(result exchangeAnswer) {
+	s.coordinatorHeard.Store(true)
 	s.local.Lock()
 	defer s.local.Unlock()
 	now := s.now()
 	s.local.admission.Apply(now, result.Quota)
 	s.local.budget.Apply(now, result.Retry)
-	s.wakeIf(s.local.admission.Urgent())
+	s.wakeExchangeIf(s.local.admission.Urgent())
 	if s.local.admission.Unkept() != nil {
 		s.wakeFloors()
 	}
 }
 
-// pauseExchange waits until the next report is due, and tells whether the context still stands.
-func (s *Shares) pauseExchange(ctx context.Context) bool {
-	if !sleep(ctx, urgentGap) {
+// waitForNextExchange waits until the next report is due. It returns false if the context has ended.
+func (s *Shares) waitForNextExchange(ctx context.Context) bool {
+	if !sleep(ctx, minExchangeInterval) {
 		return false
 	}
-	timer := time.NewTimer(s.exchangeEvery() - urgentGap)
+	timer := time.NewTimer(s.exchangeInterval() - minExchangeInterval)
 	defer timer.Stop()
 	select {
 	case <-ctx.Done():
 		return false
-	case <-s.wake:
+	case <-s.exchangeWake:
 		return true
 	case <-timer.C:
 		return true
 	}
 }
 
-func (s *Shares) exchangeEvery() time.Duration {
+func (s *Shares) exchangeInterval() time.Duration {
 	s.local.Lock()
 	defer s.local.Unlock()
 	now := s.now()
 	if s.local.admission.Busy(now) || s.local.budget.Busy(now) {
-		return busyEvery
+		return busyExchangeInterval
 	}
-	return idleEvery
+	return idleExchangeInterval
 }
 
-// coordinator returns the address of the coordinator, which it asks the grantors for if it isn't known.
+// coordinator returns the address of the coordinator. If it is not known, the grantors are asked in random order.
 func (s *Shares) coordinator(ctx context.Context) (string, error) {
-	if own := s.role.holder(s.now(), s.options.Address); own == s.options.Address {
+	if own := s.coordination.coordinatorAddress(s.now(), s.options.Address); own == s.options.Address {
 		return own, nil
 	}
-	if known := s.getKnown(); known != "" {
+	if known := s.getKnownCoordinator(); known != "" {
 		return known, nil
 	}
 	voters, _ := s.options.Grantors()
 	for _, index := range rand.Perm(len(voters)) {
 		if address := s.lookup(ctx, voters[index]); address != "" {
-			s.setKnown(address)
+			s.setKnownCoordinator(address)
 			return address, nil
 		}
 	}
@@ -142,37 +143,37 @@
 func (s *Shares) lookup(ctx context.Context, grantor string) string {
 	ctx, cancel := context.WithTimeout(ctx, lookupTimeout)
 	defer cancel()
-	reply, err := s.call(ctx, grantor, request{Lookup: true})
+	reply, err := s.call(ctx, grantor, request{FindCoordinator: true})
 	if err != nil {
 		return ""
 	}
 	return reply.Coordinator
 }
 
-// leave tells the coordinator that this router admits nothing any more.
-func (s *Shares) leave(ctx context.Context) {
-	address := s.getKnown()
+// announceLeaving tells the coordinator that this router is stopping and admits no more requests.
+func (s *Shares) announceLeaving(ctx context.Context) {
+	address := s.getKnownCoordinator()
 	if address == "" || address == s.options.Address {
 		return
 	}
-	ctx, cancel := context.WithTimeout(context.WithoutCancel(ctx), farewellTimeout)
+	ctx, cancel := context.WithTimeout(context.WithoutCancel(ctx), shutdownTimeout)
 	defer cancel()
 	report := s.makeReport()
 	report.Quota.Leaving = true
 	_, err := s.call(ctx, address, request{Exchange: &report})
 	if err != nil {
-		s.options.Log.WithError(err).Debug("coordinator not told of the end")
+		s.options.Log.WithError(err).Debug("cannot tell the coordinator that this router is stopping")
 	}
 }
 
-func (s *Shares) getKnown() string {
-	s.knownMutex.Lock()
-	defer s.knownMutex.Unlock()
-	return s.known
+func (s *Shares) getKnownCoordinator() string {
+	s.knownCoordinatorMutex.Lock()
+	defer s.knownCoordinatorMutex.Unlock()
+	return s.knownCoordinator
 }
 
-func (s *Shares) setKnown(address string) {
-	s.knownMutex.Lock()
-	defer s.knownMutex.Unlock()
-	s.known = address
+func (s *Shares) setKnownCoordinator(address string) {
+	s.knownCoordinatorMutex.Lock()
+	defer s.knownCoordinatorMutex.Unlock()
+	s.knownCoordinator = address
 }
--- a/internal/router/shares/explore_test.go
+++ b/internal/router/shares/explore_test.go
@@ -15,53 +15,53 @@
 )
 
 const (
-	// exploredDepth is how many actions follow the beginning in every order.
-	exploredDepth = 5
-	// shortStep and longStep are how far time goes on in one action.
+	// sequenceLength is the maximum number of actions in a sequence, after the initial state.
+	sequenceLength = 5
+	// shortStep and longStep are the times by which one action advances the clock.
 	shortStep = 600 * time.Millisecond
 	longStep  = 1500 * time.Millisecond
-	// exploredAmount is the size of a request.
-	exploredAmount = 1000
+	// modelAmount is the quota that one request takes.
+	modelAmount = 1000
 )
 
 var (
-	exploredLimit = quota.Limit{PerSecond: 50000, Burst: 50000}
-	exploredRule  = quota.Rule{Window: time.Second, Over: 0.1, Slack: 10000}
+	modelLimit = quota.Limit{PerSecond: 50000, Burst: 50000}
+	modelRule  = quota.Rule{Window: time.Second, Over: 0.1, Slack: 10000}
 )
 
-// action is a step of an exploration. It says whether it did anything; if not, the order is no other one.
+// action is a step of a sequence. Run returns false if it changed nothing: the sequence then equals the one without it.
 type action struct {
 	name string
-	do   func(world *leaseWorld) bool
+	run  func(model *quotaModel) bool
 }
 
-// leaseWorld is three grantors, two candidates in processes of their own, and two routers that spend a tenant's quota.
-type leaseWorld struct {
-	now      time.Duration
-	grantors map[string]*lease.Grantor
-	started  uint64
-	posts    [2]*post
-	routers  [2]*spender
-	spent    []spending
-	// isRestarted says that a router has started anew.
-	isRestarted bool
+// quotaModel has three grantors, two candidates in processes of their own, and two routers that spend a tenant's quota.
+type quotaModel struct {
+	now          time.Duration
+	grantors     map[string]*lease.Grantor
+	incarnations uint64
+	coordinators [2]*modelCoordinator
+	routers      [2]*modelRouter
+	spent        []spending
+	// routerRestarted is true once a router has restarted.
+	routerRestarted bool
 }
 
-// post is a process that may become the coordinator.
-type post struct {
+// modelCoordinator is a process that may become the coordinator.
+type modelCoordinator struct {
 	candidate *lease.Candidate
-	// late are answers of grantors that have not arrived yet.
-	late  []lateAnswer
-	quota *quota.Coordinator
+	// lateResponses are responses of grantors that have not arrived yet.
+	lateResponses []lateResponse
+	quota         *quota.Coordinator
 }
 
-type lateAnswer struct {
+type lateResponse struct {
 	from     string
 	response lease.Response
 }
 
-// spender is a router that admits all that it can.
-type spender struct {
+// modelRouter is a router that admits as many requests as its shares allow.
+type modelRouter struct {
 	name      string
 	admission *quota.Admission
 }
@@ -71,251 +71,253 @@
 	amount float64
 }
 
-var exploredGrantors = []string{"g1", "g2", "g3"}
+var modelGrantors = []string{"g1", "g2", "g3"}
 
-func newLeaseWorld() *leaseWorld {
-	world := &leaseWorld{grantors: map[string]*lease.Grantor{}}
+func newQuotaModel() *quotaModel {
+	model := &quotaModel{grantors: map[string]*lease.Grantor{}}
 	config := lease.Config{Duration: leaseDuration, Drift: leaseDrift}
-	for _, name := range exploredGrantors {
-		world.startGrantor(name)
+	for _, name := range modelGrantors {
+		model.startGrantor(name)
 	}
-	for index := range world.posts {
+	for index := range model.coordinators {
 		candidate := lease.NewCandidate(0, fmt.Sprint("p", index+1), config, func() float64 { return 0 })
-		candidate.SetGrantors(0, exploredGrantors, nil)
-		world.posts[index] = &post{candidate: candidate}
-		world.startRouter(index)
+		candidate.SetGrantors(0, modelGrantors, nil)
+		model.coordinators[index] = &modelCoordinator{candidate: candidate}
+		model.startRouter(index)
 	}
-	world.begin()
-	return world
+	model.fillAndDrain()
+	return model
 }
 
-// begin makes the first candidate the coordinator. The tenant's bucket is full before both routers spend what they have of it.
-func (world *leaseWorld) begin() {
-	world.now = leaseDuration
-	world.ask(0, true)
+// fillAndDrain makes the first candidate the coordinator, lets the tenant's bucket fill, and has both routers spend their shares
+// of it.
+func (model *quotaModel) fillAndDrain() {
+	model.now = leaseDuration
+	model.requestLease(0, true)
 	for range 12 {
-		world.now += 250 * time.Millisecond
-		world.ask(0, true)
-		world.reportBoth(0)
+		model.now += 250 * time.Millisecond
+		model.requestLease(0, true)
+		model.reportBoth(0)
 	}
-	world.drain(0)
+	model.reportAndSpend(0)
 }
 
-// drainReports is how many reports in a row get nearly all that a store has.
-const drainReports = 5
+// reportsToDrain is the number of consecutive reports that get nearly all of the tenant's store.
+const reportsToDrain = 5
 
-// drain has both routers report to a post and spend what they get, again and again.
-func (world *leaseWorld) drain(at int) bool {
-	hasSpent := world.spend()
-	for range drainReports {
-		if !world.reportBoth(at) {
+// reportAndSpend has both routers repeatedly report to a coordinator and spend their shares.
+func (model *quotaModel) reportAndSpend(at int) bool {
+	hasSpent := model.spend()
+	for range reportsToDrain {
+		if !model.reportBoth(at) {
 			return hasSpent
 		}
-		hasSpent = world.spend() || hasSpent
+		hasSpent = model.spend() || hasSpent
 	}
 	return hasSpent
 }
 
-func (world *leaseWorld) startGrantor(name string) {
-	world.started++
+func (model *quotaModel) startGrantor(name string) {
+	model.incarnations++
 	config := lease.Config{Duration: leaseDuration, Drift: leaseDrift}
-	world.grantors[name] = lease.NewGrantor(world.now, config, world.started)
-	world.grantors[name].SetGrantors(exploredGrantors, nil)
+	model.grantors[name] = lease.NewGrantor(model.now, config, model.incarnations)
+	model.grantors[name].SetGrantors(modelGrantors, nil)
 }
 
-func (world *leaseWorld) startRouter(index int) {
-	world.started++
-	admission := quota.NewAdmission(exploredRule, world.started)
-	admission.SetRouters(world.now, len(world.routers), 0)
-	admission.SetLimits(map[string]quota.Limit{testTenant: exploredLimit})
-	world.routers[index] = &spender{name: fmt.Sprint("r", index+1), admission: admission}
+func (model *quotaModel) startRouter(index int) {
+	model.incarnations++
+	admission := quota.NewAdmission(modelRule, model.incarnations)
+	admission.SetRouters(model.now, len(model.routers), 0)
+	admission.SetLimits(map[string]quota.Limit{testTenant: modelLimit})
+	model.routers[index] = &modelRouter{name: fmt.Sprint("r", index+1), admission: admission}
 }
 
-// ask has a candidate ask the grantors if it is due. The answers arrive at once or later.
-func (world *leaseWorld) ask(index int, atOnce bool) bool {
-	post := world.posts[index]
-	messages := post.candidate.Tick(world.now, 1)
+// requestLease has a candidate send its due requests to the grantors. The responses arrive at once or with deliverLate.
+func (model *quotaModel) requestLease(index int, atOnce bool) bool {
+	coordinator := model.coordinators[index]
+	messages := coordinator.candidate.Tick(model.now, 1)
 	if len(messages) == 0 {
 		return false
 	}
 	for _, message := range messages {
-		answer := lateAnswer{from: message.To, response: world.grantors[message.To].Handle(world.now, message.Request)}
-		post.late = append(post.late, answer)
+		late := lateResponse{from: message.To, response: model.grantors[message.To].Handle(model.now, message.Request)}
+		coordinator.lateResponses = append(coordinator.lateResponses, late)
 	}
 	if atOnce {
-		world.arrive(index)
+		model.deliverLate(index)
 	}
 	return true
 }
 
-// arrive hands a candidate the answers that are late.
-func (world *leaseWorld) arrive(index int) bool {
-	post := world.posts[index]
-	if len(post.late) == 0 {
+// deliverLate delivers the outstanding responses to a candidate.
+func (model *quotaModel) deliverLate(index int) bool {
+	coordinator := model.coordinators[index]
+	if len(coordinator.lateResponses) == 0 {
 		return false
 	}
-	for _, answer := range post.late {
-		post.candidate.Receive(world.now, answer.from, answer.response)
+	for _, late := range coordinator.lateResponses {
+		coordinator.candidate.Receive(model.now, late.from, late.response)
 	}
-	post.late = nil
+	coordinator.lateResponses = nil
 	return true
 }
 
-// report has a router report to a post, which answers while it holds the lease.
-func (world *leaseWorld) report(router, at int) bool {
-	post, spender := world.posts[at], world.routers[router]
-	term, held := post.candidate.Held(world.now)
+// report has a router report to a coordinator, which answers only while it holds the lease.
+func (model *quotaModel) report(router, at int) bool {
+	coordinator, reporter := model.coordinators[at], model.routers[router]
+	term, held := coordinator.candidate.Held(model.now)
 	if !held {
 		return false
 	}
-	if post.quota == nil || post.quota.Term() != uint64(term) {
-		post.quota = quota.NewCoordinator(world.now, exploredRule, uint64(term))
-		post.quota.SetLimits(world.now, map[string]quota.Limit{testTenant: exploredLimit})
+	if coordinator.quota == nil || coordinator.quota.Term() != uint64(term) {
+		coordinator.quota = quota.NewCoordinator(model.now, modelRule, uint64(term))
+		coordinator.quota.SetLimits(model.now, map[string]quota.Limit{testTenant: modelLimit})
 	}
-	post.quota.SetRouters(world.now, len(world.routers), 0)
-	answer := post.quota.Report(world.now, spender.name, spender.admission.Demand(world.now))
-	spender.admission.Apply(world.now, answer)
+	coordinator.quota.SetRouters(model.now, len(model.routers), 0)
+	answer := coordinator.quota.Report(model.now, reporter.name, reporter.admission.Demand(model.now))
+	reporter.admission.Apply(model.now, answer)
 	return true
 }
 
 // spend has all routers admit requests until they refuse.
-func (world *leaseWorld) spend() bool {
+func (model *quotaModel) spend() bool {
 	hasSpent := false
-	for _, router := range world.routers {
+	for _, router := range model.routers {
 		for {
-			ok, _ := router.admission.Admit(world.now, testTenant, exploredAmount)
+			ok, _ := router.admission.Admit(model.now, testTenant, modelAmount)
 			if !ok {
 				break
 			}
 			hasSpent = true
-			world.spent = append(world.spent, spending{world.now, exploredAmount})
+			model.spent = append(model.spent, spending{model.now, modelAmount})
 		}
 	}
 	return hasSpent
 }
 
-func (world *leaseWorld) pass(step time.Duration) bool {
-	world.now += step
+func (model *quotaModel) advance(step time.Duration) bool {
+	model.now += step
 	return true
 }
 
-// check says whether two hold the role, or more was spent in some window than the rule allows.
-func (world *leaseWorld) check() error {
-	_, first := world.posts[0].candidate.Held(world.now)
-	_, second := world.posts[1].candidate.Held(world.now)
+// check returns an error if both candidates hold the lease, or if more was spent in some window than the rule allows.
+func (model *quotaModel) check() error {
+	_, first := model.coordinators[0].candidate.Held(model.now)
+	_, second := model.coordinators[1].candidate.Held(model.now)
 	if first && second {
-		return errors.New("two hold the lease")
+		return errors.New("both candidates hold the lease")
 	}
-	bound := (exploredLimit.PerSecond*exploredRule.Window.Seconds()+exploredLimit.Burst)*(1+exploredRule.Over) + exploredRule.Slack
+	bound := (modelLimit.PerSecond*modelRule.Window.Seconds()+modelLimit.Burst)*(1+modelRule.Over) + modelRule.Slack
 	inWindow, begin := 0.0, 0
-	for _, spent := range world.spent {
+	for _, spent := range model.spent {
 		inWindow += spent.amount
-		for ; spent.at-world.spent[begin].at >= exploredRule.Window; begin++ {
-			inWindow -= world.spent[begin].amount
+		for ; spent.at-model.spent[begin].at >= modelRule.Window; begin++ {
+			inWindow -= model.spent[begin].amount
 		}
 		if inWindow > bound {
-			return errors.Errorf("%.3f of the bound spent in a window", inWindow/bound)
+			return errors.Errorf("spent %.3f of the bound in one window", inWindow/bound)
 		}
 	}
 	return nil
 }
 
-func exploredActions() []action {
+func modelActions() []action {
 	return []action{
-		{"the first asks", func(world *leaseWorld) bool { return world.ask(0, true) }},
-		{"the first gives the lease back", (*leaseWorld).resign},
-		{"the second asks", func(world *leaseWorld) bool { return world.ask(1, true) }},
-		{"the second asks, answered later", func(world *leaseWorld) bool { return world.ask(1, false) }},
-		{"late answers", func(world *leaseWorld) bool { return world.arrive(1) }},
-		{"a short time", func(world *leaseWorld) bool { return world.pass(shortStep) }},
-		{"a long time", func(world *leaseWorld) bool { return world.pass(longStep) }},
-		{"both report to the first and spend", func(world *leaseWorld) bool { return world.drain(0) }},
-		{"both report to the second and spend", func(world *leaseWorld) bool { return world.drain(1) }},
-		{"one reports to the second and spends", func(world *leaseWorld) bool { return world.report(0, 1) && world.spend() }},
-		{"spend", (*leaseWorld).spend},
-		{"two grantors start anew", (*leaseWorld).restartGrantors},
-		{"a router starts anew", (*leaseWorld).restartOnce},
+		{"first requests the lease", func(model *quotaModel) bool { return model.requestLease(0, true) }},
+		{"first releases the lease", (*quotaModel).resign},
+		{"second requests the lease", func(model *quotaModel) bool { return model.requestLease(1, true) }},
+		{"second requests the lease, responses are late", func(model *quotaModel) bool { return model.requestLease(1, false) }},
+		{"late responses arrive", func(model *quotaModel) bool { return model.deliverLate(1) }},
+		{"short step of time", func(model *quotaModel) bool { return model.advance(shortStep) }},
+		{"long step of time", func(model *quotaModel) bool { return model.advance(longStep) }},
+		{"both report to first and spend", func(model *quotaModel) bool { return model.reportAndSpend(0) }},
+		{"both report to second and spend", func(model *quotaModel) bool { return model.reportAndSpend(1) }},
+		{"one reports to second and spends", func(model *quotaModel) bool { return model.report(0, 1) && model.spend() }},
+		{"spend", (*quotaModel).spend},
+		{"two grantors restart", (*quotaModel).restartGrantors},
+		{"a router restarts", (*quotaModel).restartRouterOnce},
 	}
 }
 
-func (world *leaseWorld) reportBoth(at int) bool { return world.report(0, at) && world.report(1, at) }
+func (model *quotaModel) reportBoth(at int) bool { return model.report(0, at) && model.report(1, at) }
 
-// resign has the first candidate give its lease back.
-func (world *leaseWorld) resign() bool {
-	candidate := world.posts[0].candidate
-	candidate.Resign(world.now)
+// resign has the first candidate release its lease.
+func (model *quotaModel) resign() bool {
+	candidate := model.coordinators[0].candidate
+	candidate.Resign(model.now)
 	messages := candidate.Released()
 	for _, message := range messages {
-		world.grantors[message.To].Handle(world.now, message.Request)
+		model.grantors[message.To].Handle(model.now, message.Request)
 	}
 	return len(messages) > 0
 }
 
-func (world *leaseWorld) restartGrantors() bool {
-	world.startGrantor("g1")
-	world.startGrantor("g2")
+func (model *quotaModel) restartGrantors() bool {
+	model.startGrantor("g1")
+	model.startGrantor("g2")
 	return true
 }
 
-// restartOnce starts the second router anew, once.
-func (world *leaseWorld) restartOnce() bool {
-	if world.isRestarted {
+// restartRouterOnce restarts the second router, unless it has done so before.
+func (model *quotaModel) restartRouterOnce() bool {
+	if model.routerRestarted {
 		return false
 	}
-	world.isRestarted = true
-	world.startRouter(1)
+	model.routerRestarted = true
+	model.startRouter(1)
 	return true
 }
 
-// explorer plays every order of actions, each from the beginning.
+// explorer runs every sequence of actions, each from the initial state.
 type explorer struct {
-	actions []action
-	orders  int
-	taken   map[string]int
+	actions   []action
+	sequences int
+	taken     map[string]int
 }
 
-// follow plays a beginning and goes on with each action that does anything then.
-func (explorer *explorer) follow(order []int) error {
-	world := newLeaseWorld()
-	for position, index := range order {
-		did := explorer.actions[index].do(world)
-		if !did && position == len(order)-1 {
+// explore runs a sequence, checks the result, and continues with each action. It stops where the last action changes nothing.
+func (explorer *explorer) explore(sequence []int) error {
+	model := newQuotaModel()
+	for position, index := range sequence {
+		did := explorer.actions[index].run(model)
+		if !did && position == len(sequence)-1 {
 			return nil
 		}
 	}
-	explorer.orders++
-	if len(order) > 0 {
-		explorer.taken[explorer.actions[order[len(order)-1]].name]++
+	explorer.sequences++
+	if len(sequence) > 0 {
+		explorer.taken[explorer.actions[sequence[len(sequence)-1]].name]++
 	}
-	if err := world.check(); err != nil {
-		return errors.Wrap(err, explorer.describe(order))
+	if err := model.check(); err != nil {
+		return errors.Wrap(err, explorer.describe(sequence))
 	}
-	if len(order) == exploredDepth {
+	if len(sequence) == sequenceLength {
 		return nil
 	}
 	for index := range explorer.actions {
-		if err := explorer.follow(append(slices.Clone(order), index)); err != nil {
+		if err := explorer.explore(append(slices.Clone(sequence), index)); err != nil {
 			return err
 		}
 	}
 	return nil
 }
 
-func (explorer *explorer) describe(order []int) string {
+func (explorer *explorer) describe(sequence []int) string {
 	var names []string
-	for _, index := range order {
+	for _, index := range sequence {
 		names = append(names, explorer.actions[index].name)
 	}
 	return strings.Join(names, "; ")
 }
 
-// TestLeaseAndSpending plays every order of six actions on the real lease, coordinators and admissions, after a beginning in which one
-// coordinator has shared a quota out: never do two hold the lease, and what is spent stays within the rule under each order of losses.
-func TestLeaseAndSpending(t *testing.T) {
-	explorer := &explorer{actions: exploredActions(), taken: map[string]int{}}
-	assert.NilError(t, explorer.follow(nil))
-	t.Logf("%d orders", explorer.orders)
+// TestActionSequencesKeepLeaseAndQuota runs every sequence of up to sequenceLength actions on the real leases, coordinators and
+// admissions, after one coordinator has distributed a quota. Messages may be lost and processes may restart in any order: never
+// do two candidates hold the lease, and what is spent stays within the rule.
+func TestActionSequencesKeepLeaseAndQuota(t *testing.T) {
+	explorer := &explorer{actions: modelActions(), taken: map[string]int{}}
+	assert.NilError(t, explorer.explore(nil))
+	t.Logf("%d sequences", explorer.sequences)
 	for _, action := range explorer.actions {
-		assert.Assert(t, explorer.taken[action.name] > 0, "never: %s", action.name)
+		assert.Assert(t, explorer.taken[action.name] > 0, "action never took effect: %s", action.name)
 	}
 }
--- a/internal/router/shares/fleet_test.go
+++ b/internal/router/shares/fleet_test.go
@@ -34,21 +34,22 @@
 	testLimit = quota.Limit{PerSecond: 500000, Burst: 500000}
 )
 
-// fleet is a number of routers joined by a network that delays, cuts and counts messages.
+// fleet is a number of routers and a network that delays, drops and counts their messages.
 type fleet struct {
-	mutex    sync.Mutex
-	routers  map[string]*router
-	cut      map[string]bool
+	mutex   sync.Mutex
+	routers map[string]*router
+	// isolated holds the routers that reach no other router.
+	isolated map[string]bool
 	messages atomic.Int64
-	// alone holds routers that have not met the others yet.
-	alone map[string]bool
-	// voters are the grantors in force; changed tells whether others were in force before.
-	voters  []string
-	changed bool
-	// relays are the routers that may pass messages on.
+	// newcomers holds the routers that have not been in contact with the others yet.
+	newcomers map[string]bool
+	// voters are the acceptors in force; grantorsChanged is true if others were in force before.
+	voters          []string
+	grantorsChanged bool
+	// relays are the routers that may relay messages.
 	relays []string
-	// half is 1 or -1 for routers of two halves that don't reach each other, 0 for those that reach both.
-	half map[string]int
+	// side is 1 or -1 for routers on the two sides of a network partition, 0 for those that reach both.
+	side map[string]int
 }
 
 // router is one process.
@@ -57,23 +58,23 @@
 	shares  *Shares
 	stop    context.CancelFunc
 	stopped chan struct{}
-	// suspended is the time for which the router's machine was suspended, in nanoseconds.
+	// suspended is how long the router's machine has been suspended in total, in nanoseconds.
 	suspended atomic.Int64
 }
 
-// suspend has the router's second clock go on for a while in which everything else of its machine stands still.
+// suspend advances the router's boot-time clock, as a suspension of its machine does, while its monotonic clock stands still.
 func (r *router) suspend(span time.Duration) { r.suspended.Add(int64(span)) }
 
-// bootTime is the router's second clock.
+// bootTime reads the clock of the router that includes suspensions.
 func (r *router) bootTime() (time.Duration, bool) {
 	return time.Duration(time.Now().UnixNano() + r.suspended.Load()), true
 }
 
-// holds tells whether the router takes itself for the coordinator.
+// holds reports whether the router considers itself the coordinator.
 func (r *router) holds() bool { return r.shares.Holds() }
 
 func newFleet(voters int) *fleet {
-	f := &fleet{routers: map[string]*router{}, cut: map[string]bool{}, alone: map[string]bool{}}
+	f := &fleet{routers: map[string]*router{}, isolated: map[string]bool{}, newcomers: map[string]bool{}}
 	for i := range voters {
 		f.voters = append(f.voters, address(i))
 	}
@@ -127,8 +128,8 @@
 	return slices.Clone(f.relays)
 }
 
-// relayBy has all routers but the grantors pass messages on.
-func (f *fleet) relayBy() {
+// enableRelays lets all routers except the voters relay messages.
+func (f *fleet) enableRelays() {
 	f.mutex.Lock()
 	defer f.mutex.Unlock()
 	for i := len(f.voters); i < testRouters; i++ {
@@ -139,31 +140,31 @@
 func (f *fleet) grantorsSettled() bool {
 	f.mutex.Lock()
 	defer f.mutex.Unlock()
-	return !f.changed
+	return !f.grantorsChanged
 }
 
-// size is the fleet's size as a router sees it.
+// size returns the fleet's size as a router knows it.
 func (f *fleet) size(address string) FleetSize {
 	f.mutex.Lock()
 	defer f.mutex.Unlock()
-	if f.alone[address] {
+	if f.newcomers[address] {
 		return FleetSize{Live: 1}
 	}
 	return FleetSize{Live: testRouters, Settled: true}
 }
 
-// setAlone says whether a router has met no other yet.
-func (f *fleet) setAlone(address string, alone bool) {
+// setNewcomer sets whether a router has not been in contact with any other yet.
+func (f *fleet) setNewcomer(address string, newcomer bool) {
 	f.mutex.Lock()
 	defer f.mutex.Unlock()
-	f.alone[address] = alone
+	f.newcomers[address] = newcomer
 }
 
-// replaceGrantor puts a router in the place of a grantor.
+// replaceGrantor replaces a voter by another router.
 func (f *fleet) replaceGrantor(old, next string) {
 	f.mutex.Lock()
 	defer f.mutex.Unlock()
-	f.changed = true
+	f.grantorsChanged = true
 	f.voters[slices.Index(f.voters, old)] = next
 }
 
@@ -176,7 +177,7 @@
 	}
 }
 
-// all returns the routers in order.
+// all returns the routers in the order of their numbers.
 func (f *fleet) all() []*router {
 	f.mutex.Lock()
 	defer f.mutex.Unlock()
@@ -189,33 +190,34 @@
 	return all
 }
 
-func (f *fleet) setCut(address string, cut bool) {
+// setIsolated cuts a router off from all others, or ends that.
+func (f *fleet) setIsolated(address string, isolated bool) {
 	f.mutex.Lock()
 	defer f.mutex.Unlock()
-	f.cut[address] = cut
+	f.isolated[address] = isolated
 }
 
-// setHalves cuts the given routers off from the other voters; nil ends the cut.
-func (f *fleet) setHalves(indices []int) {
+// partition separates the given routers from the other voters; nil ends the partition.
+func (f *fleet) partition(indices []int) {
 	f.mutex.Lock()
 	defer f.mutex.Unlock()
-	f.half = map[string]int{}
+	f.side = map[string]int{}
 	if len(indices) == 0 {
 		return
 	}
 	for _, voter := range f.voters {
-		f.half[voter] = -1
+		f.side[voter] = -1
 	}
 	for _, index := range indices {
-		f.half[address(index)] = 1
+		f.side[address(index)] = 1
 	}
 }
 
-// reach returns the router at an address unless the way is cut.
-func (f *fleet) reach(from, to string) *router {
+// routerFrom returns the router at the address to, or nil if the router at from does not reach it.
+func (f *fleet) routerFrom(from, to string) *router {
 	f.mutex.Lock()
 	defer f.mutex.Unlock()
-	if f.cut[from] || f.cut[to] || f.half[from]*f.half[to] < 0 {
+	if f.isolated[from] || f.isolated[to] || f.side[from]*f.side[to] < 0 {
 		return nil
 	}
 	return f.routers[to]
@@ -226,9 +228,9 @@
 	t.Helper()
 	var holder *router
 	for _, r := range f.all() {
-		r.shares.role.Lock()
-		_, held := r.shares.role.candidate.Held(r.shares.now())
-		r.shares.role.Unlock()
+		r.shares.coordination.Lock()
+		_, held := r.shares.coordination.candidate.Held(r.shares.now())
+		r.shares.coordination.Unlock()
 		if !held {
 			continue
 		}
@@ -238,14 +240,14 @@
 	return holder
 }
 
-// term is that of the coordinator which the router last heard from.
+// term returns the term of the coordinator that the router last heard from.
 func (r *router) term() uint64 {
 	r.shares.local.Lock()
 	defer r.shares.local.Unlock()
 	return r.shares.local.admission.Term()
 }
 
-// caller is one router's end of the network.
+// caller is the Caller of one router in the simulated network.
 type caller struct {
 	fleet *fleet
 	from  string
@@ -256,10 +258,10 @@
 	if err := wait(ctx, testDelay); err != nil {
 		return nil, err
 	}
-	target := c.fleet.reach(c.from, to)
+	target := c.fleet.routerFrom(c.from, to)
 	if target == nil {
 		<-ctx.Done()
-		return nil, errors.Wrapf(ctx.Err(), "no way to %s", to)
+		return nil, errors.Wrapf(ctx.Err(), "cannot reach %s", to)
 	}
 	reply, err := target.shares.HandleRequest(ctx, data)
 	if err != nil {
@@ -268,6 +270,7 @@
 	return reply, wait(ctx, testDelay)
 }
 
+// wait sleeps for the delay. It returns the context's error if the context ends first.
 func wait(ctx context.Context, delay time.Duration) error {
 	if !sleep(ctx, delay) {
 		return ctx.Err()
@@ -275,12 +278,12 @@
 	return nil
 }
 
-// inFleet runs a test on a fleet in virtual time.
+// inFleet runs a test on a fleet with testGrantors voters in virtual time.
 func inFleet(t *testing.T, run func(t *testing.T, f *fleet)) {
 	inFleetWith(t, testGrantors, run)
 }
 
-// inFleetWith is inFleet with a number of acceptors.
+// inFleetWith is inFleet with the given number of voters.
 func inFleetWith(t *testing.T, voters int, run func(t *testing.T, f *fleet)) {
 	synctest.Test(t, func(t *testing.T) {
 		f := newFleet(voters)
@@ -289,7 +292,7 @@
 	})
 }
 
-// load asks for amounts of the test tenant at all routers, evenly, and returns the sum admitted.
+// load spreads requests of the test tenant evenly over all routers, and returns the amount admitted.
 func (f *fleet) load(perSecond float64, span time.Duration) float64 {
 	const step = 10 * time.Millisecond
 	const amount = 1000
--- a/internal/router/shares/floors.go
+++ b/internal/router/shares/floors.go
@@ -10,26 +10,27 @@
 	"pewterrudder/internal/router/quota"
 )
 
-// FloorStore keeps a floor table on a disk, which may hang.
+// FloorStore persists an encoded quota.FloorTable. Its calls may block for as long as the disk hangs.
 type FloorStore interface {
-	// Load returns what was saved last, nil if nothing was.
+	// Load returns the content that was saved last, or nil if there is none.
 	Load() ([]byte, error)
+	// Save replaces the stored content.
 	Save(content []byte) error
 }
 
-// floorPause is the pause before a disk that refused is tried again.
-const floorPause = time.Second
+// floorRetryDelay is the pause after a failed read or write of the floor table.
+const floorRetryDelay = time.Second
 
-// runFloors keeps the tables that the coordinator sends until the context ends. A router takes part from the moment on at which its disk
-// has told what it has.
+// runFloors persists the floor tables that the coordinator sends, until the context ends. The router confirms no table before
+// it has read the one on its disk.
 func (s *Shares) runFloors(ctx context.Context) {
 	for {
 		err := s.loadFloors()
 		if err == nil {
 			break
 		}
-		s.options.Log.WithError(err).Warn("floors of quotas cannot be read")
-		if !sleep(ctx, floorPause) {
+		s.options.Log.WithError(err).Warn("cannot read quota floors, retrying")
+		if !sleep(ctx, floorRetryDelay) {
 			return
 		}
 	}
@@ -40,8 +41,8 @@
 		case <-s.floorWake:
 		}
 		if err := s.saveFloors(); err != nil {
-			s.options.Log.WithError(err).Warn("floors of quotas cannot be saved")
-			if !sleep(ctx, floorPause) {
+			s.options.Log.WithError(err).Warn("cannot save quota floors")
+			if !sleep(ctx, floorRetryDelay) {
 				return
 			}
 		}
@@ -56,14 +57,14 @@
 	var table quota.FloorTable
 	if content != nil {
 		if err := msgpack.Unmarshal(content, &table); err != nil {
-			return errors.Wrap(err, "shares: floors")
+			return errors.Wrap(err, "decode quota floors")
 		}
 	}
-	s.keepFloors(table)
+	s.confirmFloors(table)
 	return nil
 }
 
-// saveFloors writes the table that is wanted, if there is one, and has the next report tell so.
+// saveFloors writes the table that the coordinator wants stored, if any, and triggers a report that confirms it.
 func (s *Shares) saveFloors() error {
 	s.local.Lock()
 	table := s.local.admission.Unkept()
@@ -73,23 +74,24 @@
 	}
 	content, err := msgpack.Marshal(table)
 	if err != nil {
-		return errors.Wrap(err, "shares: floors")
+		return errors.Wrap(err, "encode quota floors")
 	}
 	if err := s.options.Floors.Save(content); err != nil {
 		return err
 	}
-	s.keepFloors(*table)
-	s.wakeIf(true)
+	s.confirmFloors(*table)
+	s.wakeExchangeIf(true)
 	return nil
 }
 
-func (s *Shares) keepFloors(table quota.FloorTable) {
+// confirmFloors notes that the table is on this router's disk, so that the next report says so.
+func (s *Shares) confirmFloors(table quota.FloorTable) {
 	s.local.Lock()
 	defer s.local.Unlock()
 	s.local.admission.Keep(s.options.Address, table)
 }
 
-// wakeFloors has the table that is wanted written.
+// wakeFloors makes runFloors save the table that the coordinator wants stored.
 func (s *Shares) wakeFloors() {
 	select {
 	case s.floorWake <- struct{}{}:
--- a/internal/router/shares/handle.go
+++ b/internal/router/shares/handle.go
@@ -8,22 +8,22 @@
 	"pewterrudder/internal/router/configlease"
 )
 
-// errNoPart says that a request asks for nothing that this version knows.
-var errNoPart = errors.New("request without a known part")
+// errUnknownRequest refuses a request none of whose fields this version knows.
+var errUnknownRequest = errors.New("request of unknown kind")
 
-// HandleRequest answers a message of another router.
+// HandleRequest answers an encoded request of another router.
 func (s *Shares) HandleRequest(ctx context.Context, data []byte) ([]byte, error) {
 	message, err := decodeRequest(data)
 	if err != nil {
 		return nil, err
 	}
 	if message.Relay != nil {
-		return s.passOn(ctx, *message.Relay)
+		return s.handleRelay(ctx, *message.Relay)
 	}
 	return s.respond(message)
 }
 
-// respond answers a message that is meant for this router.
+// respond handles a request that is addressed to this router and encodes the response.
 func (s *Shares) respond(message request) ([]byte, error) {
 	reply, err := s.handle(message)
 	if err != nil {
@@ -37,38 +37,39 @@
 	switch {
 	case message.Lease != nil:
 		s.refreshGrantors()
-		granted := s.role.grant(now, *message.Lease)
+		granted := s.coordination.handleLeaseRequest(now, *message.Lease)
 		if message.Lease.Release {
 			s.wakeLease()
 		}
 		return response{Lease: &granted}, nil
 	case message.Exchange != nil:
-		result, ok := s.role.report(now, s.rules(), *message.Exchange)
+		result, ok := s.coordination.handleReport(now, s.coordinatorRules(), *message.Exchange)
 		if ok {
-			result.Confirmation = s.confirmation()
+			result.Confirmation = s.currentConfirmation()
 			return response{Answer: &result}, nil
 		}
-		return response{Coordinator: s.role.holder(now, s.options.Address)}, nil
-	case message.Lookup:
-		return response{Coordinator: s.role.holder(now, s.options.Address)}, nil
+		return response{Coordinator: s.coordination.coordinatorAddress(now, s.options.Address)}, nil
+	case message.FindCoordinator:
+		return response{Coordinator: s.coordination.coordinatorAddress(now, s.options.Address)}, nil
 	default:
-		return response{}, errNoPart
+		return response{}, errUnknownRequest
 	}
 }
 
-// confirmation is what the coordinator adds to its answers; nil: nothing.
-func (s *Shares) confirmation() *configlease.Confirmation {
+// currentConfirmation returns the confirmation of the configuration that the coordinator adds to its answers, or nil if there
+// is none.
+func (s *Shares) currentConfirmation() *configlease.Confirmation {
 	if s.options.Confirmations == nil {
 		return nil
 	}
-	told, ok := s.options.Confirmations.Tell()
+	confirmation, ok := s.options.Confirmations.Tell()
 	if !ok {
 		return nil
 	}
-	return &told
+	return &confirmation
 }
 
-// call sends a message to a router, which may be this one.
+// call sends a request to a router, which may be this one, and waits for the response.
 func (s *Shares) call(ctx context.Context, address string, message request) (response, error) {
 	if address == s.options.Address {
 		return s.handle(message)
--- a/internal/router/shares/leaseloop.go
+++ b/internal/router/shares/leaseloop.go
@@ -9,98 +9,99 @@
 )
 
 const (
-	// bystandEvery is how often a router that may not compete looks whether it may.
-	bystandEvery = time.Second
-	// unknownEvery is the same while the grantors are not known yet.
-	unknownEvery = 50 * time.Millisecond
-	// leaseCallTimeout bounds the wait for a grantor.
+	// ineligibleInterval is how often a router that may not compete for the lease checks whether it now may.
+	ineligibleInterval = time.Second
+	// noGrantorsInterval replaces ineligibleInterval while no grantors are known yet.
+	noGrantorsInterval = 50 * time.Millisecond
+	// leaseCallTimeout bounds one call to a grantor.
 	leaseCallTimeout = leaseDuration / 4
-	// leaseLoopLeast and leaseLoopMost bound the pauses of the lease loop.
-	leaseLoopLeast = 10 * time.Millisecond
-	leaseLoopMost  = 500 * time.Millisecond
-	// farewellTimeout bounds the last messages of a router that stops.
-	farewellTimeout = 200 * time.Millisecond
+	// minLeasePause and maxLeasePause bound the pause between two steps of the lease loop.
+	minLeasePause = 10 * time.Millisecond
+	maxLeasePause = 500 * time.Millisecond
+	// shutdownTimeout bounds the messages that a stopping router sends.
+	shutdownTimeout = 200 * time.Millisecond
 )
 
-// runLease competes for the lease and renews it.
+// runLease competes for the coordinator lease and renews it until the context ends, and then releases it.
 func (s *Shares) runLease(ctx context.Context) {
 	var wasHeld bool
 	var suspended time.Duration
 	for {
 		pause := s.stepLease(ctx)
 		suspended = s.logSuspension(suspended)
-		wasHeld = s.logChange(wasHeld)
-		if !s.pauseLease(ctx, pause) {
+		wasHeld = s.logLeaseChange(wasHeld)
+		if !s.waitForNextLeaseStep(ctx, pause) {
 			s.resign(ctx)
 			return
 		}
 	}
 }
 
-// stepLease sends the messages that are due and returns the time until the next step.
+// stepLease sends the lease messages that are due and returns the pause until the next step. A router that is not a grantor
+// gives up a lease that it holds.
 func (s *Shares) stepLease(ctx context.Context) time.Duration {
 	grantors := s.refreshGrantors()
 	now := s.now()
-	s.role.Lock()
-	candidate := s.role.candidate
+	s.coordination.Lock()
+	candidate := s.coordination.candidate
 	if !s.options.MayCoordinate || !slices.Contains(grantors, s.options.Address) {
 		candidate.Resign(now)
 		messages := candidate.Released()
-		s.role.Unlock()
-		s.sendLeases(ctx, messages)
-		return bystandPause(grantors)
+		s.coordination.Unlock()
+		s.sendLeaseRequests(ctx, messages)
+		return ineligiblePause(grantors)
 	}
 	messages := candidate.Tick(now, lease.Term(time.Now().UnixMilli()))
 	next := candidate.NextAt(now)
-	s.role.Unlock()
-	s.sendLeases(ctx, messages)
-	return min(max(next-now, leaseLoopLeast), leaseLoopMost)
+	s.coordination.Unlock()
+	s.sendLeaseRequests(ctx, messages)
+	return min(max(next-now, minLeasePause), maxLeasePause)
 }
 
-// refreshGrantors takes over the acceptors in force and returns the grantors among them. All acceptors keep floors.
+// refreshGrantors applies the acceptors in force, and returns the ones that act as grantors. All acceptors store quota floors.
 func (s *Shares) refreshGrantors() []string {
 	known, settled := s.options.GrantorsKnown(), s.options.GrantorsSettled()
 	voters, previous := s.options.Grantors()
-	grantors, before := lease.OddGrantors(voters), lease.OddGrantors(previous)
-	s.role.Lock()
-	defer s.role.Unlock()
-	s.role.grantor.SetGrantors(grantors, before)
-	s.role.candidate.SetGrantors(s.now(), grantors, before)
-	s.role.candidate.AllowProof(settled && len(previous) == 0)
-	s.role.candidate.SetGrantorsKnown(known)
-	s.role.keepers = voters
-	if s.role.quota != nil {
-		s.role.quota.SetKeepers(voters)
+	grantors, previousGrantors := lease.OddGrantors(voters), lease.OddGrantors(previous)
+	s.coordination.Lock()
+	defer s.coordination.Unlock()
+	s.coordination.grantor.SetGrantors(grantors, previousGrantors)
+	s.coordination.candidate.SetGrantors(s.now(), grantors, previousGrantors)
+	s.coordination.candidate.AllowProof(settled && len(previous) == 0)
+	s.coordination.candidate.SetGrantorsKnown(known)
+	s.coordination.floorKeepers = voters
+	if s.coordination.quota != nil {
+		s.coordination.quota.SetKeepers(voters)
 	}
 	return grantors
 }
 
-// bystandPause is the pause of a router that may not compete.
-func bystandPause(grantors []string) time.Duration {
+// ineligiblePause returns the pause of a router that may not compete for the lease.
+func ineligiblePause(grantors []string) time.Duration {
 	if len(grantors) == 0 {
-		return unknownEvery
+		return noGrantorsInterval
 	}
-	return bystandEvery
+	return ineligibleInterval
 }
 
-func (s *Shares) sendLeases(ctx context.Context, messages []lease.Message) {
+func (s *Shares) sendLeaseRequests(ctx context.Context, messages []lease.Message) {
 	for _, message := range messages {
-		s.calls.Go(func() { s.sendLease(ctx, message) })
+		s.leaseCalls.Go(func() { s.sendLeaseRequest(ctx, message) })
 	}
 }
 
-func (s *Shares) sendLease(ctx context.Context, message lease.Message) {
+func (s *Shares) sendLeaseRequest(ctx context.Context, message lease.Message) {
 	ctx, cancel := context.WithTimeout(ctx, leaseCallTimeout)
 	defer cancel()
 	reply, err := s.call(ctx, message.To, request{Lease: &message.Request})
 	if err != nil || reply.Lease == nil {
 		return
 	}
-	s.role.Lock()
-	defer s.role.Unlock()
+	s.coordination.Lock()
+	defer s.coordination.Unlock()
 	now := s.now()
-	s.role.candidate.Receive(now, message.To, *reply.Lease)
-	if s.role.candidate.NextAt(now) <= now {
+	s.coordination.candidate.Receive(now, message.To, *reply.Lease)
+	if s.coordination.candidate.NextAt(now) <= now {
 		s.wakeLease()
 	}
 }
@@ -112,8 +113,8 @@
 	}
 }
 
-// pauseLease waits until the next step is due or called for, and tells whether the context still stands.
-func (s *Shares) pauseLease(ctx context.Context, pause time.Duration) bool {
+// waitForNextLeaseStep waits for the pause or until leaseWake is signalled. It returns false if the context has ended.
+func (s *Shares) waitForNextLeaseStep(ctx context.Context, pause time.Duration) bool {
 	timer := time.NewTimer(pause)
 	defer timer.Stop()
 	select {
@@ -126,35 +127,37 @@
 	}
 }
 
-// resign gives the lease up when the router stops, so that another need not wait for its end.
+// resign releases the lease when the router stops, so that another router need not wait until it expires.
 func (s *Shares) resign(ctx context.Context) {
-	ctx, cancel := context.WithTimeout(context.WithoutCancel(ctx), farewellTimeout)
+	ctx, cancel := context.WithTimeout(context.WithoutCancel(ctx), shutdownTimeout)
 	defer cancel()
-	s.role.Lock()
-	s.role.candidate.Resign(s.now())
-	messages := s.role.candidate.Released()
-	s.role.Unlock()
-	s.sendLeases(ctx, messages)
-	s.calls.Wait()
+	s.coordination.Lock()
+	s.coordination.candidate.Resign(s.now())
+	messages := s.coordination.candidate.Released()
+	s.coordination.Unlock()
+	s.sendLeaseRequests(ctx, messages)
+	s.leaseCalls.Wait()
 }
 
-// loggedSuspension is the least suspension of the machine that is logged.
-const loggedSuspension = 100 * time.Millisecond
+// minLoggedSuspension is the shortest suspension of the machine that is logged.
+const minLoggedSuspension = 100 * time.Millisecond
 
-// logSuspension logs that the machine was suspended since the sum given, and returns the sum logged.
+// logSuspension logs how much longer the machine has been suspended in total than the total logged before. It returns the
+// total logged by now.
 func (s *Shares) logSuspension(before time.Duration) time.Duration {
 	now := s.clock.Suspended()
-	if now-before < loggedSuspension {
+	if now-before < minLoggedSuspension {
 		return before
 	}
-	s.options.Log.WithField("seconds", (now - before).Seconds()).Warn("the machine was suspended: leases have run out meanwhile")
+	s.options.Log.WithField("seconds", (now - before).Seconds()).Warn("the machine was suspended; leases may have expired meanwhile")
 	return now
 }
 
-func (s *Shares) logChange(wasHeld bool) bool {
-	s.role.Lock()
-	term, held := s.role.candidate.Held(s.now())
-	s.role.Unlock()
+// logLeaseChange logs when this router acquires or loses the lease, and returns whether it holds it now.
+func (s *Shares) logLeaseChange(wasHeld bool) bool {
+	s.coordination.Lock()
+	term, held := s.coordination.candidate.Held(s.now())
+	s.coordination.Unlock()
 	switch {
 	case held && !wasHeld:
 		s.options.Log.WithField("term", uint64(term)).Info("coordinator lease acquired")
@@ -164,7 +167,7 @@
 	return held
 }
 
-// sleep waits and tells whether the context still stands.
+// sleep waits for the pause. It returns false if the context has ended.
 func sleep(ctx context.Context, pause time.Duration) bool {
 	timer := time.NewTimer(pause)
 	defer timer.Stop()
--- a/internal/router/shares/message.go
+++ b/internal/router/shares/message.go
@@ -10,39 +10,39 @@
 	"pewterrudder/internal/router/retrybudget"
 )
 
-// protocolVersion is the version of the messages. Fields may be added under the same version.
+// protocolVersion is the version of the messages. Adding a field does not need a new version.
 const protocolVersion = 2
 
-// request is any message from one router to another. One of its parts is set.
+// request is a message from one router to another. Besides the version, exactly one field is set.
 type request struct {
-	Version  int            `msgpack:"version"`
-	Lease    *lease.Request `msgpack:"lease,omitempty"`
-	Exchange *exchange      `msgpack:"exchange,omitempty"`
-	Lookup   bool           `msgpack:"find_coordinator,omitempty"`
-	Relay    *relayed       `msgpack:"relay,omitempty"`
+	Version         int             `msgpack:"version"`
+	Lease           *lease.Request  `msgpack:"lease,omitempty"`
+	Exchange        *exchangeReport `msgpack:"exchange,omitempty"`
+	FindCoordinator bool            `msgpack:"find_coordinator,omitempty"`
+	Relay           *relayRequest   `msgpack:"relay,omitempty"`
 }
 
-// exchange is a router's report to the coordinator.
-type exchange struct {
+// exchangeReport is a router's periodic report to the coordinator.
+type exchangeReport struct {
 	Node  string             `msgpack:"node"`
 	Quota quota.DemandReport `msgpack:"quota"`
 	Retry retrybudget.Report `msgpack:"retry"`
 }
 
-// response answers a request.
+// response is the answer to a request.
 type response struct {
 	Version int             `msgpack:"version"`
 	Lease   *lease.Response `msgpack:"lease,omitempty"`
-	Answer  *answer         `msgpack:"answer,omitempty"`
-	// Coordinator is the address of the coordinator as far as it is known; set when the answer isn't.
+	Answer  *exchangeAnswer `msgpack:"answer,omitempty"`
+	// Coordinator is the coordinator's address as far as the responder knows it. It is set only where Lease and Answer are not.
 	Coordinator string `msgpack:"coordinator,omitempty"`
 }
 
-// answer is the coordinator's answer to a report.
-type answer struct {
+// exchangeAnswer is the coordinator's answer to a report.
+type exchangeAnswer struct {
 	Quota quota.ShareAnswer  `msgpack:"quota"`
 	Retry retrybudget.Answer `msgpack:"retry"`
-	// Confirmation says how new the coordinator's configuration is, if it is asked for.
+	// Confirmation says when the coordinator's configuration was last known to be the newest; nil if the coordinator has none.
 	Confirmation *configlease.Confirmation `msgpack:"confirmation,omitempty"`
 }
 
--- a/internal/router/shares/relay.go
+++ b/internal/router/shares/relay.go
@@ -11,113 +11,117 @@
 	"pewterrudder/internal/router/transport"
 )
 
-// A router that is cut off from the others of the core alone still reaches the rest of the fleet. What it has to say to those others goes
-// by way of a third router, as an indirect probe of SWIM does: a coordinator renews its lease like that and stays the coordinator, so that
-// no quota waits for the next one. Messages may arrive twice, directly and relayed; both ends take that as they take a repeated call.
+// A router that is cut off only from the other acceptors still reaches the rest of the fleet. Its messages to the acceptors are
+// relayed by a third router, like the indirect probes of SWIM. That lets a coordinator renew its lease and remain the
+// coordinator, so that no quota has to wait for the next one. A message may arrive twice, directly and relayed, which both ends
+// handle like a repeated call.
 
 const (
-	// relayAfter is the silence after which a message is sent by way of another router as well.
+	// relayAfter is how long a response may be missing before the message is also sent through another router.
 	relayAfter = 120 * time.Millisecond
-	// relayAttempts bounds the routers that are asked to relay one message.
+	// relayAttempts is the maximum number of routers that are asked to relay one message.
 	relayAttempts = 2
-	// relayTimeout bounds the wait of the router that relays.
+	// relayTimeout bounds the call that a relaying router makes to the target.
 	relayTimeout = 250 * time.Millisecond
 )
 
-// relayed is a message that its receiver passes on; the response is that of the router it goes to.
-type relayed struct {
+// relayRequest asks its receiver to forward the encoded request Body to the router at address To, and to return the response of
+// that router.
+type relayRequest struct {
 	To   string `msgpack:"to"`
 	Body []byte `msgpack:"body"`
 }
 
 var (
-	// errRelayTwice refuses a message that would be relayed by a second router.
-	errRelayTwice = errors.New("message to be relayed twice")
-	// errNoResponse says that nobody has answered in time.
+	// errNestedRelay refuses a relay request that contains another one.
+	errNestedRelay = errors.New("relayed request is itself a relay request")
+	// errNoResponse is returned when no copy of a message was answered in time.
 	errNoResponse = errors.New("no response")
 )
 
-// deliver sends an encoded message to a router, directly and, while that brings no response, by way of others.
+// deliver sends an encoded request to a router and returns the first response. It calls the router directly and, while that
+// brings no response, through relays.
 func (s *Shares) deliver(ctx context.Context, address string, body []byte) ([]byte, error) {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
-	d := delivery{shares: s, address: address, body: body, outcomes: make(chan outcome, 1+relayAttempts)}
-	d.send(ctx, address, body)
-	if s.detours.needs(address) {
-		d.relay(ctx)
+	d := delivery{shares: s, address: address, body: body, results: make(chan callResult, 1+relayAttempts)}
+	d.sendCopy(ctx, address, body)
+	if s.indirectPeers.contains(address) {
+		d.relayNext(ctx)
 	}
 	return d.await(ctx)
 }
 
-// delivery is one message under way. All its fields belong to the goroutine that awaits it.
+// delivery is one message in flight. Its fields are used only by the goroutine that awaits the response.
 type delivery struct {
-	shares   *Shares
-	address  string
-	body     []byte
-	relays   []string
-	begun    bool // relays were chosen
-	pending  int
-	outcomes chan outcome
+	shares       *Shares
+	address      string
+	body         []byte
+	relays       []string // the chosen relays that are not in use yet
+	relaysChosen bool
+	pending      int // copies that have no result yet
+	results      chan callResult
 }
 
-// outcome is what came of one copy of the message.
-type outcome struct {
+// callResult is the result of sending one copy of the message.
+type callResult struct {
 	isDirect bool
 	reply    []byte
 	err      error
 }
 
-// detours remembers the routers that have answered by way of others alone: what is sent to them next is relayed at once, until one
-// answers directly again.
-type detours struct {
-	mutex sync.Mutex
-	known map[string]bool
+// indirectPeers is the set of routers whose last response came through a relay. Messages to them are relayed at once, until
+// they answer directly again.
+type indirectPeers struct {
+	mutex     sync.Mutex
+	addresses map[string]bool
 }
 
-func (d *detours) needs(address string) bool {
+func (d *indirectPeers) contains(address string) bool {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
-	return d.known[address]
+	return d.addresses[address]
 }
 
-func (d *detours) note(address string, isDirect bool) {
+func (d *indirectPeers) record(address string, isDirect bool) {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
 	if isDirect {
-		delete(d.known, address)
+		delete(d.addresses, address)
 		return
 	}
-	if d.known == nil {
-		d.known = map[string]bool{}
+	if d.addresses == nil {
+		d.addresses = map[string]bool{}
 	}
-	d.known[address] = true
+	d.addresses[address] = true
 }
 
-func (d *delivery) send(ctx context.Context, address string, body []byte) {
+// sendCopy calls the router at the address, which is the target or a relay, in the background.
+func (d *delivery) sendCopy(ctx context.Context, address string, body []byte) {
 	d.pending++
 	go func() {
 		reply, err := d.shares.options.Caller.Call(ctx, address, body)
-		d.outcomes <- outcome{address == d.address, reply, err}
+		d.results <- callResult{address == d.address, reply, err}
 	}()
 }
 
-// await returns the first response. A copy that has failed calls for the next one at once.
+// await returns the first response. When a copy fails, the next one is sent at once.
 func (d *delivery) await(ctx context.Context) ([]byte, error) {
 	timer := time.NewTimer(relayAfter)
 	defer timer.Stop()
 	failure := errNoResponse
 	for d.pending > 0 {
 		select {
-		case result := <-d.outcomes:
+		case result := <-d.results:
 			d.pending--
-			if result.err == nil || isAnswered(result.err) && result.isDirect {
-				d.shares.detours.note(d.address, result.isDirect)
+			if result.err == nil || reachedTarget(result.err) && result.isDirect {
+				d.shares.indirectPeers.record(d.address, result.isDirect)
 				return result.reply, result.err
 			}
 			failure = result.err
-			d.relay(ctx)
+			d.relayNext(ctx)
 		case <-timer.C:
-			d.relay(ctx)
+			d.relayNext(ctx)
 			if len(d.relays) > 0 {
 				timer.Reset(relayAfter)
 			}
@@ -126,19 +130,20 @@
 	return nil, errors.Wrapf(failure, "call of %s", d.address)
 }
 
-// isAnswered tells whether a direct call has reached the machine: another way to it would bring nothing else.
-func isAnswered(err error) bool {
+// reachedTarget reports whether the error of a direct call shows that the call reached the target's machine. A relayed copy
+// would bring the same result then.
+func reachedTarget(err error) bool {
 	var remote *transport.RemoteError
 	return errors.As(err, &remote) || errors.Is(err, transport.ErrRefused)
 }
 
-// relay sends a copy by way of the next router, if there is one left.
-func (d *delivery) relay(ctx context.Context) {
+// relayNext sends a copy through the next relay, if there is one left.
+func (d *delivery) relayNext(ctx context.Context) {
 	if ctx.Err() != nil {
 		return
 	}
-	if !d.begun {
-		d.begun = true
+	if !d.relaysChosen {
+		d.relaysChosen = true
 		d.relays = d.shares.chooseRelays(d.address)
 	}
 	if len(d.relays) == 0 {
@@ -146,39 +151,39 @@
 	}
 	next := d.relays[0]
 	d.relays = d.relays[1:]
-	wrapped, err := encodeRequest(request{Relay: &relayed{To: d.address, Body: d.body}})
+	wrapped, err := encodeRequest(request{Relay: &relayRequest{To: d.address, Body: d.body}})
 	if err != nil {
 		return
 	}
-	d.send(ctx, next, wrapped)
+	d.sendCopy(ctx, next, wrapped)
 }
 
-// chooseRelays draws the routers that are asked to relay to an address.
+// chooseRelays picks at random up to relayAttempts routers that are asked to relay to an address.
 func (s *Shares) chooseRelays(to string) []string {
 	if s.options.Relays == nil {
 		return nil
 	}
-	var drawn []string
+	var chosen []string
 	others := s.options.Relays()
 	for _, index := range rand.Perm(len(others)) {
 		if other := others[index]; other != to && other != s.options.Address {
-			drawn = append(drawn, other)
+			chosen = append(chosen, other)
 		}
-		if len(drawn) == relayAttempts {
+		if len(chosen) == relayAttempts {
 			break
 		}
 	}
-	return drawn
+	return chosen
 }
 
-// passOn relays a message of another router.
-func (s *Shares) passOn(ctx context.Context, message relayed) ([]byte, error) {
+// handleRelay forwards a message of another router to its target and returns the target's response.
+func (s *Shares) handleRelay(ctx context.Context, message relayRequest) ([]byte, error) {
 	inner, err := decodeRequest(message.Body)
 	if err != nil {
 		return nil, err
 	}
 	if inner.Relay != nil {
-		return nil, errRelayTwice
+		return nil, errNestedRelay
 	}
 	if message.To == s.options.Address {
 		return s.respond(inner)
--- a/internal/router/shares/relay_test.go
+++ b/internal/router/shares/relay_test.go
@@ -12,30 +12,30 @@
 	"pewterrudder/internal/router/transport"
 )
 
-// cutFromCore cuts the coordinator off from the other acceptors alone, and returns it.
-func cutFromCore(t *testing.T, f *fleet) *router {
+// partitionCoordinator separates the coordinator from the other acceptors only, and returns it.
+func partitionCoordinator(t *testing.T, f *fleet) *router {
 	first := f.coordinator(t)
 	for i := range f.voters {
 		if address(i) == first.address {
-			f.setHalves([]int{i})
+			f.partition([]int{i})
 		}
 	}
 	return first
 }
 
-// TestCoordinatorCutOffFromTheCoreGoesOn cuts the coordinator off from the other acceptors for a while. It stays the coordinator, and all
-// that a tenant is owed is admitted, though it asks for its whole limit.
-func TestCoordinatorCutOffFromTheCoreGoesOn(t *testing.T) {
+// TestPartitionedCoordinatorKeepsLeaseThroughRelays separates the coordinator from the other acceptors. It must remain the
+// coordinator in the same term, and a tenant that uses its whole limit must not be refused.
+func TestPartitionedCoordinatorKeepsLeaseThroughRelays(t *testing.T) {
 	for _, acceptors := range []int{3, 5} {
 		inFleetWith(t, acceptors, func(t *testing.T, f *fleet) {
-			f.relayBy()
-			time.Sleep(settle)
+			f.enableRelays()
+			time.Sleep(electionTime)
 			f.load(testLimit.PerSecond, 4*time.Second)
-			first := cutFromCore(t, f)
+			first := partitionCoordinator(t, f)
 			term := first.term()
 			const span = 6 * time.Second
 			share := f.load(testLimit.PerSecond, span) / (testLimit.PerSecond * span.Seconds())
-			t.Logf("admitted %.4f of what is owed, %d acceptors", share, acceptors)
+			t.Logf("admitted %.4f of the limit, %d acceptors", share, acceptors)
 			assert.Assert(t, share >= 0.999, "admitted %.4f", share)
 			assert.Assert(t, f.coordinator(t) == first)
 			for _, r := range f.all() {
@@ -45,30 +45,31 @@
 	}
 }
 
-// TestNoRelaysReachACoordinatorThatIsCutOffFromAll has another router take over from a coordinator that nobody reaches.
-func TestNoRelaysReachACoordinatorThatIsCutOffFromAll(t *testing.T) {
+// TestIsolatedCoordinatorIsReplaced cuts the coordinator off from all routers, so that no relay reaches it either. Another router
+// must take over.
+func TestIsolatedCoordinatorIsReplaced(t *testing.T) {
 	inFleet(t, func(t *testing.T, f *fleet) {
-		f.relayBy()
-		time.Sleep(settle)
+		f.enableRelays()
+		time.Sleep(electionTime)
 		first := f.coordinator(t)
-		f.setCut(first.address, true)
+		f.setIsolated(first.address, true)
 		time.Sleep(2 * leaseDuration)
 		second := f.coordinator(t)
 		assert.Assert(t, second != nil && second != first)
 	})
 }
 
-// TestHalvesOfTheCoreHaveOneCoordinator cuts the acceptors into two halves in each way, while the other routers reach both: the fleet
-// keeps its coordinator.
-func TestHalvesOfTheCoreHaveOneCoordinator(t *testing.T) {
+// TestSplitAcceptorsKeepCoordinatorThroughRelays partitions six acceptors into two halves in each of the ten ways, while the other
+// routers reach both halves. The fleet must keep its coordinator.
+func TestSplitAcceptorsKeepCoordinatorThroughRelays(t *testing.T) {
 	const acceptors = 6
 	for first := 1; first < acceptors; first++ {
 		for second := first + 1; second < acceptors; second++ {
 			inFleetWith(t, acceptors, func(t *testing.T, f *fleet) {
-				f.relayBy()
-				time.Sleep(settle)
+				f.enableRelays()
+				time.Sleep(electionTime)
 				before := f.coordinator(t)
-				f.setHalves([]int{0, first, second})
+				f.partition([]int{0, first, second})
 				for range 40 {
 					time.Sleep(leaseDuration / 10)
 					assert.Assert(t, f.coordinator(t) == before, "while 0, %d and %d are apart", first, second)
@@ -78,10 +79,10 @@
 	}
 }
 
-// way is a network of one router whose calls go as a test says.
-type way func(ctx context.Context, to string, data []byte) ([]byte, error)
+// networkFunc is a Caller that is implemented by a function.
+type networkFunc func(ctx context.Context, to string, data []byte) ([]byte, error)
 
-func (w way) Call(ctx context.Context, to string, data []byte) ([]byte, error) {
+func (w networkFunc) Call(ctx context.Context, to string, data []byte) ([]byte, error) {
 	return w(ctx, to, data)
 }
 
@@ -90,14 +91,15 @@
 	testRelay  = "relay:1"
 )
 
-// alone returns the shares of a router whose network is given, with two routers to relay by.
-func alone(network way) *Shares {
+// newSharesWithNetwork returns the Shares of a router that makes its calls with the given function. Its candidates for relays
+// are testRelay, testTarget and itself.
+func newSharesWithNetwork(network networkFunc) *Shares {
 	return New(Options{Address: address(0), Caller: network, Relays: func() []string { return []string{testRelay, testTarget, address(0)} },
 		Grantors: func() (voters, previous []string) { return nil, nil }, Routers: func() FleetSize { return FleetSize{} }})
 }
 
-// TestRelayIsAskedOnlyInSilence plays the ends of a direct call.
-func TestRelayIsAskedOnlyInSilence(t *testing.T) {
+// TestRelayOnlyWithoutDirectResponse checks for each outcome of a direct call whether a relay is asked, and when.
+func TestRelayOnlyWithoutDirectResponse(t *testing.T) {
 	silence := func(ctx context.Context) ([]byte, error) {
 		<-ctx.Done()
 		return nil, ctx.Err()
@@ -110,7 +112,7 @@
 		"answered": {direct: func(context.Context) ([]byte, error) { return []byte("direct"), nil }},
 		"refused":  {direct: func(context.Context) ([]byte, error) { return nil, errors.WithStack(transport.ErrRefused) }},
 		"failed":   {direct: func(context.Context) ([]byte, error) { return nil, &transport.RemoteError{Message: "no"} }},
-		"out of reach": {
+		"unreachable": {
 			direct:  func(context.Context) ([]byte, error) { return nil, errors.WithStack(transport.ErrUnreachable) },
 			relayed: true,
 		},
@@ -119,7 +121,7 @@
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				var asked []string
-				s := alone(func(ctx context.Context, to string, data []byte) ([]byte, error) {
+				s := newSharesWithNetwork(func(ctx context.Context, to string, data []byte) ([]byte, error) {
 					if to == testTarget {
 						return c.direct(ctx)
 					}
@@ -145,11 +147,12 @@
 	}
 }
 
-// TestDetourIsTakenAtOnceUntilTheDirectWayIsBack sends to a router that answers by way of another alone, and directly again later.
-func TestDetourIsTakenAtOnceUntilTheDirectWayIsBack(t *testing.T) {
+// TestRelayAtOnceUntilDirectCallSucceeds sends to a router that first answers only through a relay. Later messages must be
+// relayed without delay, until a direct call succeeds again.
+func TestRelayAtOnceUntilDirectCallSucceeds(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		isCut, relayed := true, 0
-		s := alone(func(ctx context.Context, to string, _ []byte) ([]byte, error) {
+		s := newSharesWithNetwork(func(ctx context.Context, to string, _ []byte) ([]byte, error) {
 			if to == testTarget && isCut {
 				<-ctx.Done()
 				return nil, ctx.Err()
@@ -178,15 +181,15 @@
 		before := relayed
 		reply, _ = send()
 		assert.Equal(t, reply, "direct")
-		assert.Equal(t, relayed, before, "the detour is not needed any more")
+		assert.Equal(t, relayed, before, "relayed after a direct call has succeeded")
 	})
 }
 
-// TestDeliveryEndsWithItsContext waits no longer than it is told where nobody answers.
+// TestDeliveryEndsWithItsContext checks that deliver returns when its context ends if nobody answers.
 func TestDeliveryEndsWithItsContext(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		calls := 0
-		s := alone(func(ctx context.Context, _ string, _ []byte) ([]byte, error) {
+		s := newSharesWithNetwork(func(ctx context.Context, _ string, _ []byte) ([]byte, error) {
 			calls++
 			<-ctx.Done()
 			return nil, ctx.Err()
@@ -197,20 +200,20 @@
 		_, err := s.deliver(ctx, testTarget, nil)
 		assert.ErrorIs(t, err, context.DeadlineExceeded)
 		assert.Equal(t, time.Since(begin), exchangeTimeout)
-		assert.Equal(t, calls, 2, "the message, and its copy by way of the one relay")
+		assert.Equal(t, calls, 2, "the direct call and one relayed copy")
 	})
 }
 
-// TestMessageIsRelayedOnce refuses a message whose receiver would have to relay it again.
+// TestMessageIsRelayedOnce checks that a relay request inside another one is refused.
 func TestMessageIsRelayedOnce(t *testing.T) {
-	s := alone(func(context.Context, string, []byte) ([]byte, error) {
-		t.Error("it goes on")
+	s := newSharesWithNetwork(func(context.Context, string, []byte) ([]byte, error) {
+		t.Error("the message is forwarded")
 		return nil, nil
 	})
-	inner, err := encodeRequest(request{Relay: &relayed{To: testTarget}})
+	inner, err := encodeRequest(request{Relay: &relayRequest{To: testTarget}})
 	assert.NilError(t, err)
-	outer, err := encodeRequest(request{Relay: &relayed{To: testTarget, Body: inner}})
+	outer, err := encodeRequest(request{Relay: &relayRequest{To: testTarget, Body: inner}})
 	assert.NilError(t, err)
 	_, err = s.HandleRequest(t.Context(), outer)
-	assert.ErrorIs(t, err, errRelayTwice)
+	assert.ErrorIs(t, err, errNestedRelay)
 }
--- a/internal/router/shares/restart_test.go
+++ b/internal/router/shares/restart_test.go
@@ -7,22 +7,24 @@
 	"gotest.tools/v3/assert"
 )
 
-// soonAfterRestart is by when a coordinator exists once all grantors are back after a restart of all routers.
-const soonAfterRestart = 300 * time.Millisecond
+// maxElectionAfterRestart is the time within which a coordinator must be elected after all routers have restarted.
+const maxElectionAfterRestart = 300 * time.Millisecond
 
-// soonAfterRemoval is by when another coordinator follows one that is no longer a grantor: less than its promises last.
-const soonAfterRemoval = leaseLoopMost + 300*time.Millisecond
+// maxElectionAfterRemoval is the time within which a coordinator that is no longer a grantor must be replaced. It is less than
+// the duration of a grant.
+const maxElectionAfterRemoval = maxLeasePause + 300*time.Millisecond
 
-// TestCoordinatorSoonAfterRestartOfAll needn't wait for the end of promises that the grantors have forgotten.
-func TestCoordinatorSoonAfterRestartOfAll(t *testing.T) {
+// TestCoordinatorSoonAfterFullRestart checks that after a restart of all routers a coordinator is elected before the grants that
+// the grantors have forgotten would have expired.
+func TestCoordinatorSoonAfterFullRestart(t *testing.T) {
 	inFleet(t, func(t *testing.T, f *fleet) {
-		time.Sleep(settle)
+		time.Sleep(electionTime)
 		f.stopAll()
 		for i := range testRouters {
 			f.start(address(i))
 			time.Sleep(10 * time.Millisecond)
 		}
-		time.Sleep(soonAfterRestart)
+		time.Sleep(maxElectionAfterRestart)
 		first := f.coordinator(t)
 		assert.Assert(t, first != nil)
 		time.Sleep(2 * leaseDuration)
@@ -30,22 +32,24 @@
 	})
 }
 
-// TestRemovedCoordinatorGivesItsLeaseBack lets another router follow before the promises run out.
-func TestRemovedCoordinatorGivesItsLeaseBack(t *testing.T) {
+// TestRemovedCoordinatorReleasesLease checks that a coordinator that is no longer a grantor releases its lease, so that another
+// router takes over before the grants expire.
+func TestRemovedCoordinatorReleasesLease(t *testing.T) {
 	inFleet(t, func(t *testing.T, f *fleet) {
-		time.Sleep(settle)
+		time.Sleep(electionTime)
 		first := f.coordinator(t)
 		f.replaceGrantor(first.address, address(testGrantors))
-		time.Sleep(soonAfterRemoval)
+		time.Sleep(maxElectionAfterRemoval)
 		second := f.coordinator(t)
 		assert.Assert(t, second != nil && second != first)
 	})
 }
 
-// TestCoordinatorOutlastsChangeOfGrantors keeps its lease when another grantor is replaced by one that has just started.
-func TestCoordinatorOutlastsChangeOfGrantors(t *testing.T) {
+// TestCoordinatorSurvivesGrantorReplacement checks that the coordinator keeps its lease when another grantor restarts and is
+// replaced.
+func TestCoordinatorSurvivesGrantorReplacement(t *testing.T) {
 	inFleet(t, func(t *testing.T, f *fleet) {
-		time.Sleep(settle)
+		time.Sleep(electionTime)
 		first := f.coordinator(t)
 		term := first.term()
 		for _, r := range f.all()[:testGrantors] {
@@ -66,23 +70,23 @@
 	})
 }
 
-// TestRestartedRoutersTakeNoFleetsPart kills routers while a tenant is at its limit. They come back without having met the others and
-// out of the coordinator's reach for a moment, and none of them takes itself for the whole fleet.
-func TestRestartedRoutersTakeNoFleetsPart(t *testing.T) {
+// TestRestartedRoutersDoNotUseWholeFleetQuota restarts three routers while a tenant is at its limit. For 700 ms they know of no other
+// router and do not reach the coordinator. A router that counted only itself would use the quota of the whole fleet.
+func TestRestartedRoutersDoNotUseWholeFleetQuota(t *testing.T) {
 	inFleet(t, func(t *testing.T, f *fleet) {
-		time.Sleep(settle)
+		time.Sleep(electionTime)
 		f.load(5*testLimit.PerSecond, 8*time.Second)
 		for _, r := range f.all()[5:8] {
 			r.stop()
 			<-r.stopped
-			f.setAlone(r.address, true)
-			f.setCut(r.address, true)
+			f.setNewcomer(r.address, true)
+			f.setIsolated(r.address, true)
 			f.start(r.address)
 		}
 		admitted := f.load(5*testLimit.PerSecond, 700*time.Millisecond)
 		for _, r := range f.all() {
-			f.setCut(r.address, false)
-			f.setAlone(r.address, false)
+			f.setIsolated(r.address, false)
+			f.setNewcomer(r.address, false)
 		}
 		const span = 8 * time.Second
 		admitted += f.load(5*testLimit.PerSecond, span-700*time.Millisecond)
--- a/internal/router/shares/shares.go
+++ b/internal/router/shares/shares.go
@@ -1,8 +1,8 @@
-// Package shares runs the division of tenants' quotas and of the retry budget among the routers.
+// Package shares distributes tenant quotas and the retry budget among the routers.
 //
-// One router, the coordinator, holds a lease that a majority of the grantors has promised. Every router reports to
-// it several times a second and gets its shares back. Requests are decided from what a router has: admission never
-// waits for a message.
+// One router, the coordinator, holds a lease from a majority of the grantors. Every router reports its demand to the
+// coordinator several times a second and receives its shares in return. A router decides on requests from the shares that
+// it has: Admit never waits for a message.
 package shares
 
 import (
@@ -23,9 +23,9 @@
 )
 
 const (
-	// leaseDuration is how long a promise of a grantor lasts.
+	// leaseDuration is how long a grant of a grantor lasts.
 	leaseDuration = 2 * time.Second
-	// leaseDrift is the share of the duration by which two clocks may differ over one duration.
+	// leaseDrift is the fraction of the duration by which two clocks may drift apart over one duration.
 	leaseDrift = 0.1
 )
 
@@ -34,83 +34,85 @@
 	Call(ctx context.Context, address string, request []byte) ([]byte, error)
 }
 
-// Options are what a router's shares need.
+// Options configures Shares.
 type Options struct {
-	// Node is the router's name, Address its address in the transport.
+	// Node is the router's name, Address its transport address.
 	Node    string
 	Address string
 	Bounds  settings.Bounds
 	Caller  Caller
 	Log     logrus.FieldLogger
-	// Clock counts the lease and all that is lent out; nil: the monotonic clock of the runtime.
+	// Clock measures leases and shares; nil means the monotonic clock of the runtime.
 	Clock *steadyclock.Clock
-	// Grantors returns the addresses of the acceptors in force, and during a joint change also those before it.
+	// Grantors returns the addresses of the acceptors in force and, during a joint change, of the previous ones.
 	Grantors func() (voters, previous []string)
-	// GrantorsKnown tells whether this process has heard of no acceptors but those in force, also by its disk.
+	// GrantorsKnown reports whether this process, its disk included, knows of no acceptors other than those in force.
 	GrantorsKnown func() bool
-	// GrantorsSettled tells whether the acceptors have been at their addresses for so long that no lease rests on earlier ones.
+	// GrantorsSettled reports whether the acceptors have been in force at their addresses for so long that no lease can
+	// depend on earlier ones.
 	GrantorsSettled func() bool
-	// Relays returns the addresses of live routers that may pass a message on where the direct way is silent; nil: none.
+	// Relays returns the addresses of live routers that may relay a message whose direct call gets no response; nil means none.
 	Relays func() []string
-	// Routers describes the fleet as far as this router has met it.
+	// Routers returns the size of the fleet as this router knows it.
 	Routers func() FleetSize
-	// Confirmations carries along how new the configuration is; nil: nobody asks.
+	// Confirmations exchanges the age of the configuration in the answers to reports; nil disables it.
 	Confirmations Confirmations
-	// Floors keeps floors of quotas on the router's disk; nil: it has none.
+	// Floors stores quota floors on the router's disk; nil means that it has none.
 	Floors FloorStore
 	// MayCoordinate allows the router to become the coordinator while it is one of the grantors.
 	MayCoordinate bool
 }
 
-// Confirmations are told by the coordinator to all routers, each with its age.
+// Confirmations provides the configuration confirmations that the coordinator sends to all routers, each with its age.
 type Confirmations interface {
-	// Tell is what this router tells as the coordinator; false: nothing.
+	// Tell returns the confirmation that this router sends as the coordinator; false if it has none.
 	Tell() (configlease.Confirmation, bool)
-	// Take takes what the coordinator told in answer to a call that began at the given time of the clock.
+	// Take receives a confirmation of the coordinator. The call that it answers began at askedAt by Options.Clock.
 	Take(askedAt time.Duration, told configlease.Confirmation)
 }
 
-// FleetSize is the number of routers, as one of them sees it.
+// FleetSize is the number of routers in the fleet as one of them knows it.
 type FleetSize struct {
 	Live int
-	// Left counts those known to have left and not come back.
+	// Left counts the routers that have left and not come back.
 	Left int
-	// Settled says that this router has met the fleet long enough ago for all live routers to be counted.
+	// Settled is true once this router has been in contact with the fleet for long enough to count all live routers.
 	Settled bool
 }
 
-// Shares is one router's part in the division.
+// Shares decides on the requests and retries of one router, and takes part in electing the coordinator.
 type Shares struct {
 	options Options
 	clock   *steadyclock.Clock
-	// startedAt is when the shares were made, by the clock. All their times count from then.
-	startedAt time.Duration
-	local     local
-	role      role
-	wake      chan struct{}
-	// heard says that a coordinator has answered since the start.
-	heard atomic.Bool
-	// leaseWake calls the lease loop before its time.
+	// startedAt is the clock's reading when New was called. Times passed to the lease, quota and retrybudget packages count
+	// from it.
+	startedAt    time.Duration
+	local        localState
+	coordination coordinationState
+	exchangeWake chan struct{}
+	// coordinatorHeard is true if a coordinator has answered since the start.
+	coordinatorHeard atomic.Bool
+	// leaseWake makes the lease loop take its next step early.
 	leaseWake chan struct{}
-	// floorWake has a floor table written.
+	// floorWake makes runFloors save a floor table.
 	floorWake chan struct{}
-	// detours are the routers that are reached by way of others.
-	detours detours
-	// calls are the calls of grantors under way.
-	calls sync.WaitGroup
-	// known is the coordinator's address as last heard, guarded by knownMutex.
-	knownMutex sync.Mutex
-	known      string
+	// indirectPeers are the routers that are reached through relays.
+	indirectPeers indirectPeers
+	// leaseCalls counts the calls to grantors in flight.
+	leaseCalls sync.WaitGroup
+	// knownCoordinator is the coordinator's address as last heard, or empty. Guarded by knownCoordinatorMutex.
+	knownCoordinatorMutex sync.Mutex
+	knownCoordinator      string
 }
 
-// local decides about this router's requests.
-type local struct {
+// localState holds the shares by which this router decides on its own requests and retries.
+type localState struct {
 	sync.Mutex
 	admission *quota.Admission
 	budget    *retrybudget.Budget
 }
 
-// New returns the shares of a router that has just started. It asks for the grantors and for the number of routers.
+// New returns the Shares of a router that has just started. It calls Options.Grantors and Options.Routers.
 func New(options Options) *Shares {
 	incarnation := rand.Uint64()
 	if options.Clock == nil {
@@ -118,22 +120,22 @@
 	}
 	config := lease.Config{Duration: leaseDuration, Drift: leaseDrift}
 	s := &Shares{
-		options:   options,
-		clock:     options.Clock,
-		startedAt: options.Clock.Now(),
-		wake:      make(chan struct{}, 1),
-		leaseWake: make(chan struct{}, 1),
-		floorWake: make(chan struct{}, 1),
+		options:      options,
+		clock:        options.Clock,
+		startedAt:    options.Clock.Now(),
+		exchangeWake: make(chan struct{}, 1),
+		leaseWake:    make(chan struct{}, 1),
+		floorWake:    make(chan struct{}, 1),
 	}
 	s.local.admission = quota.NewAdmission(s.quotaRule(), incarnation)
 	s.local.budget = retrybudget.NewBudget(s.retryRule(), incarnation)
-	s.role.grantor = lease.NewGrantor(0, config, max(1, incarnation))
-	s.role.candidate = lease.NewCandidate(0, options.Address, config, rand.Float64)
+	s.coordination.grantor = lease.NewGrantor(0, config, max(1, incarnation))
+	s.coordination.candidate = lease.NewCandidate(0, options.Address, config, rand.Float64)
 	s.refreshRouters(0)
 	return s
 }
 
-// Run takes part in the lease and in the exchange until the context ends.
+// Run takes part in the election of the coordinator and exchanges reports with it until the context ends.
 func (s *Shares) Run(ctx context.Context) {
 	var loops sync.WaitGroup
 	loops.Go(func() { s.runLease(ctx) })
@@ -144,7 +146,8 @@
 	loops.Wait()
 }
 
-// Admit decides whether a request of a tenant runs. The limit counts for tenants that SetLimits hasn't named yet.
+// Admit decides whether a request of a tenant is admitted. If it is refused, the duration says when to retry. The limit applies
+// to tenants that SetLimits has not named yet.
 func (s *Shares) Admit(now time.Time, tenant string, limit quota.Limit, amount float64) (bool, time.Duration) {
 	if limit.Unlimited() {
 		return true, 0
@@ -152,25 +155,25 @@
 	s.local.Lock()
 	defer s.local.Unlock()
 	s.local.admission.Learn(tenant, limit)
-	ok, retryAfter := s.local.admission.Admit(s.since(now), tenant, amount)
-	s.wakeIf(s.local.admission.Urgent())
+	ok, retryAfter := s.local.admission.Admit(s.sinceStart(now), tenant, amount)
+	s.wakeExchangeIf(s.local.admission.Urgent())
 	return ok, retryAfter
 }
 
 const (
-	// shareWaitMost bounds the wait for a tenant's first share.
-	shareWaitMost = 150 * time.Millisecond
-	// shareWaitStep is the pause between two looks for it.
-	shareWaitStep = 10 * time.Millisecond
+	// maxShareWait bounds the wait for a tenant's first share.
+	maxShareWait = 150 * time.Millisecond
+	// shareWaitInterval is the pause between two checks for that share.
+	shareWaitInterval = 10 * time.Millisecond
 )
 
-// AwaitShare waits for the coordinator's answer to a tenant's first requests at this router, and tells whether there was something
-// to wait for. It waits only within the first moments after the first of them: a refusal then says nothing about the tenant's limit.
+// AwaitShare waits for the coordinator's answer to a tenant's first requests at this router, and reports whether it had to wait.
+// It waits only until maxShareWait after the first request: a refusal within that time says nothing about the tenant's limit.
 func (s *Shares) AwaitShare(ctx context.Context, tenant string) bool {
 	waited := false
 	for s.awaitsShare(tenant) {
 		waited = true
-		if !sleep(ctx, shareWaitStep) {
+		if !sleep(ctx, shareWaitInterval) {
 			return false
 		}
 	}
@@ -180,15 +183,15 @@
 func (s *Shares) awaitsShare(tenant string) bool {
 	s.local.Lock()
 	defer s.local.Unlock()
-	return s.local.admission.AwaitsShare(s.now(), tenant, shareWaitMost)
+	return s.local.admission.AwaitsShare(s.now(), tenant, maxShareWait)
 }
 
 // AllowRetry decides whether another attempt at a service may be sent, and counts it if so.
 func (s *Shares) AllowRetry(now time.Time, service string) bool {
 	s.local.Lock()
 	defer s.local.Unlock()
-	allowed := s.local.budget.Allow(s.since(now), service)
-	s.wakeIf(s.local.budget.Urgent())
+	allowed := s.local.budget.Allow(s.sinceStart(now), service)
+	s.wakeExchangeIf(s.local.budget.Urgent())
 	return allowed
 }
 
@@ -196,38 +199,40 @@
 func (s *Shares) CountRequest(now time.Time, service string) {
 	s.local.Lock()
 	defer s.local.Unlock()
-	s.local.budget.CountRequest(s.since(now), service)
+	s.local.budget.CountRequest(s.sinceStart(now), service)
 }
 
-// SetLimits puts the limits of all tenants in force.
+// SetLimits replaces the limits of all tenants.
 func (s *Shares) SetLimits(limits map[string]quota.Limit) {
 	s.local.Lock()
 	s.local.admission.SetLimits(limits)
 	s.local.Unlock()
-	s.role.setLimits(s.now(), limits)
+	s.coordination.setLimits(s.now(), limits)
 }
 
-// now is the time since the start.
+// now returns the time since the start.
 func (s *Shares) now() time.Duration { return s.clock.Now() - s.startedAt }
 
-// since is that at a moment which was read lately.
-func (s *Shares) since(moment time.Time) time.Duration { return s.clock.At(moment) - s.startedAt }
+// sinceStart converts a recent wall-clock reading to the time since the start.
+func (s *Shares) sinceStart(moment time.Time) time.Duration { return s.clock.At(moment) - s.startedAt }
 
-func (s *Shares) wakeIf(urgent bool) {
+// wakeExchangeIf makes the exchange loop report early if the report is urgent.
+func (s *Shares) wakeExchangeIf(urgent bool) {
 	if !urgent {
 		return
 	}
 	select {
-	case s.wake <- struct{}{}:
+	case s.exchangeWake <- struct{}{}:
 	default:
 	}
 }
 
-// RefreshRouters takes over the number of routers before its regular time.
+// RefreshRouters applies the number of routers at once, without waiting for the next exchange.
 func (s *Shares) RefreshRouters() { s.refreshRouters(s.now()) }
 
-// refreshRouters takes over the number of live routers. There are at least as many as grantors. What this router may use without the
-// coordinator waits until the number is settled: a router that has just started would take itself for the whole fleet.
+// refreshRouters applies the number of live routers, which is at least the number of acceptors. It bounds what this router may use
+// without the coordinator only once the number is settled: a router that has just started would otherwise count only itself,
+// and use the quota of the whole fleet.
 func (s *Shares) refreshRouters(now time.Duration) {
 	voters, _ := s.options.Grantors()
 	fleet := s.options.Routers()
@@ -238,12 +243,12 @@
 		s.local.budget.SetRouters(live)
 		s.local.Unlock()
 	}
-	s.role.setRouters(now, live, fleet.Left)
+	s.coordination.setRouters(now, live, fleet.Left)
 }
 
-// rules are what a coordinator in this router goes by.
-func (s *Shares) rules() rules {
-	return rules{heard: s.heard.Load(), quota: s.quotaRule(), retry: s.retryRule()}
+// coordinatorRules returns the rules for the coordinators that this router creates.
+func (s *Shares) coordinatorRules() coordinatorRules {
+	return coordinatorRules{coordinatorHeard: s.coordinatorHeard.Load(), quota: s.quotaRule(), retry: s.retryRule()}
 }
 
 func (s *Shares) quotaRule() quota.Rule {
--- a/internal/router/shares/shares_test.go
+++ b/internal/router/shares/shares_test.go
@@ -14,22 +14,22 @@
 	"pewterrudder/internal/router/steadyclock"
 )
 
-// settle is by when a fleet has a coordinator after its start.
-const settle = 3 * leaseDuration
+// electionTime is the time by which a fleet that has just started has a coordinator.
+const electionTime = 3 * leaseDuration
 
-func TestFleetFindsACoordinator(t *testing.T) {
+func TestFleetElectsCoordinator(t *testing.T) {
 	inFleet(t, func(t *testing.T, f *fleet) {
-		time.Sleep(settle)
+		time.Sleep(electionTime)
 		assert.Assert(t, f.coordinator(t) != nil)
 		for _, r := range f.all() {
-			assert.Assert(t, r.term() > 0, "%s hasn't heard from the coordinator", r.address)
+			assert.Assert(t, r.term() > 0, "%s has no answer from the coordinator", r.address)
 		}
 	})
 }
 
-func TestHotTenantGetsItsLimit(t *testing.T) {
+func TestOverloadedTenantGetsItsLimit(t *testing.T) {
 	inFleet(t, func(t *testing.T, f *fleet) {
-		time.Sleep(settle)
+		time.Sleep(electionTime)
 		f.load(5*testLimit.PerSecond, 8*time.Second)
 		const span = 8 * time.Second
 		share := f.load(5*testLimit.PerSecond, span) / (testLimit.PerSecond * span.Seconds())
@@ -38,9 +38,9 @@
 	})
 }
 
-func TestCalmTenantIsNeverRefused(t *testing.T) {
+func TestTenantBelowLimitIsNotRefused(t *testing.T) {
 	inFleet(t, func(t *testing.T, f *fleet) {
-		time.Sleep(settle)
+		time.Sleep(electionTime)
 		const span = 8 * time.Second
 		asked := 0.5 * testLimit.PerSecond
 		share := f.load(asked, span) / (asked * span.Seconds())
@@ -48,17 +48,17 @@
 	})
 }
 
-// TestCoordinatorStops hands the role over at once.
-func TestCoordinatorStops(t *testing.T) {
+// TestStoppedCoordinatorHandsOver checks that a coordinator that stops is replaced within one lease duration.
+func TestStoppedCoordinatorHandsOver(t *testing.T) {
 	inFleet(t, func(t *testing.T, f *fleet) {
-		time.Sleep(settle)
+		time.Sleep(electionTime)
 		first := f.coordinator(t)
 		first.stop()
 		<-first.stopped
 		time.Sleep(leaseDuration)
 		second := f.coordinator(t)
 		assert.Assert(t, second != nil && second != first)
-		time.Sleep(2 * idleEvery)
+		time.Sleep(2 * idleExchangeInterval)
 		for _, r := range f.all() {
 			if r != first {
 				assert.Equal(t, r.term(), second.term(), "%s doesn't follow the new coordinator", r.address)
@@ -67,13 +67,14 @@
 	})
 }
 
-// TestCoordinatorCutOff loses the role to another router, and limits hold on both sides.
-func TestCoordinatorCutOff(t *testing.T) {
+// TestLimitHoldsWhileCoordinatorIsIsolated isolates the coordinator. Another router must take over, and the tenant's limit must
+// hold meanwhile and after the coordinator is connected again.
+func TestLimitHoldsWhileCoordinatorIsIsolated(t *testing.T) {
 	inFleet(t, func(t *testing.T, f *fleet) {
-		time.Sleep(settle)
+		time.Sleep(electionTime)
 		first := f.coordinator(t)
 		f.load(5*testLimit.PerSecond, 8*time.Second)
-		f.setCut(first.address, true)
+		f.setIsolated(first.address, true)
 		const span = 6 * time.Second
 		share := f.load(5*testLimit.PerSecond, span) / (testLimit.PerSecond * span.Seconds())
 		t.Logf("admitted %.3f of the limit", share)
@@ -85,18 +86,18 @@
 				assert.Equal(t, r.term(), second.term(), "%s doesn't follow the new coordinator", r.address)
 			}
 		}
-		f.setCut(first.address, false)
+		f.setIsolated(first.address, false)
 		f.load(5*testLimit.PerSecond, 2*time.Second)
 		share = f.load(5*testLimit.PerSecond, span) / (testLimit.PerSecond * span.Seconds())
 		assert.Assert(t, share >= 0.97 && share <= 1.03, "admitted %.3f of the limit after the cut", share)
 	})
 }
 
-// TestCoordinatorThatSleptHoldsNothing suspends the coordinator's machine for a lease. Its monotonic clock has stood still meanwhile, and
-// it is no coordinator any more when it wakes up.
-func TestCoordinatorThatSleptHoldsNothing(t *testing.T) {
+// TestSuspendedCoordinatorLosesLease suspends the coordinator's machine for one lease duration. Its monotonic clock stands still
+// meanwhile, and yet it must not consider itself the coordinator after the suspension.
+func TestSuspendedCoordinatorLosesLease(t *testing.T) {
 	inFleet(t, func(t *testing.T, f *fleet) {
-		time.Sleep(settle)
+		time.Sleep(electionTime)
 		first := f.coordinator(t)
 		first.suspend(leaseDuration)
 		time.Sleep(steadyclock.SampleEvery)
@@ -104,14 +105,15 @@
 	})
 }
 
-// TestSleepCostsNoMoreThanItsTime suspends each machine in turn. The fleet has a coordinator soon, and a calm tenant is served.
-func TestSleepCostsNoMoreThanItsTime(t *testing.T) {
+// TestFleetRecoversFromSuspension suspends each machine in turn. Each time the fleet must have a coordinator again within two lease
+// durations, and afterwards a tenant below its limit must not be refused.
+func TestFleetRecoversFromSuspension(t *testing.T) {
 	inFleet(t, func(t *testing.T, f *fleet) {
-		time.Sleep(settle)
+		time.Sleep(electionTime)
 		for _, r := range f.all() {
 			r.suspend(time.Minute)
 			time.Sleep(2 * leaseDuration)
-			assert.Assert(t, f.coordinator(t) != nil, "after the sleep of %s", r.address)
+			assert.Assert(t, f.coordinator(t) != nil, "after the suspension of %s", r.address)
 		}
 		const span = 8 * time.Second
 		asked := 0.5 * testLimit.PerSecond
@@ -120,14 +122,15 @@
 	})
 }
 
-// TestCoordinatorInHalves cuts six acceptors into two halves, each of the ten ways. The routers that reach both have a coordinator soon.
-func TestCoordinatorInHalves(t *testing.T) {
+// TestSplitAcceptorsElectCoordinator partitions six acceptors into two halves in each of the ten ways, without relays. After
+// two lease durations and a second of traffic, the routers that reach both halves must follow one coordinator.
+func TestSplitAcceptorsElectCoordinator(t *testing.T) {
 	const acceptors = 6
 	for first := 1; first < acceptors; first++ {
 		for second := first + 1; second < acceptors; second++ {
 			inFleetWith(t, acceptors, func(t *testing.T, f *fleet) {
-				time.Sleep(settle)
-				f.setHalves([]int{0, first, second})
+				time.Sleep(electionTime)
+				f.partition([]int{0, first, second})
 				time.Sleep(2 * leaseDuration)
 				f.load(testLimit.PerSecond, time.Second)
 				holder := f.coordinator(t)
@@ -140,39 +143,39 @@
 	}
 }
 
-// TestFirstRequestCallsForAShare reports a tenant's first request at once, not at the next turn.
-func TestFirstRequestCallsForAShare(t *testing.T) {
+// TestFirstRequestTriggersExchange checks that a tenant's first request is reported at once, not with the next regular report.
+func TestFirstRequestTriggersExchange(t *testing.T) {
 	inFleet(t, func(t *testing.T, f *fleet) {
-		time.Sleep(settle)
+		time.Sleep(electionTime)
 		before := f.messages.Load()
 		for _, r := range f.all() {
 			r.shares.Admit(time.Now(), testTenant, testLimit, 1)
 		}
-		time.Sleep(urgentGap + 3*testDelay)
+		time.Sleep(minExchangeInterval + 3*testDelay)
 		assert.Assert(t, f.messages.Load()-before >= testRouters-1)
 	})
 }
 
-// TestCheapAtRest counts messages without traffic.
-func TestCheapAtRest(t *testing.T) {
+// TestMessageRateWithoutTraffic bounds the number of messages that routers send while there is no traffic.
+func TestMessageRateWithoutTraffic(t *testing.T) {
 	inFleet(t, func(t *testing.T, f *fleet) {
-		time.Sleep(settle)
+		time.Sleep(electionTime)
 		before := f.messages.Load()
 		const span = 60 * time.Second
 		time.Sleep(span)
 		perRouter := float64(f.messages.Load()-before) / span.Seconds() / testRouters
-		t.Logf("%.2f messages a second and router", perRouter)
-		assert.Assert(t, perRouter <= 2.2, "%.2f messages", perRouter)
+		t.Logf("%.2f messages per second and router", perRouter)
+		assert.Assert(t, perRouter <= 2.2, "%.2f messages per second and router", perRouter)
 	})
 }
 
-// TestAdmitDoesNotWait answers at once while every call hangs.
-func TestAdmitDoesNotWait(t *testing.T) {
+// TestAdmitDoesNotBlock checks that Admit, CountRequest and AllowRetry return at once while every call between routers hangs.
+func TestAdmitDoesNotBlock(t *testing.T) {
 	inFleet(t, func(t *testing.T, f *fleet) {
 		for _, r := range f.all() {
-			f.setCut(r.address, true)
+			f.setIsolated(r.address, true)
 		}
-		time.Sleep(settle)
+		time.Sleep(electionTime)
 		r := f.all()[5]
 		start := time.Now()
 		for range 1000 {
@@ -184,15 +187,15 @@
 	})
 }
 
-func TestUnlimitedTenant(t *testing.T) {
+func TestUnlimitedTenantIsAdmitted(t *testing.T) {
 	inFleet(t, func(t *testing.T, f *fleet) {
 		ok, _ := f.all()[0].shares.Admit(time.Now(), "other", quota.Limit{}, 1e12)
 		assert.Assert(t, ok)
 	})
 }
 
-// TestRetriesAreLent lets one router have more retries than its even part.
-func TestRetriesAreLent(t *testing.T) {
+// TestRouterBorrowsRetries checks that one router gets more retries than its even share while the others need none.
+func TestRouterBorrowsRetries(t *testing.T) {
 	inFleet(t, func(t *testing.T, f *fleet) {
 		time.Sleep(20 * time.Second)
 		r := f.all()[6]
@@ -208,7 +211,7 @@
 	})
 }
 
-func TestMessagesOfOtherVersions(t *testing.T) {
+func TestMessageVersionCompatibility(t *testing.T) {
 	inFleet(t, func(t *testing.T, f *fleet) {
 		shares := f.all()[0].shares
 		type later struct {
@@ -220,7 +223,7 @@
 		assert.NilError(t, err)
 		_, err = shares.HandleRequest(context.Background(), data)
 		assert.NilError(t, err)
-		data, err = msgpack.Marshal(&request{Version: protocolVersion + 1, Lookup: true})
+		data, err = msgpack.Marshal(&request{Version: protocolVersion + 1, FindCoordinator: true})
 		assert.NilError(t, err)
 		_, err = shares.HandleRequest(context.Background(), data)
 		assert.ErrorContains(t, err, fmt.Sprintf("version %d", protocolVersion+1))
@@ -229,34 +232,34 @@
 		data, err = encodeRequest(request{})
 		assert.NilError(t, err)
 		_, err = shares.HandleRequest(context.Background(), data)
-		assert.ErrorIs(t, err, errNoPart)
+		assert.ErrorIs(t, err, errUnknownRequest)
 	})
 }
 
-// TestFirstRequestsAwaitAShare waits for the coordinator's answer once, and not beyond the first moments.
-func TestFirstRequestsAwaitAShare(t *testing.T) {
+// TestAwaitShareWaitsForFirstAnswer checks that AwaitShare waits for the first answer about a tenant, and not again after it.
+func TestAwaitShareWaitsForFirstAnswer(t *testing.T) {
 	inFleet(t, func(t *testing.T, f *fleet) {
-		time.Sleep(settle)
+		time.Sleep(electionTime)
 		r := f.all()[0]
-		assert.Assert(t, !r.shares.AwaitShare(t.Context(), testTenant), "no request has come yet")
+		assert.Assert(t, !r.shares.AwaitShare(t.Context(), testTenant), "waits before the first request")
 		r.shares.Admit(time.Now(), testTenant, testLimit, 1)
 		start := time.Now()
 		assert.Assert(t, r.shares.AwaitShare(t.Context(), testTenant))
-		assert.Assert(t, time.Since(start) < shareWaitMost, "%v", time.Since(start))
-		assert.Assert(t, !r.shares.AwaitShare(t.Context(), testTenant), "the answer has come")
+		assert.Assert(t, time.Since(start) < maxShareWait, "%v", time.Since(start))
+		assert.Assert(t, !r.shares.AwaitShare(t.Context(), testTenant), "waits after the answer")
 	})
 }
 
-// TestAShareThatDoesNotComeIsNotAwaitedForLong gives up on a coordinator out of reach.
-func TestAShareThatDoesNotComeIsNotAwaitedForLong(t *testing.T) {
+// TestAwaitShareTimesOut checks that AwaitShare gives up when the coordinator is unreachable.
+func TestAwaitShareTimesOut(t *testing.T) {
 	inFleet(t, func(t *testing.T, f *fleet) {
-		time.Sleep(settle)
+		time.Sleep(electionTime)
 		r := f.all()[0]
-		f.setCut(r.address, true)
+		f.setIsolated(r.address, true)
 		r.shares.Admit(time.Now(), testTenant, testLimit, 1)
 		start := time.Now()
 		assert.Assert(t, r.shares.AwaitShare(t.Context(), testTenant))
-		assert.Assert(t, time.Since(start) <= shareWaitMost+shareWaitStep, "%v", time.Since(start))
+		assert.Assert(t, time.Since(start) <= maxShareWait+shareWaitInterval, "%v", time.Since(start))
 		assert.Assert(t, !r.shares.AwaitShare(t.Context(), testTenant))
 	})
 }
--- a/internal/router/shares/standing.go
+++ b/internal/router/shares/standing.go
@@ -6,23 +6,24 @@
 	"pewterrudder/internal/router/quota"
 )
 
-// Standing is what a router knows of the division.
+// Standing describes how a router sees the distribution of quotas.
 type Standing struct {
-	// Coordinator is the address of the router that divides, empty if none is known.
+	// Coordinator is the coordinator's address; empty if none is known.
 	Coordinator string
-	// Leads says that this router does.
+	// Leads is true if this router is the coordinator.
 	Leads bool
-	Term  uint64
-	// Silence is the time since the coordinator's last answer; Heard says that there was one.
+	// Term is that of the coordinator that answered last.
+	Term uint64
+	// Silence is the time since the coordinator's last answer. Heard is false if there was none.
 	Silence time.Duration
 	Heard   bool
-	// Tenants are those with the most requests here.
+	// Tenants are the tenants with the most requests at this router.
 	Tenants []quota.Standing
 }
 
-// Standing describes the division, with some tenants at most. It asks nobody.
+// Standing returns this router's view of the distribution, with at most the given number of tenants. It sends no messages.
 func (s *Shares) Standing(tenants int) Standing {
-	standing := Standing{Coordinator: s.getKnown(), Leads: s.Holds()}
+	standing := Standing{Coordinator: s.getKnownCoordinator(), Leads: s.Holds()}
 	if standing.Leads {
 		standing.Coordinator = s.options.Address
 	}
