--- a/internal/router/lease/candidate.go
+++ b/internal/router/lease/candidate.go
@@ -8,45 +8,46 @@
 const (
 	// renewalsPerDuration is how often a holder renews within one duration.
 	renewalsPerDuration = 3
-	// patienceShare is the share of the duration after which a round without majorities is given up.
-	patienceShare = 0.25
-	// backoffShare is the share of the duration within which a candidate tries again after a lost round.
-	backoffShare = 0.3
-	// hastenShare is the share of the duration within which a candidate tries again after a promise was given back.
-	hastenShare = 0.1
-	// firstRoundRange is the range of a candidate's first round number. It is drawn, so that a late response to an
-	// earlier process of the same name isn't taken for one to this process.
+	// roundTimeoutFraction is the fraction of the duration after which a round without majorities is abandoned.
+	roundTimeoutFraction = 0.25
+	// backoffFraction is the fraction of the duration within which a candidate starts another round after a failed one.
+	backoffFraction = 0.3
+	// earlyRetryFraction is the fraction of the duration within which a candidate starts a round after another one has
+	// released its grants.
+	earlyRetryFraction = 0.1
+	// firstRoundRange is the range of a candidate's first round number. The number is random, so that a late response to an
+	// earlier process of the same name is not mistaken for one to this process.
 	firstRoundRange = 1 << 48
 )
 
-// Message is a request on its way to a grantor.
+// Message is a request to the grantor named To.
 type Message struct {
 	To      string
 	Request Request
 }
 
-// Candidate competes for the role and renews it while it has it.
+// Candidate competes for the lease, and renews it while it holds it.
 type Candidate struct {
-	name    string
-	config  Config
-	jitter  func() float64
-	sets    grantorSets
-	round   round
-	rounds  uint64
-	highest Term
-	term    Term
-	until   time.Duration
-	nextTry time.Duration
-	// notBefore is the earliest moment of a round without a proof.
-	notBefore time.Duration
-	released  []Message
+	name        string
+	config      Config
+	jitter      func() float64
+	sets        grantorSets
+	round       round
+	lastNumber  uint64 // of rounds and probes
+	highestTerm Term   // of all terms seen
+	term        Term   // of the lease held last
+	heldUntil   time.Duration
+	nextRoundAt time.Duration
+	// earliestRoundAt is the earliest time of a round that another candidate's release triggers.
+	earliestRoundAt time.Duration
+	pendingReleases []Message
 
 	proofAllowed  bool
 	grantorsKnown bool
 	prober        prober
 }
 
-// round is one collection of promises.
+// round is one attempt to get grants from majorities of the grantor sets.
 type round struct {
 	number  uint64
 	term    Term
@@ -55,227 +56,231 @@
 	granted map[string]bool
 	refused map[string]bool
 	sets    grantorSets
-	// lost says that the round's promises were given back. Those that come later are, too.
-	lost bool
+	// abandoned is true once the round's grants were released. Grants that arrive later are released as well.
+	abandoned bool
 }
 
-// isHopeless tells whether so many grantors have refused that the others are no majorities.
-func (r *round) isHopeless() bool {
+// cannotWin reports whether so many grantors have refused that the others do not form majorities.
+func (r *round) cannotWin() bool {
 	mayGrant := map[string]bool{}
 	for _, grantor := range r.sets.members() {
 		mayGrant[grantor] = !r.refused[grantor]
 	}
-	return !r.sets.majorities(mayGrant)
+	return !r.sets.hasMajorities(mayGrant)
 }
 
-// NewCandidate returns a candidate that has just started. Without a proof that nobody holds the role, it competes after
-// one duration at the earliest, by when no lease rests on grantor sets that it has never heard of. Jitter returns numbers in [0, 1).
+// NewCandidate returns a candidate that has just started. Without a proof that nobody holds the lease, it waits for one duration
+// before its first round, by when no lease depends on grantor sets that it does not know of. Jitter returns numbers in [0, 1).
 func NewCandidate(now time.Duration, name string, config Config, jitter func() float64) *Candidate {
 	firstRound := uint64(jitter() * firstRoundRange)
 	return &Candidate{
-		name:      name,
-		config:    config,
-		jitter:    jitter,
-		rounds:    firstRound,
-		nextTry:   now + config.Duration,
-		notBefore: now + config.Duration,
-		prober:    prober{until: now + config.Duration, known: map[string]uint64{}},
+		name:            name,
+		config:          config,
+		jitter:          jitter,
+		lastNumber:      firstRound,
+		nextRoundAt:     now + config.Duration,
+		earliestRoundAt: now + config.Duration,
+		prober:          prober{deadline: now + config.Duration, incarnations: map[string]uint64{}},
 	}
 }
 
-// SetGrantors puts grantor sets in force. During a joint change both are given.
+// SetGrantors replaces the grantor sets in force. During a joint change there are two, otherwise previous is empty.
 func (c *Candidate) SetGrantors(now time.Duration, voters, previous []string) {
-	c.sets = c.sets.replace(now, c.config.Duration, sorted(voters), sorted(previous))
+	c.sets = c.sets.replace(now, c.config.Duration, sortedUnique(voters), sortedUnique(previous))
 }
 
-// Held tells whether the candidate has the role at this moment, and its term.
+// Held returns the term of the lease, and whether the candidate holds it now.
 func (c *Candidate) Held(now time.Duration) (Term, bool) {
-	if now >= c.until {
+	if now >= c.heldUntil {
 		return 0, false
 	}
 	return c.term, true
 }
 
-// Observe tells the candidate of a term that is in use elsewhere. A lease with a lower term is given up, since
-// those that know the higher one wouldn't follow it.
-func (c *Candidate) Observe(now time.Duration, term Term) {
-	c.highest = max(c.highest, term)
+// ObserveTerm notes a term that is in use elsewhere. The candidate gives up a lease with a lower term, since processes that
+// know the higher one would not follow it.
+func (c *Candidate) ObserveTerm(now time.Duration, term Term) {
+	c.highestTerm = max(c.highestTerm, term)
 	if held, ok := c.Held(now); ok && held < term {
 		c.Resign(now)
 	}
 }
 
-// Resign gives the role up at once.
+// Resign gives up the lease at once, if the candidate holds it.
 func (c *Candidate) Resign(now time.Duration) {
 	if _, held := c.Held(now); !held {
 		return
 	}
-	c.until = now
+	c.heldUntil = now
 	c.round.open = false
-	c.round.lost = true
-	c.releaseTo(c.sets.valid(now).members(), c.term)
-	c.nextTry = now + c.pause()
+	c.round.abandoned = true
+	c.queueReleases(c.sets.activeAt(now).members(), c.term)
+	c.nextRoundAt = now + c.backoff()
 }
 
-// Hasten lets a candidate that waits for the end of another's lease try again soon, since the other has given the promise
-// back to the grantor of this process.
-func (c *Candidate) Hasten(now time.Duration, release Request) {
+// RetrySoon lets a candidate that waits for another's lease to expire start a round soon, because the other has sent the given
+// release to the grantor of this process.
+func (c *Candidate) RetrySoon(now time.Duration, release Request) {
 	if _, held := c.Held(now); held || c.round.open || release.Holder == c.name {
 		return
 	}
-	c.nextTry = min(c.nextTry, max(c.notBefore, now+c.hastenWait(now)))
+	c.nextRoundAt = min(c.nextRoundAt, max(c.earliestRoundAt, now+c.earlyRetryDelay(now)))
 }
 
-// hastenWait is the time until a hastened candidate tries. Candidates take turns in the order of their names, since two that ask at the
-// same time would get a part of the promises each. Half of each turn keeps the turns apart.
-func (c *Candidate) hastenWait(now time.Duration) time.Duration {
-	members := c.sets.valid(now).members()
+// earlyRetryDelay returns the time until the round that RetrySoon schedules. Candidates take turns in the order of their names,
+// since two concurrent ones would each get only part of the grants. The jitter covers half of a turn, so that turns stay apart.
+func (c *Candidate) earlyRetryDelay(now time.Duration) time.Duration {
+	members := c.sets.activeAt(now).members()
 	turn := float64(max(0, slices.Index(members, c.name))) + c.jitter()/2
-	return time.Duration(float64(c.config.Duration) * hastenShare * turn / float64(max(1, len(members))))
+	return time.Duration(float64(c.config.Duration) * earlyRetryFraction * turn / float64(max(1, len(members))))
 }
 
-// Released returns the messages that give promises back, which are due at once.
-func (c *Candidate) Released() []Message {
-	messages := c.released
-	c.released = nil
+// TakeReleases returns the pending messages that release grants, and forgets them. They are to be sent at once.
+func (c *Candidate) TakeReleases() []Message {
+	messages := c.pendingReleases
+	c.pendingReleases = nil
 	return messages
 }
 
-// NextAt returns the moment at which Tick has work again.
+// NextAt returns the time at which Tick must be called next.
 func (c *Candidate) NextAt(now time.Duration) time.Duration {
-	if len(c.released) > 0 {
+	if len(c.pendingReleases) > 0 {
 		return now
 	}
-	next := c.nextTry
+	next := c.nextRoundAt
 	if c.round.open {
-		next = min(next, c.round.sentAt+c.patience())
+		next = min(next, c.round.sentAt+c.roundTimeout())
 	}
-	if c.probing(now) {
-		next = min(next, c.prober.nextAt)
+	if c.wantsProof(now) {
+		next = min(next, c.prober.nextProbeAt)
 	}
 	return next
 }
 
-// Tick returns the messages that are due. The seed is a lower bound for the term of a new lease.
+// Tick returns the messages that are due now. The seed is a lower bound for the term of a new lease.
 func (c *Candidate) Tick(now time.Duration, seed Term) []Message {
 	c.closeOverdueRound(now)
-	messages := c.Released()
-	if now < c.nextTry {
-		return append(messages, c.tickProbe(now)...)
+	messages := c.TakeReleases()
+	if now < c.nextRoundAt {
+		return append(messages, c.dueProbes(now)...)
 	}
 	term, held := c.Held(now)
 	if !held {
-		term = max(c.highest+1, seed)
+		term = max(c.highestTerm+1, seed)
 	}
-	return append(messages, c.open(now, term)...)
+	return append(messages, c.startRound(now, term)...)
 }
 
-// Receive takes a grantor's response.
+// Receive handles a grantor's response.
 func (c *Candidate) Receive(now time.Duration, from string, response Response) {
-	c.highest = max(c.highest, response.Highest)
+	c.highestTerm = max(c.highestTerm, response.HighestTerm)
 	if response.Probe {
-		c.receiveProbe(now, from, response)
+		c.receiveProbeResponse(now, from, response)
 		return
 	}
 	if response.Round != c.round.number {
 		return
 	}
-	if c.round.lost && response.Granted {
-		c.releaseTo([]string{from}, c.round.term)
+	if c.round.abandoned && response.Granted {
+		c.queueReleases([]string{from}, c.round.term)
 	}
 	if !c.round.open {
 		return
 	}
 	if !response.Granted {
-		c.refused(now, from, response)
+		c.receiveRefusal(now, from, response)
 		return
 	}
 	c.round.granted[from] = true
-	if c.round.sets.majorities(c.round.granted) {
-		c.win(now)
+	if c.round.sets.hasMajorities(c.round.granted) {
+		c.extendLease(now)
 	}
 }
 
-func (c *Candidate) open(now time.Duration, term Term) []Message {
-	sets := c.sets.valid(now)
-	c.rounds++
-	c.highest = max(c.highest, term)
-	c.round = round{number: c.rounds, term: term, sentAt: now, open: true, granted: map[string]bool{}, refused: map[string]bool{}, sets: sets}
-	c.nextTry = now + c.config.Duration/renewalsPerDuration
-	request := Request{Holder: c.name, Term: term, Round: c.rounds, Sets: sets.lists()}
-	return c.prober.prove(address(sets.members(), request))
+// startRound returns the requests of a new round for the given term.
+func (c *Candidate) startRound(now time.Duration, term Term) []Message {
+	sets := c.sets.activeAt(now)
+	c.lastNumber++
+	c.highestTerm = max(c.highestTerm, term)
+	c.round = round{number: c.lastNumber, term: term, sentAt: now, open: true, granted: map[string]bool{}, refused: map[string]bool{}, sets: sets}
+	c.nextRoundAt = now + c.config.Duration/renewalsPerDuration
+	request := Request{Holder: c.name, Term: term, Round: c.lastNumber, Sets: sets.memberLists()}
+	return c.prober.attachProof(messagesTo(sets.members(), request))
 }
 
-// win extends the lease from the moment at which the round's requests were sent.
-func (c *Candidate) win(now time.Duration) {
+// extendLease acquires or extends the lease. Its duration counts from when the round's requests were sent.
+func (c *Candidate) extendLease(now time.Duration) {
 	c.round.open = false
-	until := c.round.sentAt + c.config.holdFor()
+	until := c.round.sentAt + c.config.holdDuration()
 	if now >= until {
 		return
 	}
 	c.term = c.round.term
-	c.until = until
-	c.prober.until = now
-	c.nextTry = c.round.sentAt + c.config.Duration/renewalsPerDuration
+	c.heldUntil = until
+	c.prober.deadline = now
+	c.nextRoundAt = c.round.sentAt + c.config.Duration/renewalsPerDuration
 }
 
-// refused puts the next attempt off while another holder has the grantor's promise. A round that can't be won any more ends at once:
-// the promises that it has would only stand in the way of others.
-func (c *Candidate) refused(now time.Duration, from string, response Response) {
+// receiveRefusal delays the next round while another holder has the grantor's grant. A round that can no longer win ends at once,
+// since its grants would only block other candidates.
+func (c *Candidate) receiveRefusal(now time.Duration, from string, response Response) {
 	c.round.refused[from] = true
 	wait := min(response.Remaining, c.config.Duration)
-	if response.Embargo {
-		c.prober.until = max(c.prober.until, now+wait)
+	if response.InGracePeriod {
+		c.prober.deadline = max(c.prober.deadline, now+wait)
 	}
 	if _, held := c.Held(now); held {
 		return
 	}
-	c.nextTry = max(c.nextTry, now+min(wait, c.config.Duration/renewalsPerDuration)+c.pause())
-	if c.round.isHopeless() {
-		c.giveBack()
+	c.nextRoundAt = max(c.nextRoundAt, now+min(wait, c.config.Duration/renewalsPerDuration)+c.backoff())
+	if c.round.cannotWin() {
+		c.abandonRound()
 	}
 }
 
-// closeOverdueRound ends a round for which the candidate has waited long enough.
+// closeOverdueRound ends a round that has timed out. A holder starts the next one at once, and releases nothing, since its lease
+// depends on the grants.
 func (c *Candidate) closeOverdueRound(now time.Duration) {
-	if !c.round.open || now < c.round.sentAt+c.patience() {
+	if !c.round.open || now < c.round.sentAt+c.roundTimeout() {
 		return
 	}
 	if _, held := c.Held(now); held {
 		c.round.open = false
-		c.nextTry = min(c.nextTry, now)
+		c.nextRoundAt = min(c.nextRoundAt, now)
 		return
 	}
-	c.giveBack()
-	c.nextTry = max(c.nextTry, now+c.pause())
+	c.abandonRound()
+	c.nextRoundAt = max(c.nextRoundAt, now+c.backoff())
 }
 
-// giveBack ends a lost round and gives its promises back, so that another candidate need not wait for their end.
-func (c *Candidate) giveBack() {
+// abandonRound ends a failed round and releases its grants, so that another candidate need not wait until they expire.
+func (c *Candidate) abandonRound() {
 	c.round.open = false
-	c.round.lost = true
+	c.round.abandoned = true
 	granted := make([]string, 0, len(c.round.granted))
 	for grantor := range c.round.granted {
 		granted = append(granted, grantor)
 	}
 	slices.Sort(granted)
-	c.releaseTo(granted, c.round.term)
+	c.queueReleases(granted, c.round.term)
 }
 
-func (c *Candidate) releaseTo(grantors []string, term Term) {
+// queueReleases adds releases of the grants for a term to the pending messages.
+func (c *Candidate) queueReleases(grantors []string, term Term) {
 	request := Request{Holder: c.name, Term: term, Release: true}
-	c.released = append(c.released, address(grantors, request)...)
+	c.pendingReleases = append(c.pendingReleases, messagesTo(grantors, request)...)
 }
 
-func (c *Candidate) pause() time.Duration {
-	return time.Duration(float64(c.config.Duration) * backoffShare * c.jitter())
+// backoff returns a random delay before another round.
+func (c *Candidate) backoff() time.Duration {
+	return time.Duration(float64(c.config.Duration) * backoffFraction * c.jitter())
 }
 
-func (c *Candidate) patience() time.Duration {
-	return time.Duration(float64(c.config.Duration) * patienceShare)
+func (c *Candidate) roundTimeout() time.Duration {
+	return time.Duration(float64(c.config.Duration) * roundTimeoutFraction)
 }
 
-func address(grantors []string, request Request) []Message {
+func messagesTo(grantors []string, request Request) []Message {
 	messages := make([]Message, 0, len(grantors))
 	for _, grantor := range grantors {
 		messages = append(messages, Message{To: grantor, Request: request})
--- a/internal/router/lease/grantor.go
+++ b/internal/router/lease/grantor.go
@@ -5,86 +5,88 @@
 	"time"
 )
 
-// Grantor promises the role to one holder at a time.
+// Grantor grants the lease to one holder at a time.
 type Grantor struct {
-	config      Config
-	incarnation uint64
-	silentTill  time.Duration
-	holder      string
-	highest     Term
-	expiry      time.Duration
-	sets        [][]string
+	config         Config
+	incarnation    uint64
+	graceUntil     time.Duration
+	holder         string
+	highestTerm    Term
+	grantExpiresAt time.Duration
+	sets           [][]string
 }
 
-// NewGrantor returns a grantor that has just started. It may have made promises before that it has forgotten, so it
-// makes none until those have run out, or until a candidate proves that they are void. The incarnation isn't zero and
-// differs from that of all earlier processes of the grantor.
+// NewGrantor returns a grantor that has just started. It may have forgotten grants that it made before its start, so it
+// makes none until those have expired, or until a candidate proves that they are void. The incarnation must not be zero,
+// and must differ from that of all earlier processes of the grantor.
 func NewGrantor(now time.Duration, config Config, incarnation uint64) *Grantor {
-	return &Grantor{config: config, incarnation: incarnation, silentTill: now + config.Duration}
+	return &Grantor{config: config, incarnation: incarnation, graceUntil: now + config.Duration}
 }
 
-// SetGrantors tells the grantor sets in force. During a joint change both are given.
+// SetGrantors replaces the grantor sets in force. During a joint change there are two, otherwise previous is empty.
 func (g *Grantor) SetGrantors(voters, previous []string) {
 	g.sets = nil
-	for _, members := range [][]string{sorted(voters), sorted(previous)} {
+	for _, members := range [][]string{sortedUnique(voters), sortedUnique(previous)} {
 		if len(members) > 0 {
 			g.sets = append(g.sets, members)
 		}
 	}
 }
 
-// HandleProbe answers a probe. Idle is what the candidate of the same process says of itself.
+// HandleProbe answers a probe. Idle is the result of Candidate.Idle for the candidate in the same process.
 func (g *Grantor) HandleProbe(now time.Duration, request Request, idle bool) Response {
-	response := g.answer(now, request, false)
+	response := g.respond(now, request, false)
 	response.Probe = true
 	response.Idle = idle
 	response.Incarnation = g.incarnation
 	return response
 }
 
-// Handle answers a request of a candidate.
+// Handle answers a candidate's request for a grant, or for its release.
 func (g *Grantor) Handle(now time.Duration, request Request) Response {
 	if request.Proof == g.incarnation {
-		g.silentTill = min(g.silentTill, now)
+		g.graceUntil = min(g.graceUntil, now)
 	}
 	if request.Release {
 		g.release(now, request)
-		return g.answer(now, request, false)
+		return g.respond(now, request, false)
 	}
 	granted := g.mayGrant(now, request)
 	if granted {
 		g.holder = request.Holder
-		g.highest = request.Term
-		g.expiry = now + g.config.Duration
+		g.highestTerm = request.Term
+		g.grantExpiresAt = now + g.config.Duration
 	}
-	return g.answer(now, request, granted)
+	return g.respond(now, request, granted)
 }
 
-// Current returns the holder that has this grantor's promise, if any.
-func (g *Grantor) Current(now time.Duration) (holder string, term Term, held bool) {
-	if !g.promised(now) {
+// CurrentHolder returns the holder of this grantor's current grant and its term; held is false if there is none.
+func (g *Grantor) CurrentHolder(now time.Duration) (holder string, term Term, held bool) {
+	if !g.hasActiveGrant(now) {
 		return "", 0, false
 	}
-	return g.holder, g.highest, true
+	return g.holder, g.highestTerm, true
 }
 
-func (g *Grantor) promised(now time.Duration) bool { return g.holder != "" && now < g.expiry }
+func (g *Grantor) hasActiveGrant(now time.Duration) bool {
+	return g.holder != "" && now < g.grantExpiresAt
+}
 
 func (g *Grantor) mayGrant(now time.Duration, request Request) bool {
-	if now < g.silentTill || request.Holder == "" || !g.knownTo(request) {
+	if now < g.graceUntil || request.Holder == "" || !g.coversSets(request) {
 		return false
 	}
-	if request.Holder == g.holder && request.Term == g.highest {
+	if request.Holder == g.holder && request.Term == g.highestTerm {
 		return true
 	}
-	if g.promised(now) && request.Holder != g.holder {
+	if g.hasActiveGrant(now) && request.Holder != g.holder {
 		return false
 	}
-	return request.Term > g.highest
+	return request.Term > g.highestTerm
 }
 
-// knownTo tells whether the candidate asks majorities of all sets that the grantor knows to be in force.
-func (g *Grantor) knownTo(request Request) bool {
+// coversSets reports whether the candidate needs majorities of all sets that the grantor knows to be in force.
+func (g *Grantor) coversSets(request Request) bool {
 	for _, members := range g.sets {
 		if !slices.ContainsFunc(request.Sets, func(set []string) bool { return slices.Equal(set, members) }) {
 			return false
@@ -94,20 +96,20 @@
 }
 
 func (g *Grantor) release(now time.Duration, request Request) {
-	if g.promised(now) && g.holder == request.Holder && g.highest == request.Term {
-		g.expiry = now
+	if g.hasActiveGrant(now) && g.holder == request.Holder && g.highestTerm == request.Term {
+		g.grantExpiresAt = now
 	}
 }
 
-func (g *Grantor) answer(now time.Duration, request Request, granted bool) Response {
-	response := Response{Granted: granted, Round: request.Round, Highest: g.highest}
+func (g *Grantor) respond(now time.Duration, request Request, granted bool) Response {
+	response := Response{Granted: granted, Round: request.Round, HighestTerm: g.highestTerm}
 	switch {
-	case now < g.silentTill:
-		response.Embargo = true
-		response.Remaining = g.silentTill - now
-	case g.promised(now):
+	case now < g.graceUntil:
+		response.InGracePeriod = true
+		response.Remaining = g.graceUntil - now
+	case g.hasActiveGrant(now):
 		response.Holder = g.holder
-		response.Remaining = g.expiry - now
+		response.Remaining = g.grantExpiresAt - now
 	}
 	return response
 }
--- a/internal/router/lease/grantorset.go
+++ b/internal/router/lease/grantorset.go
@@ -5,16 +5,16 @@
 	"time"
 )
 
-// forever marks a grantor set that is in force until it is replaced.
-const forever time.Duration = 1<<63 - 1
+// noExpiry is the end of a grantor set that is in force until it is replaced.
+const noExpiry time.Duration = 1<<63 - 1
 
-// grantorSet is one set of which a majority must promise the role, up to a moment.
+// grantorSet is a set of grantors of which a majority must grant the lease, until the given time.
 type grantorSet struct {
 	members []string
 	until   time.Duration
 }
 
-func (s grantorSet) majority(granted map[string]bool) bool {
+func (s grantorSet) hasMajority(granted map[string]bool) bool {
 	count := 0
 	for _, member := range s.members {
 		if granted[member] {
@@ -24,19 +24,19 @@
 	return count > len(s.members)/2
 }
 
-// grantorSets are all sets whose majorities a candidate needs at present.
+// grantorSets are all sets of which a candidate needs majorities.
 type grantorSets []grantorSet
 
-// replace puts the given sets in force. Sets that were in force before are needed for another while, so that a
-// lease that rests on them alone has run out when they no longer count.
+// replace puts the given sets in force. Majorities of earlier sets are needed for the duration keep, so that a lease that
+// depends only on them has expired when they no longer count.
 func (s grantorSets) replace(now, keep time.Duration, sets ...[]string) grantorSets {
 	var next grantorSets
 	for _, members := range sets {
 		if len(members) > 0 && !next.contains(members) {
-			next = append(next, grantorSet{members: members, until: forever})
+			next = append(next, grantorSet{members: members, until: noExpiry})
 		}
 	}
-	for _, old := range s.valid(now) {
+	for _, old := range s.activeAt(now) {
 		if next.contains(old.members) {
 			continue
 		}
@@ -50,21 +50,21 @@
 	return slices.ContainsFunc(s, func(set grantorSet) bool { return slices.Equal(set.members, members) })
 }
 
-func (s grantorSets) valid(now time.Duration) grantorSets {
+func (s grantorSets) activeAt(now time.Duration) grantorSets {
 	return slices.DeleteFunc(slices.Clone(s), func(set grantorSet) bool { return now >= set.until })
 }
 
-func (s grantorSets) majorities(granted map[string]bool) bool {
+func (s grantorSets) hasMajorities(granted map[string]bool) bool {
 	for _, set := range s {
-		if !set.majority(granted) {
+		if !set.hasMajority(granted) {
 			return false
 		}
 	}
 	return len(s) > 0
 }
 
-// lists returns the members of each set.
-func (s grantorSets) lists() [][]string {
+// memberLists returns the members of each set, as in Request.Sets.
+func (s grantorSets) memberLists() [][]string {
 	lists := make([][]string, 0, len(s))
 	for _, set := range s {
 		lists = append(lists, set.members)
@@ -72,7 +72,7 @@
 	return lists
 }
 
-// members returns the members of all sets together.
+// members returns the union of all sets, sorted.
 func (s grantorSets) members() []string {
 	var all []string
 	for _, set := range s {
@@ -82,18 +82,19 @@
 	return slices.Compact(all)
 }
 
-// OddGrantors leaves one out of an even number of members, the same one wherever the members are the same. The others bear as many
-// losses, and where the members fall into two halves, one half has a majority of the others.
-func OddGrantors(members []string) []string {
-	members = sorted(members)
+// OddSubset returns the members, sorted and without one of them if their number is even. The result depends only on the set of
+// members. A subset that is smaller by one tolerates as many failures, and if a network partition splits the members into
+// two halves, one half has a majority of the subset.
+func OddSubset(members []string) []string {
+	members = sortedUnique(members)
 	if len(members) > 0 && len(members)%2 == 0 {
 		members = members[:len(members)-1]
 	}
 	return members
 }
 
-// sorted returns a sorted copy without repetitions, so that sets can be compared.
-func sorted(members []string) []string {
+// sortedUnique returns a sorted copy without duplicates, so that sets can be compared.
+func sortedUnique(members []string) []string {
 	members = slices.Clone(members)
 	slices.Sort(members)
 	return slices.Compact(members)
--- a/internal/router/lease/lease_test.go
+++ b/internal/router/lease/lease_test.go
@@ -9,32 +9,32 @@
 	"pgregory.net/rapid"
 )
 
-// disturbances is the number of disturbances in one history.
-const disturbances = 60
+// faultsPerHistory is the number of faults in one history.
+const faultsPerHistory = 60
 
-// TestNeverTwoHolders plays drawn histories of late, lost and repeated messages, freezes, restarts and changes of the
+// TestNeverTwoHolders simulates random histories of late, lost and duplicated messages, pauses, restarts and changes of the
 // grantor sets.
 func TestNeverTwoHolders(t *testing.T) {
 	holds := 0
 	rapid.Check(t, func(draw *rapid.T) {
-		w := newWorld(draw, rapid.Uint64().Draw(draw, "seed"))
-		for range disturbances {
-			w.run(w.now + time.Duration(w.random.IntN(1000))*1500*time.Microsecond)
-			w.disturb()
+		s := newSimulation(draw, rapid.Uint64().Draw(draw, "seed"))
+		for range faultsPerHistory {
+			s.run(s.now + time.Duration(s.random.IntN(1000))*1500*time.Microsecond)
+			s.injectFault()
 		}
-		holds += w.holds
+		holds += s.leases
 	})
 	t.Logf("%d leases", holds)
 	assert.Assert(t, holds > 0)
 }
 
-// TestOneHolderInCalm finds a holder soon and keeps it.
-func TestOneHolderInCalm(t *testing.T) {
+// TestOneHolderWithoutFaults checks that there is a holder soon, and that it stays the holder.
+func TestOneHolderWithoutFaults(t *testing.T) {
 	rapid.Check(t, func(draw *rapid.T) {
-		w := newWorld(draw, rapid.Uint64().Draw(draw, "seed"))
-		w.calm = true
-		w.run(4 * modelDuration)
-		assert.Equal(draw, w.holds, 1)
+		s := newSimulation(draw, rapid.Uint64().Draw(draw, "seed"))
+		s.reliable = true
+		s.run(4 * modelDuration)
+		assert.Equal(draw, s.leases, 1)
 	})
 }
 
@@ -44,7 +44,7 @@
 
 var testConfig = Config{Duration: 2 * time.Second, Drift: 0.1}
 
-func TestGrantorIsSilentAfterItsStart(t *testing.T) {
+func TestGrantorRefusesDuringGracePeriod(t *testing.T) {
 	g := NewGrantor(time.Second, testConfig, 1)
 	request := Request{Holder: "a", Term: 1}
 	early := g.Handle(3*time.Second-1, request)
@@ -53,16 +53,16 @@
 	assert.Assert(t, g.Handle(3*time.Second, request).Granted)
 }
 
-func TestGrantorPromisesOneHolder(t *testing.T) {
+func TestGrantorGrantsToOneHolder(t *testing.T) {
 	g := NewGrantor(0, testConfig, 1)
 	assert.Assert(t, g.Handle(2*time.Second, Request{Holder: "a", Term: 5}).Granted)
 	refusal := g.Handle(3*time.Second, Request{Holder: "b", Term: 6})
-	assert.DeepEqual(t, refusal, Response{Highest: 5, Holder: "a", Remaining: time.Second})
-	assert.Assert(t, !g.Handle(4*time.Second, Request{Holder: "b", Term: 5}).Granted, "a term is used twice")
+	assert.DeepEqual(t, refusal, Response{HighestTerm: 5, Holder: "a", Remaining: time.Second})
+	assert.Assert(t, !g.Handle(4*time.Second, Request{Holder: "b", Term: 5}).Granted, "a term is granted twice")
 	assert.Assert(t, g.Handle(4*time.Second, Request{Holder: "b", Term: 6}).Granted)
 }
 
-func TestGrantorRefusesOldSets(t *testing.T) {
+func TestGrantorRefusesOutdatedSets(t *testing.T) {
 	g := NewGrantor(0, testConfig, 1)
 	g.SetGrantors([]string{"y", "x"}, []string{"v"})
 	now := 2 * time.Second
@@ -70,13 +70,13 @@
 	assert.Assert(t, g.Handle(now, Request{Holder: "a", Term: 1, Sets: [][]string{{"v"}, {"x", "y"}}}).Granted)
 }
 
-func TestCandidateCountsFromBeforeItAsked(t *testing.T) {
+func TestLeaseStartsWhenRequestsAreSent(t *testing.T) {
 	c := newTestCandidate("a")
 	c.SetGrantors(0, []string{"x"}, nil)
 	messages := c.Tick(2*time.Second, 7)
 	assert.Equal(t, len(messages), 1)
 	request := messages[0].Request
-	c.Receive(3*time.Second, "x", Response{Granted: true, Round: request.Round, Highest: 7})
+	c.Receive(3*time.Second, "x", Response{Granted: true, Round: request.Round, HighestTerm: 7})
 	term, held := c.Held(3*time.Second + 799*time.Millisecond)
 	assert.Assert(t, held)
 	assert.Equal(t, term, Term(7))
@@ -100,28 +100,30 @@
 	assert.Assert(t, held)
 }
 
-// TestLostRoundIsGivenBackAtOnce ends a round as soon as too many grantors have refused. A promise that comes later is given back too.
-func TestLostRoundIsGivenBackAtOnce(t *testing.T) {
+// TestLostRoundIsReleasedAtOnce checks that a round ends, and its grants are released, as soon as too many grantors have refused. A
+// grant that arrives later must be released too.
+func TestLostRoundIsReleasedAtOnce(t *testing.T) {
 	c := newTestCandidate("a")
 	c.SetGrantors(0, []string{"w", "x", "y", "z"}, nil)
 	now := 2 * time.Second
 	request := c.Tick(now, 1)[0].Request
-	granted := Response{Granted: true, Round: request.Round, Highest: request.Term}
+	granted := Response{Granted: true, Round: request.Round, HighestTerm: request.Term}
 	refused := Response{Round: request.Round, Holder: "b", Remaining: time.Second}
 	c.Receive(now, "x", granted)
 	c.Receive(now, "y", refused)
-	assert.Equal(t, len(c.Released()), 0, "w and z may grant")
+	assert.Equal(t, len(c.TakeReleases()), 0, "w and z may grant")
 	c.Receive(now, "z", refused)
 	release := Request{Holder: "a", Term: request.Term, Release: true}
-	assert.DeepEqual(t, c.Released(), []Message{{To: "x", Request: release}})
+	assert.DeepEqual(t, c.TakeReleases(), []Message{{To: "x", Request: release}})
 	c.Receive(now, "w", granted)
-	assert.DeepEqual(t, c.Released(), []Message{{To: "w", Request: release}})
+	assert.DeepEqual(t, c.TakeReleases(), []Message{{To: "w", Request: release}})
 	_, held := c.Held(now)
 	assert.Assert(t, !held)
 }
 
-// TestHolderThatIsRefusedKeepsItsPromises since its lease rests on them until its end.
-func TestHolderThatIsRefusedKeepsItsPromises(t *testing.T) {
+// TestRefusedRenewalReleasesNothing checks that a holder whose renewal is refused keeps its grants, since its lease depends on them
+// until it expires.
+func TestRefusedRenewalReleasesNothing(t *testing.T) {
 	c := newTestCandidate("a")
 	c.SetGrantors(0, []string{"x", "y", "z"}, nil)
 	now := 2 * time.Second
@@ -136,18 +138,18 @@
 	c.Receive(now, "z", refused)
 	_, held := c.Held(now)
 	assert.Assert(t, held)
-	assert.Equal(t, len(c.Released()), 0)
+	assert.Equal(t, len(c.TakeReleases()), 0)
 }
 
-func TestCandidateGivesWayToAHigherTerm(t *testing.T) {
+func TestHolderResignsOnHigherTerm(t *testing.T) {
 	c := newTestCandidate("a")
 	c.SetGrantors(0, []string{"x"}, nil)
 	messages := c.Tick(2*time.Second, 7)
 	c.Receive(2*time.Second, "x", Response{Granted: true, Round: messages[0].Request.Round})
-	c.Observe(2*time.Second, 7)
+	c.ObserveTerm(2*time.Second, 7)
 	_, held := c.Held(2 * time.Second)
 	assert.Assert(t, held)
-	c.Observe(2*time.Second, 9)
+	c.ObserveTerm(2*time.Second, 9)
 	_, held = c.Held(2 * time.Second)
 	assert.Assert(t, !held)
 	messages = c.Tick(3*time.Second, 8)
@@ -155,7 +157,7 @@
 	assert.Equal(t, messages[1].Request.Term, Term(10))
 }
 
-// TestDriftMargin lets the holder's clock run slow and the grantor's fast: the lease ends before the promise.
+// TestDriftMargin checks that the lease expires before the grant, with the slowest holder's clock and the fastest grantor's clock.
 func TestDriftMargin(t *testing.T) {
 	holderClock := clock{speed: slowest}
 	grantorClock := clock{speed: fastest}
@@ -170,23 +172,23 @@
 	assert.Assert(t, held)
 	end := start
 	for step := time.Millisecond; ; end += step {
-		if _, _, promised := g.Current(grantorClock.read(end)); !promised {
+		if _, _, granted := g.CurrentHolder(grantorClock.read(end)); !granted {
 			break
 		}
 	}
 	_, held = c.Held(holderClock.read(end))
-	assert.Assert(t, !held, "the lease outlives the promise, which ended after %v", end-start)
+	assert.Assert(t, !held, "the lease outlives the grant, which expired after %v", end-start)
 }
 
-// TestOddGrantors leaves out the same one of an even number, in whatever order they come.
-func TestOddGrantors(t *testing.T) {
+// TestOddSubset checks that the same member is left out of an even number, regardless of their order.
+func TestOddSubset(t *testing.T) {
 	for want, members := range map[string][]string{
 		"":    nil,
 		"a":   {"b", "a"},
 		"abc": {"c", "a", "b"},
 	} {
-		assert.Equal(t, strings.Join(OddGrantors(members), ""), want)
+		assert.Equal(t, strings.Join(OddSubset(members), ""), want)
 	}
-	assert.DeepEqual(t, OddGrantors([]string{"d", "b", "a", "c"}), []string{"a", "b", "c"})
-	assert.DeepEqual(t, OddGrantors([]string{"a", "b", "c", "d"}), []string{"a", "b", "c"})
+	assert.DeepEqual(t, OddSubset([]string{"d", "b", "a", "c"}), []string{"a", "b", "c"})
+	assert.DeepEqual(t, OddSubset([]string{"a", "b", "c", "d"}), []string{"a", "b", "c"})
 }
--- a/internal/router/lease/main_test.go
+++ b/internal/router/lease/main_test.go
@@ -6,5 +6,5 @@
 	"pewterrudder/internal/lab/walks"
 )
 
-// TestMain has the drawn cases be the same in each run.
+// TestMain makes the random cases of rapid the same in each run.
 func TestMain(m *testing.M) { walks.Main(m, 0, 0) }
--- a/internal/router/lease/probe_test.go
+++ b/internal/router/lease/probe_test.go
@@ -7,22 +7,22 @@
 	"gotest.tools/v3/assert"
 )
 
-// proofTrial is candidate a among three processes that have just started; b and c answer what the test says.
-type proofTrial struct {
+// proofTest runs candidate a among three processes that have just started. The test gives the responses to its probes.
+type proofTest struct {
 	t         *testing.T
 	candidate *Candidate
 	now       time.Duration
 }
 
-func newProofTrial(t *testing.T) *proofTrial {
+func newProofTest(t *testing.T) *proofTest {
 	c := newTestCandidate("a")
 	c.SetGrantors(0, []string{"a", "b", "c"}, nil)
 	c.AllowProof(true)
-	return &proofTrial{t: t, candidate: c}
+	return &proofTest{t: t, candidate: c}
 }
 
 // probe sends the probe that is due next and returns its number.
-func (p *proofTrial) probe() uint64 {
+func (p *proofTest) probe() uint64 {
 	p.now = max(p.now, p.candidate.NextAt(p.now))
 	messages := p.candidate.Tick(p.now, 1)
 	assert.Equal(p.t, len(messages), 3)
@@ -30,12 +30,12 @@
 	return messages[0].Request.Round
 }
 
-func (p *proofTrial) answer(from string, round, incarnation uint64, idle bool) {
+func (p *proofTest) answer(from string, round, incarnation uint64, idle bool) {
 	p.candidate.Receive(p.now, from, Response{Probe: true, Round: round, Incarnation: incarnation, Idle: idle})
 }
 
-func TestProofTakesTwoSteps(t *testing.T) {
-	p := newProofTrial(t)
+func TestProofNeedsTwoProbes(t *testing.T) {
+	p := newProofTest(t)
 	round := p.probe()
 	p.answer("a", round, 1, true)
 	p.answer("b", round, 2, true)
@@ -54,18 +54,18 @@
 	}
 }
 
-func TestNoProofFromOthersThanAllIdle(t *testing.T) {
+func TestNoProofUnlessAllAreIdle(t *testing.T) {
 	cases := []struct {
 		name        string
 		incarnation uint64
 		idle        bool
 	}{
-		{name: "one has a lease or a round", incarnation: 3, idle: false},
-		{name: "one has started since the first step", incarnation: 4, idle: true},
+		{name: "one is not idle", incarnation: 3, idle: false},
+		{name: "one has restarted since the first probe", incarnation: 4, idle: true},
 	}
 	for _, test := range cases {
 		t.Run(test.name, func(t *testing.T) {
-			p := newProofTrial(t)
+			p := newProofTest(t)
 			first := p.probe()
 			for i, name := range []string{"a", "b", "c"} {
 				p.answer(name, first, uint64(i+1), true)
@@ -73,37 +73,37 @@
 			second := p.probe()
 			p.answer("a", second, 1, true)
 			p.answer("b", second, 2, true)
-			assert.Assert(t, !p.candidate.round.open && p.candidate.prober.proof == nil, "two of three are a proof")
+			assert.Assert(t, !p.candidate.round.open && p.candidate.prober.proof == nil, "two responses of three make a proof")
 			p.answer("c", second, test.incarnation, test.idle)
 			assert.Assert(t, p.candidate.prober.proof == nil)
 			p.answer("c", first, 3, true)
-			assert.Assert(t, p.candidate.prober.proof == nil, "a late answer to the first step counts for the second")
+			assert.Assert(t, p.candidate.prober.proof == nil, "a late response to the first probe counts for the second")
 		})
 	}
 }
 
-func TestCandidateWithARoundIsNotIdle(t *testing.T) {
+func TestCandidateWithOpenRoundIsNotIdle(t *testing.T) {
 	c := newTestCandidate("b")
 	c.SetGrantors(0, []string{"a", "b"}, nil)
 	probe := Request{Holder: "a", Probe: true, Sets: [][]string{{"a", "b"}}}
-	assert.Assert(t, !c.Idle(0, probe), "there may be newer sets")
+	assert.Assert(t, !c.Idle(0, probe), "idle although other grantor sets may exist")
 	c.SetGrantorsKnown(true)
 	assert.Assert(t, c.Idle(0, probe))
 	assert.Assert(t, !c.Idle(0, Request{Holder: "a", Sets: [][]string{{"a", "c"}}}))
 	now := testConfig.Duration
 	messages := c.Tick(now, 1)
-	assert.Assert(t, !c.Idle(now, probe), "a round is open")
+	assert.Assert(t, !c.Idle(now, probe), "idle with an open round")
 	for _, name := range []string{"a", "b"} {
 		c.Receive(now, name, Response{Granted: true, Round: messages[0].Request.Round})
 	}
-	assert.Assert(t, !c.Idle(now, probe), "the lease is held")
+	assert.Assert(t, !c.Idle(now, probe), "idle while holding the lease")
 	assert.Assert(t, c.Idle(now+testConfig.Duration, probe))
 }
 
-func TestGrantorTakesOnlyItsOwnProof(t *testing.T) {
+func TestGrantorAcceptsOnlyProofOfItsIncarnation(t *testing.T) {
 	g := NewGrantor(0, testConfig, 7)
 	assert.Assert(t, !g.Handle(0, Request{Holder: "a", Term: 1}).Granted)
 	assert.Assert(t, !g.Handle(0, Request{Holder: "a", Term: 1, Proof: 6}).Granted)
 	assert.Assert(t, g.Handle(0, Request{Holder: "a", Term: 1, Proof: 7}).Granted)
-	assert.Assert(t, !g.Handle(0, Request{Holder: "b", Term: 2, Proof: 7}).Granted, "a proof breaks a promise")
+	assert.Assert(t, !g.Handle(0, Request{Holder: "b", Term: 2, Proof: 7}).Granted, "a proof overrides a grant")
 }
--- a/internal/router/lease/restart_test.go
+++ b/internal/router/lease/restart_test.go
@@ -12,89 +12,92 @@
 	"pgregory.net/rapid"
 )
 
-// restartHistories is the number of histories of processes that restart, many of them all at once.
-var restartHistories = flag.Uint64("lease.histories", 2000, "histories of restarts to play")
+// restartHistories is the number of simulated histories in which processes restart, often many at once.
+var restartHistories = flag.Uint64("lease.histories", 2000, "number of simulated histories of restarts")
 
 const (
-	// restartParts is the number of parts in which histories of processes that restart are played side by side.
-	restartParts = 8
+	// parallelParts is the number of subtests among which the histories are divided.
+	parallelParts = 8
 	// voterCount and processCount are the numbers of voters and of processes.
 	voterCount   = 3
 	processCount = 5
-	// quickly is less than a grantor is silent after its start: by then only a proof brings a lease.
-	quickly = modelDuration * 9 / 10
-	// lostDiskOdds is the number of restarts of which one comes with an empty disk.
+	// maxProvenDelay is less than the grace period of a grantor: a lease acquired within it after a start needed a proof.
+	maxProvenDelay = modelDuration * 9 / 10
+	// lostDiskOdds is the number of restarts of which one, on average, loses the process's disk.
 	lostDiskOdds = 6
-	// neverSettled is no epoch.
+	// neverSettled is a value that no epoch has.
 	neverSettled = -1
-	// soonAfterRestart is by when there is a holder after all voters are back, in calm.
-	soonAfterRestart = 300 * time.Millisecond
+	// maxElectionAfterRestart is the time within which there must be a holder after all voters have restarted, if messages
+	// are reliable.
+	maxElectionAfterRestart = 300 * time.Millisecond
 )
 
-// processWorld is a world in which each process is both a candidate and a grantor, as routers are.
-type processWorld struct {
-	*world
+// processSimulation is a simulation in which each process is both a candidate and a grantor, like a router.
+type processSimulation struct {
+	*simulation
 	startedAt map[string]time.Duration
-	// epoch counts the sets; settled are the epochs of the sets that processes know to be in force for long.
-	epoch   int
-	settled map[string]int
-	// proven counts the leases won sooner than without a proof.
-	proven int
-	last   Term
+	// epoch numbers the grantor sets. settledEpochs holds for each process the epoch whose sets it knows to be settled, that
+	// is, in force for so long that no lease depends on earlier ones.
+	epoch         int
+	settledEpochs map[string]int
+	// provenLeases counts the leases acquired sooner than is possible without a proof.
+	provenLeases int
+	lastTerm     Term
 }
 
-func newProcessWorld(t rapid.TB, seed uint64) *processWorld {
-	return newProcessWorldOf(t, seed, processCount, voterCount)
+func newProcessSimulation(t rapid.TB, seed uint64) *processSimulation {
+	return newProcessSimulationOf(t, seed, processCount, voterCount)
 }
 
-// newProcessWorldOf makes a world of processes of which the first ones vote.
-func newProcessWorldOf(t rapid.TB, seed uint64, processes, voters int) *processWorld {
-	w := &processWorld{
-		world: &world{
+// newProcessSimulationOf returns a simulation of processes of which the first ones are the voters.
+func newProcessSimulationOf(t rapid.TB, seed uint64, processes, voters int) *processSimulation {
+	s := &processSimulation{
+		simulation: &simulation{
 			t:        t,
 			random:   rand.New(rand.NewPCG(seed, 1)),
 			config:   Config{Duration: modelDuration, Drift: modelDrift},
-			grantors: map[string]*grantorActor{},
+			grantors: map[string]*simulatedGrantor{},
 		},
-		startedAt: map[string]time.Duration{},
-		settled:   map[string]int{},
+		startedAt:     map[string]time.Duration{},
+		settledEpochs: map[string]int{},
 	}
 	for i := range processes {
 		name := fmt.Sprintf("process-%d", i)
-		c := &candidateActor{name: name, clock: w.newClock()}
-		w.candidates = append(w.candidates, c)
-		w.grantors[name] = &grantorActor{name: name, clock: c.clock, process: c}
+		c := &simulatedCandidate{name: name, clock: s.newClock()}
+		s.candidates = append(s.candidates, c)
+		s.grantors[name] = &simulatedGrantor{name: name, clock: c.clock, processCandidate: c}
 		if i < voters {
-			w.voters = append(w.voters, name)
+			s.voters = append(s.voters, name)
 		}
 	}
-	for _, c := range w.candidates {
-		w.restart(c)
+	for _, c := range s.candidates {
+		s.restart(c)
 	}
-	return w
+	return s
 }
 
-// restart starts a process anew. It knows the sets that are in force at this moment, but not that they have settled where its disk
-// is lost. No more disks are lost at a time than a system of so many voters bears.
-func (w *processWorld) restart(c *candidateActor) {
-	lost := w.random.IntN(lostDiskOdds) == 0 && w.lostDisks() < voterCount/2
+// restart replaces a process by a new one, which sometimes has lost its disk. The new process knows the sets in force, but after
+// a disk loss it does not know that they are settled. Disk losses at any one time stay within the number that the voters
+// tolerate.
+func (s *processSimulation) restart(c *simulatedCandidate) {
+	lost := s.random.IntN(lostDiskOdds) == 0 && s.lostDisks() < voterCount/2
 	if lost {
-		w.settled[c.name] = neverSettled
+		s.settledEpochs[c.name] = neverSettled
 	}
-	w.startedAt[c.name] = w.now
-	w.startGrantor(w.grantors[c.name])
-	w.createCandidate(c)
-	w.tell(c, w.voters, w.previous, w.settled[c.name] == w.epoch)
+	s.startedAt[c.name] = s.now
+	s.startGrantor(s.grantors[c.name])
+	s.createCandidate(c)
+	s.updateSets(c, s.voters, s.previous, s.settledEpochs[c.name] == s.epoch)
 	if lost {
-		w.settleLater(c, w.previous, w.epoch)
+		s.scheduleSettled(c, s.previous, s.epoch)
 	}
-	w.tickLater(c, c.candidate)
+	s.scheduleTick(c, c.candidate)
 }
 
-// lostDisks counts the processes whose disks were lost a short while ago.
-func (w *processWorld) lostDisks() int {
+// lostDisks counts the processes whose disks were lost and that do not know of settled sets since.
+func (s *processSimulation) lostDisks() int {
 	count := 0
-	for _, epoch := range w.settled {
+	for _, epoch := range s.settledEpochs {
 		if epoch == neverSettled {
 			count++
 		}
@@ -102,169 +105,172 @@
 	return count
 }
 
-// tell lets a process know the sets; like a router, it gives the role up when it isn't a voter.
-func (w *processWorld) tell(c *candidateActor, voters, previous []string, settled bool) {
-	now := c.clock.read(w.now)
-	w.grantors[c.name].grantor.SetGrantors(voters, previous)
+// updateSets tells a process the grantor sets in force. Like a router, it gives up its lease if it is not a voter.
+func (s *processSimulation) updateSets(c *simulatedCandidate, voters, previous []string, settled bool) {
+	now := c.clock.read(s.now)
+	s.grantors[c.name].grantor.SetGrantors(voters, previous)
 	c.candidate.SetGrantors(now, voters, previous)
 	c.candidate.AllowProof(settled)
 	c.candidate.SetGrantorsKnown(len(previous) == 0)
-	c.bystander = !slices.Contains(voters, c.name)
-	if c.bystander {
+	c.ineligible = !slices.Contains(voters, c.name)
+	if c.ineligible {
 		c.candidate.Resign(now)
 	}
 }
 
-func (w *processWorld) play() {
-	for range disturbances {
-		w.runShort()
-		w.disturbProcesses()
+// runHistory runs one history of faults and checks.
+func (s *processSimulation) runHistory() {
+	for range faultsPerHistory {
+		s.runBriefly()
+		s.injectProcessFault()
 	}
-	w.run(w.now + 2*modelDuration)
+	s.run(s.now + 2*modelDuration)
 }
 
-// runShort goes on for a while that is mostly shorter than a lease, so that disturbances meet.
-func (w *processWorld) runShort() {
-	span := time.Duration(w.random.IntN(1000)) * time.Millisecond
-	if w.random.IntN(2) == 0 {
+// runBriefly advances by a time that is mostly shorter than a lease, so that faults overlap.
+func (s *processSimulation) runBriefly() {
+	span := time.Duration(s.random.IntN(1000)) * time.Millisecond
+	if s.random.IntN(2) == 0 {
 		span /= 10
 	}
-	for end := w.now + span; w.now < end; {
-		w.run(min(end, w.now+10*time.Millisecond))
-		w.countProven()
+	for end := s.now + span; s.now < end; {
+		s.run(min(end, s.now+10*time.Millisecond))
+		s.countProven()
 	}
 }
 
-func (w *processWorld) countProven() {
-	if w.highestTerm == w.last {
+func (s *processSimulation) countProven() {
+	if s.highestTerm == s.lastTerm {
 		return
 	}
-	w.last = w.highestTerm
-	if w.now-w.startedAt[w.holder] < quickly {
-		w.proven++
+	s.lastTerm = s.highestTerm
+	if s.now-s.startedAt[s.holder] < maxProvenDelay {
+		s.provenLeases++
 	}
 }
 
-func (w *processWorld) disturbProcesses() {
-	c := w.candidates[w.random.IntN(len(w.candidates))]
-	switch w.random.IntN(9) {
+func (s *processSimulation) injectProcessFault() {
+	c := s.candidates[s.random.IntN(len(s.candidates))]
+	switch s.random.IntN(9) {
 	case 0:
-		c.frozen = true
+		c.paused = true
 	case 1, 2:
-		w.thaw(c)
+		s.resume(c)
 	case 3, 4:
-		w.restart(c)
+		s.restart(c)
 	case 5:
-		w.deliver(c, func() { c.candidate.Resign(c.clock.read(w.now)) })
+		s.deliver(c, func() { c.candidate.Resign(c.clock.read(s.now)) })
 	case 6, 7:
-		w.restartMany()
+		s.restartMany()
 	case 8:
-		if w.random.IntN(5) == 0 {
-			w.changeProcessSets()
+		if s.random.IntN(5) == 0 {
+			s.changeProcessSets()
 		}
 	}
 }
 
-// restartMany restarts all processes within a moment, or all but a few.
-func (w *processWorld) restartMany() {
-	spared := w.random.IntN(3) == 0
-	for _, c := range w.candidates {
-		if spared && w.random.IntN(3) == 0 {
+// restartMany restarts all processes, or all but a few, within 100 ms.
+func (s *processSimulation) restartMany() {
+	spared := s.random.IntN(3) == 0
+	for _, c := range s.candidates {
+		if spared && s.random.IntN(3) == 0 {
 			continue
 		}
-		w.at(time.Duration(w.random.IntN(100))*time.Millisecond, func() { w.restart(c) })
+		s.schedule(time.Duration(s.random.IntN(100))*time.Millisecond, func() { s.restart(c) })
 	}
 }
 
-// changeProcessSets replaces a voter, by way of the joint set. Processes hear of it late.
-func (w *processWorld) changeProcessSets() {
-	if len(w.previous) > 0 {
+// changeProcessSets draws new voters and makes a joint change to them. Processes learn of each step with a delay.
+func (s *processSimulation) changeProcessSets() {
+	if len(s.previous) > 0 {
 		return
 	}
-	w.epoch++
-	w.previous = w.voters
-	offset := w.random.IntN(processCount)
-	w.voters = nil
+	s.epoch++
+	s.previous = s.voters
+	offset := s.random.IntN(processCount)
+	s.voters = nil
 	for i := range voterCount {
-		w.voters = append(w.voters, w.candidates[(i+offset)%processCount].name)
+		s.voters = append(s.voters, s.candidates[(i+offset)%processCount].name)
 	}
-	w.spread()
-	w.at(modelDuration+stalenessOfGrantors, func() {
-		w.previous = nil
-		w.epoch++
-		w.spread()
+	s.propagateSets()
+	s.schedule(modelDuration+maxUpdateDelay, func() {
+		s.previous = nil
+		s.epoch++
+		s.propagateSets()
 	})
 }
 
-func (w *processWorld) spread() {
-	voters, previous, epoch := w.voters, w.previous, w.epoch
-	for _, c := range w.candidates {
+// propagateSets tells each process the sets in force, after a delay of its own.
+func (s *processSimulation) propagateSets() {
+	voters, previous, epoch := s.voters, s.previous, s.epoch
+	for _, c := range s.candidates {
 		candidate := c.candidate
-		w.at(time.Duration(w.random.IntN(1000))*stalenessOfGrantors/1000, func() {
+		s.schedule(time.Duration(s.random.IntN(1000))*maxUpdateDelay/1000, func() {
 			if c.candidate == candidate {
-				w.deliver(c, func() { w.learn(c, voters, previous, epoch) })
+				s.deliver(c, func() { s.receiveSets(c, voters, previous, epoch) })
 			}
 		})
 	}
 }
 
-// learn tells a process of sets, and after a long while that they have settled.
-func (w *processWorld) learn(c *candidateActor, voters, previous []string, epoch int) {
-	w.tell(c, voters, previous, false)
-	w.settleLater(c, previous, epoch)
+// receiveSets tells a process the grantor sets, and after two durations that they are settled.
+func (s *processSimulation) receiveSets(c *simulatedCandidate, voters, previous []string, epoch int) {
+	s.updateSets(c, voters, previous, false)
+	s.scheduleSettled(c, previous, epoch)
 }
 
-// settleLater tells a process after a long while that the sets have settled.
-func (w *processWorld) settleLater(c *candidateActor, previous []string, epoch int) {
+// scheduleSettled tells a process after two durations that the sets are settled, unless they have changed again.
+func (s *processSimulation) scheduleSettled(c *simulatedCandidate, previous []string, epoch int) {
 	candidate := c.candidate
-	w.at(2*modelDuration, func() {
-		if c.candidate == candidate && w.epoch == epoch && len(previous) == 0 {
-			w.settled[c.name] = epoch
-			w.deliver(c, func() { candidate.AllowProof(w.epoch == epoch) })
+	s.schedule(2*modelDuration, func() {
+		if c.candidate == candidate && s.epoch == epoch && len(previous) == 0 {
+			s.settledEpochs[c.name] = epoch
+			s.deliver(c, func() { candidate.AllowProof(s.epoch == epoch) })
 		}
 	})
 }
 
-// TestNeverTwoHoldersAfterRestarts plays histories in which processes restart, alone and all at once, while messages are
-// late, lost and repeated.
+// TestNeverTwoHoldersAfterRestarts simulates histories in which processes restart, one by one and all at once, while messages
+// are late, lost and duplicated.
 func TestNeverTwoHoldersAfterRestarts(t *testing.T) {
-	for part := range uint64(restartParts) {
+	for part := range uint64(parallelParts) {
 		t.Run(fmt.Sprintf("part %d", part), func(t *testing.T) {
 			t.Parallel()
-			playRestarts(t, part**restartHistories, *restartHistories/restartParts)
+			runRestartHistories(t, part**restartHistories, *restartHistories/parallelParts)
 		})
 	}
 }
 
-func playRestarts(t *testing.T, firstSeed, histories uint64) {
+func runRestartHistories(t *testing.T, firstSeed, histories uint64) {
 	holds, proven := 0, 0
 	for seed := range histories {
-		w := newProcessWorld(t, firstSeed+seed)
-		w.play()
-		holds += w.holds
-		proven += w.proven
+		s := newProcessSimulation(t, firstSeed+seed)
+		s.runHistory()
+		holds += s.leases
+		proven += s.provenLeases
 	}
-	t.Logf("%d leases, %d of them by proof", holds, proven)
-	assert.Assert(t, 2*uint64(proven) > histories, "%d leases by proof", proven)
+	t.Logf("%d leases, %d of them with a proof", holds, proven)
+	assert.Assert(t, 2*uint64(proven) > histories, "%d leases with a proof", proven)
 }
 
-// TestHolderSoonAfterRestartOfAll finds a holder soon after the last voter is back, and keeps it.
-func TestHolderSoonAfterRestartOfAll(t *testing.T) {
+// TestHolderSoonAfterFullRestart checks that there is a holder soon after the last process has restarted, and that it stays the
+// holder.
+func TestHolderSoonAfterFullRestart(t *testing.T) {
 	rapid.Check(t, func(draw *rapid.T) {
-		w := newProcessWorld(draw, rapid.Uint64().Draw(draw, "seed"))
-		w.calm = true
-		w.quick = true
-		w.run(3 * modelDuration)
-		before := w.holds
-		lastBack := w.now
-		for _, c := range w.candidates {
-			after := time.Duration(w.random.IntN(100)) * time.Millisecond
-			lastBack = max(lastBack, w.now+after)
-			w.at(after, func() { w.restart(c) })
+		s := newProcessSimulation(draw, rapid.Uint64().Draw(draw, "seed"))
+		s.reliable = true
+		s.lowLatency = true
+		s.run(3 * modelDuration)
+		before := s.leases
+		lastBack := s.now
+		for _, c := range s.candidates {
+			after := time.Duration(s.random.IntN(100)) * time.Millisecond
+			lastBack = max(lastBack, s.now+after)
+			s.schedule(after, func() { s.restart(c) })
 		}
-		w.run(lastBack + soonAfterRestart)
-		assert.Equal(draw, w.holds, before+1)
-		w.run(lastBack + 3*modelDuration)
-		assert.Equal(draw, w.holds, before+1)
+		s.run(lastBack + maxElectionAfterRestart)
+		assert.Equal(draw, s.leases, before+1)
+		s.run(lastBack + 3*modelDuration)
+		assert.Equal(draw, s.leases, before+1)
 	})
 }
--- a/internal/router/shares/coordination.go
+++ b/internal/router/shares/coordination.go
@@ -53,7 +53,7 @@
 	}
 	response := r.grantor.Handle(now, request)
 	if request.Release {
-		r.candidate.Hasten(now, request)
+		r.candidate.RetrySoon(now, request)
 	}
 	return response
 }
@@ -65,7 +65,7 @@
 	if _, held := r.candidate.Held(now); held {
 		return own
 	}
-	holder, _, _ := r.grantor.Current(now)
+	holder, _, _ := r.grantor.CurrentHolder(now)
 	if holder == own {
 		return ""
 	}
@@ -76,7 +76,7 @@
 func (r *coordinationState) handleReport(now time.Duration, rules coordinatorRules, report exchangeReport) (exchangeAnswer, bool) {
 	r.Lock()
 	defer r.Unlock()
-	r.candidate.Observe(now, lease.Term(max(report.Quota.Term, report.Retry.Term)))
+	r.candidate.ObserveTerm(now, lease.Term(max(report.Quota.Term, report.Retry.Term)))
 	term, held := r.candidate.Held(now)
 	if !held {
 		r.quota, r.retries = nil, nil
--- a/internal/router/shares/explore_test.go
+++ b/internal/router/shares/explore_test.go
@@ -245,7 +245,7 @@
 func (model *quotaModel) resign() bool {
 	candidate := model.coordinators[0].candidate
 	candidate.Resign(model.now)
-	messages := candidate.Released()
+	messages := candidate.TakeReleases()
 	for _, message := range messages {
 		model.grantors[message.To].Handle(model.now, message.Request)
 	}
--- a/internal/router/shares/leaseloop.go
+++ b/internal/router/shares/leaseloop.go
@@ -46,7 +46,7 @@
 	candidate := s.coordination.candidate
 	if !s.options.MayCoordinate || !slices.Contains(grantors, s.options.Address) {
 		candidate.Resign(now)
-		messages := candidate.Released()
+		messages := candidate.TakeReleases()
 		s.coordination.Unlock()
 		s.sendLeaseRequests(ctx, messages)
 		return ineligiblePause(grantors)
@@ -62,7 +62,7 @@
 func (s *Shares) refreshGrantors() []string {
 	known, settled := s.options.GrantorsKnown(), s.options.GrantorsSettled()
 	voters, previous := s.options.Grantors()
-	grantors, previousGrantors := lease.OddGrantors(voters), lease.OddGrantors(previous)
+	grantors, previousGrantors := lease.OddSubset(voters), lease.OddSubset(previous)
 	s.coordination.Lock()
 	defer s.coordination.Unlock()
 	s.coordination.grantor.SetGrantors(grantors, previousGrantors)
@@ -133,7 +133,7 @@
 	defer cancel()
 	s.coordination.Lock()
 	s.coordination.candidate.Resign(s.now())
-	messages := s.coordination.candidate.Released()
+	messages := s.coordination.candidate.TakeReleases()
 	s.coordination.Unlock()
 	s.sendLeaseRequests(ctx, messages)
 	s.leaseCalls.Wait()
