--- a/internal/router/configlease/explore_test.go
+++ b/internal/router/configlease/explore_test.go
@@ -8,91 +8,92 @@
 	"gotest.tools/v3/assert"
 )
 
-// The explorer goes through all orders of a small world: an operator takes a key away, a coordinator reads the register and tells a
-// router what it knows, messages take any time or are lost, and revisions reach both whenever they like or never. At each
-// moment a request with the key that was taken away may come to the router.
+// The exploration visits all reachable states of a small model: an operator revokes a key, a coordinator reads the register and
+// answers a router with its confirmation, messages take any time or are lost, and revisions reach both at any time or never. In
+// each state a request with the revoked key may arrive at the router.
 
 const (
-	tick       = time.Second
-	worldBound = 3 * tick
-	worldEnd   = 7
-	without    = 2 // the revision that has the key no more
+	tickDuration       = time.Second
+	revocationBound    = 3 * tickDuration
+	lastTick           = 7
+	revisionWithoutKey = 2 // the revision that revokes the key
 )
 
-// fault is a planted one.
+// fault is a fault planted in the model, which the exploration must find.
 type fault int
 
 const (
-	none fault = iota
-	ageAtArrival
-	relayRenews
-	clockStep
+	noFault fault = iota
+	ageCountedFromArrival
+	relayResetsAge
+	clockSetBack
 	countedBeforeApplied
-	readCountsAtItsEnd
+	readCountedFromItsEnd
 )
 
-// world is one state. Times are ticks; -1 is never.
-type world struct {
+// state is one state of the model. Times are in ticks; -1 means not yet, or no read or request in progress.
+type state struct {
 	now                 int
 	revokedAt           int
-	coordinator, router member
+	coordinator, router leaseState
 	readAt              int // when the coordinator began its read
-	askedAt             int // when the router asked
+	requestedAt         int // when the router sent its request
 	answer              Confirmation
 	isAnswered          bool
 }
 
-// member is a lease's state in plain values. A confirmation of revision 2 may wait.
-type member struct {
-	applied   uint64
-	holds     bool
-	from      time.Duration
-	waits     bool
-	waitsFrom time.Duration
+// leaseState is the state of a Lease as a comparable value. At most one confirmation, of revision 2, is pending.
+type leaseState struct {
+	appliedRevision uint64
+	isConfirmed     bool
+	confirmedAt     time.Duration
+	hasPending      bool
+	pendingAt       time.Duration
 }
 
-func (m member) lease() *Lease {
-	lease := New(worldBound)
-	lease.applied, lease.holds, lease.from = m.applied, m.holds, m.from
-	if m.waits {
-		lease.waiting = []confirmed{{revision: without, at: m.waitsFrom}}
+func (l leaseState) lease() *Lease {
+	lease := New(revocationBound)
+	lease.appliedRevision, lease.isConfirmed, lease.confirmedAt = l.appliedRevision, l.isConfirmed, l.confirmedAt
+	if l.hasPending {
+		lease.pending = []localConfirmation{{revision: revisionWithoutKey, at: l.pendingAt}}
 	}
 	return lease
 }
 
-func memberOf(lease *Lease) member {
-	m := member{applied: lease.applied, holds: lease.holds, from: lease.from}
-	for _, known := range lease.waiting {
-		if !m.waits || known.at > m.waitsFrom {
-			m.waits, m.waitsFrom = true, known.at
+func captureState(lease *Lease) leaseState {
+	l := leaseState{appliedRevision: lease.appliedRevision, isConfirmed: lease.isConfirmed, confirmedAt: lease.confirmedAt}
+	for _, confirmation := range lease.pending {
+		if !l.hasPending || confirmation.at > l.pendingAt {
+			l.hasPending, l.pendingAt = true, confirmation.at
 		}
 	}
-	return m
+	return l
 }
 
-func (w *world) time() time.Duration { return time.Duration(w.now) * tick }
+func (s *state) elapsed() time.Duration { return time.Duration(s.now) * tickDuration }
 
-// newest is the register's revision.
-func (w *world) newest() uint64 {
-	if w.revokedAt >= 0 {
-		return without
+// newest returns the newest revision in the register.
+func (s *state) newest() uint64 {
+	if s.revokedAt >= 0 {
+		return revisionWithoutKey
 	}
-	return without - 1
+	return revisionWithoutKey - 1
 }
 
-// explore visits every state once and returns the first in which a request runs that must not.
-func explore(planted fault) (violation *world, states int) {
-	start := world{revokedAt: -1, readAt: -1, askedAt: -1}
-	start.coordinator.applied, start.router.applied = without-1, without-1
-	visited := map[world]bool{start: true}
-	waiting := []world{start}
+// explore visits every reachable state once. It returns the first one in which a revoked key is accepted, or nil, and the number
+// of states.
+func explore(planted fault) (violation *state, states int) {
+	start := state{revokedAt: -1, readAt: -1, requestedAt: -1}
+	start.coordinator.appliedRevision, start.router.appliedRevision = revisionWithoutKey-1, revisionWithoutKey-1
+	visited := map[state]bool{start: true}
+	waiting := []state{start}
 	for len(waiting) > 0 {
 		at := waiting[len(waiting)-1]
 		waiting = waiting[:len(waiting)-1]
-		if at.runsTooLate(planted) {
+		if at.admitsRevokedKey(planted) {
 			return &at, len(visited)
 		}
-		for _, next := range at.steps(planted) {
+		for _, next := range at.successors(planted) {
 			if !visited[next] {
 				visited[next] = true
 				waiting = append(waiting, next)
@@ -102,114 +103,114 @@
 	return nil, len(visited)
 }
 
-// runsTooLate tells whether a request with the key that was taken away would run now although it must not.
-func (w *world) runsTooLate(planted fault) bool {
-	if w.revokedAt < 0 || w.time()-time.Duration(w.revokedAt)*tick <= worldBound {
+// admitsRevokedKey reports whether a request with the key would run now although the key was revoked longer ago than the bound.
+func (s *state) admitsRevokedKey(planted fault) bool {
+	if s.revokedAt < 0 || s.elapsed()-time.Duration(s.revokedAt)*tickDuration <= revocationBound {
 		return false
 	}
-	clock := w.time()
-	if planted == clockStep {
-		clock -= 2 * tick // the time of day was set back
+	clock := s.elapsed()
+	if planted == clockSetBack {
+		clock -= 2 * tickDuration // the time of day was set back
 	}
-	return w.router.applied < without && w.router.lease().Holds(clock)
+	return s.router.appliedRevision < revisionWithoutKey && s.router.lease().Holds(clock)
 }
 
-// steps are all the states that may follow.
-func (w *world) steps(planted fault) []world {
-	var next []world
-	step := func(change func(*world)) {
-		changed := *w
+// successors returns all states that may follow.
+func (s *state) successors(planted fault) []state {
+	var next []state
+	step := func(change func(*state)) {
+		changed := *s
 		change(&changed)
 		next = append(next, changed)
 	}
-	if w.now < worldEnd {
-		step(func(c *world) { c.now++ })
+	if s.now < lastTick {
+		step(func(c *state) { c.now++ })
 	}
-	if w.revokedAt < 0 {
-		step(func(c *world) { c.revokedAt = c.now })
+	if s.revokedAt < 0 {
+		step(func(c *state) { c.revokedAt = c.now })
 	}
-	if w.readAt < 0 {
-		step(func(c *world) { c.readAt = c.now })
+	if s.readAt < 0 {
+		step(func(c *state) { c.readAt = c.now })
 	} else {
-		step(func(c *world) { c.finishRead(planted) })
-		step(func(c *world) { c.readAt = -1 })
+		step(func(c *state) { c.finishRead(planted) })
+		step(func(c *state) { c.readAt = -1 })
 	}
-	for _, of := range []func(*world) *member{(*world).theCoordinator, (*world).theRouter} {
-		if of(w).applied < w.newest() {
-			step(func(c *world) { of(c).change(func(lease *Lease) { lease.Apply(c.newest()) }) })
+	for _, of := range []func(*state) *leaseState{(*state).coordinatorState, (*state).routerState} {
+		if of(s).appliedRevision < s.newest() {
+			step(func(c *state) { of(c).update(func(lease *Lease) { lease.Apply(c.newest()) }) })
 		}
 	}
 	switch {
-	case w.askedAt < 0:
-		step(func(c *world) { c.askedAt = c.now })
-	case !w.isAnswered:
-		step(func(c *world) { c.tell(planted) })
+	case s.requestedAt < 0:
+		step(func(c *state) { c.requestedAt = c.now })
+	case !s.isAnswered:
+		step(func(c *state) { c.answerRouter(planted) })
 	default:
-		step(func(c *world) { c.hear(planted) })
+		step(func(c *state) { c.receiveAnswer(planted) })
 	}
 	return next
 }
 
-func (w *world) theCoordinator() *member { return &w.coordinator }
-func (w *world) theRouter() *member      { return &w.router }
+func (s *state) coordinatorState() *leaseState { return &s.coordinator }
+func (s *state) routerState() *leaseState      { return &s.router }
 
-func (m *member) change(change func(*Lease)) {
-	lease := m.lease()
+func (l *leaseState) update(change func(*Lease)) {
+	lease := l.lease()
 	change(lease)
-	*m = memberOf(lease)
+	*l = captureState(lease)
 }
 
-// finishRead ends a read, which has found what was the newest at its begin, or later.
-func (w *world) finishRead(planted fault) {
-	begun := w.readAt
-	w.readAt = -1
-	found := uint64(without - 1)
-	if w.revokedAt >= 0 && w.revokedAt <= begun {
-		found = without
+// finishRead completes a read. It finds the revision that was the newest when the read began, the oldest one it may return.
+func (s *state) finishRead(planted fault) {
+	began := s.readAt
+	s.readAt = -1
+	found := uint64(revisionWithoutKey - 1)
+	if s.revokedAt >= 0 && s.revokedAt <= began {
+		found = revisionWithoutKey
 	}
-	if planted == readCountsAtItsEnd {
-		begun = w.now
+	if planted == readCountedFromItsEnd {
+		began = s.now
 	}
-	w.coordinator.change(func(lease *Lease) { lease.Confirm(time.Duration(begun)*tick, Confirmation{Revision: found}) })
+	s.coordinator.update(func(lease *Lease) { lease.Confirm(time.Duration(began)*tickDuration, Confirmation{Revision: found}) })
 }
 
-// tell has the coordinator answer the router.
-func (w *world) tell(planted fault) {
-	told, ok := w.coordinator.lease().Tell(w.time())
+// answerRouter has the coordinator answer the router's request.
+func (s *state) answerRouter(planted fault) {
+	confirmation, ok := s.coordinator.lease().Tell(s.elapsed())
 	if !ok {
-		w.askedAt = -1
+		s.requestedAt = -1
 		return
 	}
-	if planted == relayRenews {
-		told.Age = 0
+	if planted == relayResetsAge {
+		confirmation.Age = 0
 	}
-	w.answer, w.isAnswered = told, true
+	s.answer, s.isAnswered = confirmation, true
 }
 
-// hear has the answer arrive.
-func (w *world) hear(planted fault) {
-	asked := time.Duration(w.askedAt) * tick
-	if planted == ageAtArrival {
-		asked = w.time()
+// receiveAnswer has the coordinator's answer arrive at the router.
+func (s *state) receiveAnswer(planted fault) {
+	sentAt := time.Duration(s.requestedAt) * tickDuration
+	if planted == ageCountedFromArrival {
+		sentAt = s.elapsed()
 	}
-	told := w.answer
+	confirmation := s.answer
 	if planted == countedBeforeApplied {
-		told.Revision = 0
+		confirmation.Revision = 0
 	}
-	w.router.change(func(lease *Lease) { lease.Confirm(asked, told) })
-	w.askedAt, w.answer, w.isAnswered = -1, Confirmation{}, false
+	s.router.update(func(lease *Lease) { lease.Confirm(sentAt, confirmation) })
+	s.requestedAt, s.answer, s.isAnswered = -1, Confirmation{}, false
 }
 
-func TestNoOrderRunsARequestWithAKeyThatWasTakenAway(t *testing.T) {
-	violation, states := explore(none)
+func TestNoStateAdmitsRevokedKey(t *testing.T) {
+	violation, states := explore(noFault)
 	assert.Assert(t, violation == nil, "%+v", violation)
 	assert.Assert(t, states > 100_000, "%d states", states)
 }
 
-func TestPlantedFaultsAreFound(t *testing.T) {
+func TestExplorationFindsPlantedFaults(t *testing.T) {
 	for name, planted := range map[string]fault{
-		"age taken at arrival": ageAtArrival, "relay that renews by itself": relayRenews, "clock step": clockStep,
-		"counted before its revision is applied": countedBeforeApplied, "read that counts at its end": readCountsAtItsEnd,
+		"age counted from arrival": ageCountedFromArrival, "passing on resets the age": relayResetsAge, "clock set back": clockSetBack,
+		"counted before the revision is applied": countedBeforeApplied, "read counted from its end": readCountedFromItsEnd,
 	} {
 		t.Run(name, func(t *testing.T) {
 			violation, states := explore(planted)
--- a/internal/router/configlease/lease.go
+++ b/internal/router/configlease/lease.go
@@ -1,10 +1,10 @@
-// Package configlease decides whether a router may act on the configuration that it has. A revision that was acknowledged takes keys
-// away at routers that cannot hear of it too: a router acts on keys only for so long after it was last sure that its configuration
-// was the newest.
+// Package configlease decides whether a router may act on the configuration that it has. A revision that was acknowledged revokes
+// keys also at routers that cannot receive it: a router accepts keys only for a limited time after it last knew that its
+// configuration was the newest.
 //
-// A confirmation says that a revision was the newest at a quorum of the acceptors at some moment. It is told by its age, which each
-// router adds to by its own steady clock, counted from before it asked: so a confirmation can look older than it is, and never
-// younger. The package is pure: time comes in as the steady time since the router's start.
+// A confirmation says that a revision was the newest at a quorum of the acceptors at some time. It is passed on with its age,
+// to which each router adds by its own steady clock, counted from before it sent its request. So a confirmation may appear
+// older than it is, but never younger. The package reads no clock: times are given as steady time since the router's start.
 package configlease
 
 import (
@@ -13,107 +13,107 @@
 )
 
 const (
-	// driftShare is the share by which two steady clocks may differ.
-	driftShare = 0.02
-	// marginShare is the share of the bound that is left for what a request still takes on its way to an instance.
-	marginShare = 0.1
-	// maxWaiting bounds the confirmations of revisions that are not applied yet.
-	maxWaiting = 8
+	// driftFraction is the fraction by which the rates of two steady clocks may differ.
+	driftFraction = 0.02
+	// marginFraction is the fraction of the bound that is reserved for the time a request still takes to reach an instance.
+	marginFraction = 0.1
+	// maxPending is the maximum number of stored confirmations of revisions that are not applied yet.
+	maxPending = 8
 )
 
-// Confirmation says that a revision was the newest so long ago.
+// Confirmation says that a revision was known to be the newest, and how long ago that was.
 type Confirmation struct {
 	Revision uint64        `msgpack:"revision"`
 	Age      time.Duration `msgpack:"age"`
 }
 
-// Lease is a router's permission to act on its configuration. Its methods may be called from any goroutine.
+// Lease is a router's permission to act on its configuration for a limited time. It is safe for concurrent use.
 type Lease struct {
 	duration time.Duration
 
-	mu      sync.Mutex
-	applied uint64
-	holds   bool
-	from    time.Duration // when the applied revision was last known to be the newest
-	waiting []confirmed
+	mu              sync.Mutex
+	appliedRevision uint64
+	isConfirmed     bool                // an applied revision was confirmed at some time
+	confirmedAt     time.Duration       // when the applied revision was last known to be the newest
+	pending         []localConfirmation // of revisions that are not applied yet
 }
 
-// confirmed is a confirmation in this router's time.
-type confirmed struct {
+// localConfirmation is a confirmation with its time by this router's clock.
+type localConfirmation struct {
 	revision uint64
 	at       time.Duration
 }
 
-// New returns a lease that does not hold. The bound is the time after which no router may act on a revision that another one has
-// followed.
+// New returns a lease without a confirmation, which does not hold. The bound is the time after which no router may act on a
+// revision that has been superseded.
 func New(bound time.Duration) *Lease {
-	return &Lease{duration: time.Duration((1 - marginShare) * float64(bound))}
+	return &Lease{duration: time.Duration((1 - marginFraction) * float64(bound))}
 }
 
-// Duration is how long the lease lasts from a confirmation on.
+// Duration returns how long the lease holds after a confirmation.
 func (l *Lease) Duration() time.Duration { return l.duration }
 
-// Apply notes that a revision is in force here.
+// Apply notes that this router has applied a revision.
 func (l *Lease) Apply(revision uint64) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.applied = max(l.applied, revision)
-	still := l.waiting[:0]
-	for _, known := range l.waiting {
-		if !l.take(known) {
-			still = append(still, known)
+	l.appliedRevision = max(l.appliedRevision, revision)
+	remaining := l.pending[:0]
+	for _, local := range l.pending {
+		if !l.record(local) {
+			remaining = append(remaining, local)
 		}
 	}
-	l.waiting = still
+	l.pending = remaining
 }
 
-// Confirm takes a confirmation that was asked for at the given time. It counts from the moment at which its revision is applied, but is as
-// old as it is.
-func (l *Lease) Confirm(askedAt time.Duration, told Confirmation) {
+// Confirm adds a confirmation that answers a request sent at askedAt. It takes effect once its revision is applied; its age
+// counts in any case.
+func (l *Lease) Confirm(askedAt time.Duration, confirmation Confirmation) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	age := told.Age + time.Duration(driftShare*float64(told.Age))
-	known := confirmed{revision: told.Revision, at: askedAt - age}
-	if l.take(known) {
+	age := confirmation.Age + time.Duration(driftFraction*float64(confirmation.Age))
+	local := localConfirmation{revision: confirmation.Revision, at: askedAt - age}
+	if l.record(local) {
 		return
 	}
-	if len(l.waiting) == maxWaiting {
-		l.waiting = l.waiting[:maxWaiting-1]
+	if len(l.pending) == maxPending {
+		l.pending = l.pending[:maxPending-1]
 	}
-	l.waiting = append(l.waiting, known)
+	l.pending = append(l.pending, local)
 }
 
-// take counts a confirmation if its revision is applied.
-func (l *Lease) take(known confirmed) bool {
-	if known.revision > l.applied {
+// record applies a confirmation to the lease. It returns false if the revision is not applied yet.
+func (l *Lease) record(local localConfirmation) bool {
+	if local.revision > l.appliedRevision {
 		return false
 	}
-	if !l.holds || known.at > l.from {
-		l.holds, l.from = true, known.at
+	if !l.isConfirmed || local.at > l.confirmedAt {
+		l.isConfirmed, l.confirmedAt = true, local.at
 	}
 	return true
 }
 
-// Age is the time since the applied revision was last known to be the newest; false: it never was.
+// Age returns the time since the applied revision was last known to be the newest; false if it never was.
 func (l *Lease) Age(now time.Duration) (time.Duration, bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	return now - l.from, l.holds
+	return now - l.confirmedAt, l.isConfirmed
 }
 
-// Holds tells whether the router may act on the configuration now.
+// Holds reports whether the router may act on the configuration now.
 func (l *Lease) Holds(now time.Duration) bool {
 	age, known := l.Age(now)
 	return known && age < l.duration
 }
 
-// Tell is the confirmation to be told to another router, if there is one that is worth telling.
+// Tell returns the confirmation for another router; false if the lease does not hold.
 func (l *Lease) Tell(now time.Duration) (Confirmation, bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	age := now - l.from
-	if !l.holds || age >= l.duration {
+	age := now - l.confirmedAt
+	if !l.isConfirmed || age >= l.duration {
 		return Confirmation{}, false
 	}
-	return Confirmation{Revision: l.applied, Age: age}, true
+	return Confirmation{Revision: l.appliedRevision, Age: age}, true
 }
--- a/internal/router/configlease/lease_test.go
+++ b/internal/router/configlease/lease_test.go
@@ -10,7 +10,7 @@
 
 const bound = 10 * time.Second
 
-func TestALeaseLastsFromWhereItsConfirmationBegan(t *testing.T) {
+func TestLeaseCountsFromStartOfConfirmation(t *testing.T) {
 	lease := New(bound)
 	assert.Assert(t, !lease.Holds(0))
 	lease.Apply(3)
@@ -22,7 +22,7 @@
 	assert.Assert(t, !lease.Holds(25*time.Second))
 }
 
-func TestAConfirmationWaitsForItsRevision(t *testing.T) {
+func TestConfirmationCountsOnceRevisionIsApplied(t *testing.T) {
 	lease := New(bound)
 	lease.Apply(3)
 	lease.Confirm(20*time.Second, Confirmation{Revision: 5})
@@ -34,7 +34,7 @@
 	assert.Assert(t, !lease.Holds(29*time.Second))
 }
 
-func TestAnOlderConfirmationTakesNothingBack(t *testing.T) {
+func TestOlderConfirmationChangesNothing(t *testing.T) {
 	lease := New(bound)
 	lease.Apply(3)
 	lease.Confirm(20*time.Second, Confirmation{Revision: 3})
@@ -43,27 +43,27 @@
 	assert.Equal(t, age, time.Second)
 }
 
-func TestWhatIsToldIsAsOldAsWhatIsKnown(t *testing.T) {
+func TestTellReturnsAgeOfConfirmation(t *testing.T) {
 	lease := New(bound)
 	_, ok := lease.Tell(0)
 	assert.Assert(t, !ok)
 	lease.Apply(3)
 	lease.Confirm(20*time.Second, Confirmation{Revision: 3})
-	told, ok := lease.Tell(23 * time.Second)
+	confirmation, ok := lease.Tell(23 * time.Second)
 	assert.Assert(t, ok)
-	assert.DeepEqual(t, told, Confirmation{Revision: 3, Age: 3 * time.Second})
+	assert.DeepEqual(t, confirmation, Confirmation{Revision: 3, Age: 3 * time.Second})
 	_, ok = lease.Tell(29 * time.Second)
-	assert.Assert(t, !ok, "nothing that has ended")
+	assert.Assert(t, !ok, "a confirmation of an expired lease")
 }
 
-// TestPlain compares a lease with a list of all that it heard, which is looked through for each answer.
-func TestPlain(t *testing.T) {
+// TestLeaseMatchesReferenceModel compares a lease with a plain list of all confirmations, which is searched for each answer.
+func TestLeaseMatchesReferenceModel(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		lease := New(bound)
-		var heard []confirmed
+		var confirmations []localConfirmation
 		var applied uint64
 		now := time.Duration(0)
-		for range rapid.IntRange(1, maxWaiting).Draw(t, "steps") {
+		for range rapid.IntRange(1, maxPending).Draw(t, "steps") {
 			now += time.Duration(rapid.IntRange(0, 3000).Draw(t, "ms")) * time.Millisecond
 			revision := rapid.Uint64Range(0, 5).Draw(t, "revision")
 			if rapid.Bool().Draw(t, "apply") {
@@ -71,11 +71,11 @@
 				applied = max(applied, revision)
 			} else {
 				lease.Confirm(now, Confirmation{Revision: revision})
-				heard = append(heard, confirmed{revision: revision, at: now})
+				confirmations = append(confirmations, localConfirmation{revision: revision, at: now})
 			}
 			want := false
-			for _, known := range heard {
-				want = want || known.revision <= applied && now-known.at < lease.Duration()
+			for _, confirmation := range confirmations {
+				want = want || confirmation.revision <= applied && now-confirmation.at < lease.Duration()
 			}
 			assert.Equal(t, lease.Holds(now), want)
 		}
--- a/internal/router/shares/shares.go
+++ b/internal/router/shares/shares.go
@@ -68,7 +68,7 @@
 	// Tell returns the confirmation that this router sends as the coordinator; false if it has none.
 	Tell() (configlease.Confirmation, bool)
 	// Take receives a confirmation of the coordinator. The call that it answers began at askedAt by Options.Clock.
-	Take(askedAt time.Duration, told configlease.Confirmation)
+	Take(askedAt time.Duration, confirmation configlease.Confirmation)
 }
 
 // FleetSize is the number of routers in the fleet as one of them knows it.
