--- a/internal/router/lease/candidate.go
+++ b/internal/router/lease/candidate.go
@@ -38,7 +38,7 @@
 	term        Term   // of the lease held last
 	heldUntil   time.Duration
 	nextRoundAt time.Duration
-	// earliestRoundAt is the earliest time of a round that another candidate's release triggers.
+	// earliestRoundAt is the earliest time of a round without a proof, one duration after the start.
 	earliestRoundAt time.Duration
 	pendingReleases []Message
 
--- a/internal/router/lease/lease_test.go
+++ b/internal/router/lease/lease_test.go
@@ -15,17 +15,17 @@
 // TestNeverTwoHolders simulates random histories of late, lost and duplicated messages, pauses, restarts and changes of the
 // grantor sets.
 func TestNeverTwoHolders(t *testing.T) {
-	holds := 0
+	leases := 0
 	rapid.Check(t, func(draw *rapid.T) {
 		s := newSimulation(draw, rapid.Uint64().Draw(draw, "seed"))
 		for range faultsPerHistory {
 			s.run(s.now + time.Duration(s.random.IntN(1000))*1500*time.Microsecond)
 			s.injectFault()
 		}
-		holds += s.leases
+		leases += s.leases
 	})
-	t.Logf("%d leases", holds)
-	assert.Assert(t, holds > 0)
+	t.Logf("%d leases", leases)
+	assert.Assert(t, leases > 0)
 }
 
 // TestOneHolderWithoutFaults checks that there is a holder soon, and that it stays the holder.
--- a/internal/router/lease/restart_test.go
+++ b/internal/router/lease/restart_test.go
@@ -118,7 +118,7 @@
 	}
 }
 
-// runHistory runs one history of faults and checks.
+// runHistory injects random faults at random intervals, and then runs for two durations more.
 func (s *processSimulation) runHistory() {
 	for range faultsPerHistory {
 		s.runBriefly()
@@ -242,14 +242,14 @@
 }
 
 func runRestartHistories(t *testing.T, firstSeed, histories uint64) {
-	holds, proven := 0, 0
+	leases, proven := 0, 0
 	for seed := range histories {
 		s := newProcessSimulation(t, firstSeed+seed)
 		s.runHistory()
-		holds += s.leases
+		leases += s.leases
 		proven += s.provenLeases
 	}
-	t.Logf("%d leases, %d of them with a proof", holds, proven)
+	t.Logf("%d leases, %d of them with a proof", leases, proven)
 	assert.Assert(t, 2*uint64(proven) > histories, "%d leases with a proof", proven)
 }
 
--- a/internal/router/lease/simulation_test.go
+++ b/internal/router/lease/simulation_test.go
@@ -348,9 +348,9 @@
 
 func (s *simulation) resume(c *simulatedCandidate) {
 	c.paused = false
-	waiting := c.deferred
+	deferred := c.deferred
 	c.deferred = nil
-	for _, run := range waiting {
+	for _, run := range deferred {
 		run()
 	}
 }
--- a/internal/router/shares/coordination.go
+++ b/internal/router/shares/coordination.go
@@ -26,46 +26,46 @@
 	retries *retrybudget.Coordinator
 }
 
-func (r *coordinationState) setLimits(now time.Duration, limits map[string]quota.Limit) {
-	r.Lock()
-	defer r.Unlock()
-	r.limits = maps.Clone(limits)
-	if r.quota != nil {
-		r.quota.SetLimits(now, r.limits)
+func (c *coordinationState) setLimits(now time.Duration, limits map[string]quota.Limit) {
+	c.Lock()
+	defer c.Unlock()
+	c.limits = maps.Clone(limits)
+	if c.quota != nil {
+		c.quota.SetLimits(now, c.limits)
 	}
 }
 
-func (r *coordinationState) setRouters(now time.Duration, live, left int) {
-	r.Lock()
-	defer r.Unlock()
-	r.liveRouters, r.departedRouters = live, left
-	if r.quota != nil {
-		r.quota.SetRouters(now, live, left)
+func (c *coordinationState) setRouters(now time.Duration, live, left int) {
+	c.Lock()
+	defer c.Unlock()
+	c.liveRouters, c.departedRouters = live, left
+	if c.quota != nil {
+		c.quota.SetRouters(now, live, left)
 	}
 }
 
 // handleLeaseRequest answers a candidate's request or probe with this router's grantor.
-func (r *coordinationState) handleLeaseRequest(now time.Duration, request lease.Request) lease.Response {
-	r.Lock()
-	defer r.Unlock()
+func (c *coordinationState) handleLeaseRequest(now time.Duration, request lease.Request) lease.Response {
+	c.Lock()
+	defer c.Unlock()
 	if request.Probe {
-		return r.grantor.HandleProbe(now, request, r.candidate.Idle(now, request))
+		return c.grantor.HandleProbe(now, request, c.candidate.Idle(now, request))
 	}
-	response := r.grantor.Handle(now, request)
+	response := c.grantor.Handle(now, request)
 	if request.Release {
-		r.candidate.RetrySoon(now, request)
+		c.candidate.RetrySoon(now, request)
 	}
 	return response
 }
 
 // coordinatorAddress returns the coordinator's address as far as this router's candidate or grantor knows it; empty if unknown.
-func (r *coordinationState) coordinatorAddress(now time.Duration, own string) string {
-	r.Lock()
-	defer r.Unlock()
-	if _, held := r.candidate.Held(now); held {
+func (c *coordinationState) coordinatorAddress(now time.Duration, own string) string {
+	c.Lock()
+	defer c.Unlock()
+	if _, held := c.candidate.Held(now); held {
 		return own
 	}
-	holder, _, _ := r.grantor.CurrentHolder(now)
+	holder, _, _ := c.grantor.CurrentHolder(now)
 	if holder == own {
 		return ""
 	}
@@ -73,35 +73,35 @@
 }
 
 // handleReport answers a router's report. It returns false if this router does not hold the lease.
-func (r *coordinationState) handleReport(now time.Duration, rules coordinatorRules, report exchangeReport) (exchangeAnswer, bool) {
-	r.Lock()
-	defer r.Unlock()
-	r.candidate.ObserveTerm(now, lease.Term(max(report.Quota.Term, report.Retry.Term)))
-	term, held := r.candidate.Held(now)
+func (c *coordinationState) handleReport(now time.Duration, rules coordinatorRules, report exchangeReport) (exchangeAnswer, bool) {
+	c.Lock()
+	defer c.Unlock()
+	c.candidate.ObserveTerm(now, lease.Term(max(report.Quota.Term, report.Retry.Term)))
+	term, held := c.candidate.Held(now)
 	if !held {
-		r.quota, r.retries = nil, nil
+		c.quota, c.retries = nil, nil
 		return exchangeAnswer{}, false
 	}
-	r.ensureCoordinators(now, rules, uint64(term))
+	c.ensureCoordinators(now, rules, uint64(term))
 	return exchangeAnswer{
-		Quota: r.quota.Report(now, report.Node, report.Quota),
-		Retry: r.retries.Report(now, report.Node, report.Retry),
+		Quota: c.quota.Report(now, report.Node, report.Quota),
+		Retry: c.retries.Report(now, report.Node, report.Retry),
 	}, true
 }
 
 // ensureCoordinators replaces the coordinators of quotas and retries when the lease has a new term.
-func (r *coordinationState) ensureCoordinators(now time.Duration, rules coordinatorRules, term uint64) {
-	if r.quota != nil && r.quota.Term() == term {
+func (c *coordinationState) ensureCoordinators(now time.Duration, rules coordinatorRules, term uint64) {
+	if c.quota != nil && c.quota.Term() == term {
 		return
 	}
-	r.quota = quota.NewCoordinator(now, rules.quota, term)
+	c.quota = quota.NewCoordinator(now, rules.quota, term)
 	if !rules.coordinatorHeard {
-		r.quota.AssumeIdle(now)
+		c.quota.AssumeIdle(now)
 	}
-	r.quota.SetLimits(now, r.limits)
-	r.quota.SetKeepers(r.floorKeepers)
-	r.quota.SetRouters(now, r.liveRouters, r.departedRouters)
-	r.retries = retrybudget.NewCoordinator(now, rules.retry, term)
+	c.quota.SetLimits(now, c.limits)
+	c.quota.SetKeepers(c.floorKeepers)
+	c.quota.SetRouters(now, c.liveRouters, c.departedRouters)
+	c.retries = retrybudget.NewCoordinator(now, rules.retry, term)
 }
 
 // coordinatorRules configures the coordinators that this router creates.
--- a/internal/router/shares/relay.go
+++ b/internal/router/shares/relay.go
@@ -77,23 +77,23 @@
 	addresses map[string]bool
 }
 
-func (d *indirectPeers) contains(address string) bool {
-	d.mutex.Lock()
-	defer d.mutex.Unlock()
-	return d.addresses[address]
+func (p *indirectPeers) contains(address string) bool {
+	p.mutex.Lock()
+	defer p.mutex.Unlock()
+	return p.addresses[address]
 }
 
-func (d *indirectPeers) record(address string, isDirect bool) {
-	d.mutex.Lock()
-	defer d.mutex.Unlock()
+func (p *indirectPeers) record(address string, isDirect bool) {
+	p.mutex.Lock()
+	defer p.mutex.Unlock()
 	if isDirect {
-		delete(d.addresses, address)
+		delete(p.addresses, address)
 		return
 	}
-	if d.addresses == nil {
-		d.addresses = map[string]bool{}
+	if p.addresses == nil {
+		p.addresses = map[string]bool{}
 	}
-	d.addresses[address] = true
+	p.addresses[address] = true
 }
 
 // sendCopy calls the router at the address, which is the target or a relay, in the background.
--- a/internal/router/shares/shares.go
+++ b/internal/router/shares/shares.go
@@ -89,6 +89,7 @@
 	startedAt    time.Duration
 	local        localState
 	coordination coordinationState
+	// exchangeWake makes the exchange loop report early.
 	exchangeWake chan struct{}
 	// coordinatorHeard is true if a coordinator has answered since the start.
 	coordinatorHeard atomic.Bool
@@ -213,7 +214,7 @@
 // now returns the time since the start.
 func (s *Shares) now() time.Duration { return s.clock.Now() - s.startedAt }
 
-// sinceStart converts a recent wall-clock reading to the time since the start.
+// sinceStart converts a recent result of time.Now to the time since the start.
 func (s *Shares) sinceStart(moment time.Time) time.Duration { return s.clock.At(moment) - s.startedAt }
 
 // wakeExchangeIf makes the exchange loop report early if the report is urgent.
