--- a/internal/router/shares/leaseloop.go
+++ b/internal/router/shares/leaseloop.go
@@ -149,7 +149,7 @@
 	if now-before < minLoggedSuspension {
 		return before
 	}
-	s.options.Log.WithField("seconds", (now - before).Seconds()).Warn("the machine was suspended; leases may have expired meanwhile")
+	s.options.Log.WithField("seconds", (now - before).Seconds()).Warn("the machine was suspended: leases have run out meanwhile")
 	return now
 }
 
