--- a/internal/router/casregister/acceptor.go
+++ b/internal/router/casregister/acceptor.go
@@ -2,56 +2,56 @@
 
 import "github.com/pkg/errors"
 
-// ErrRequest is the error of a request that an acceptor cannot read.
+// ErrRequest is returned for a request with an unknown kind or a missing field.
 var ErrRequest = errors.New("casregister: malformed request")
 
-// Record is everything that an acceptor keeps on its disk.
+// Record is the persistent state of an acceptor.
 type Record struct {
 	ID AcceptorID `msgpack:"i"`
-	// First is the set of the register's first value, if the acceptor was told it at the first start.
+	// First is the set of the register's initial value, zero unless the acceptor was given it at its first start.
 	First    Set    `msgpack:"f"`
 	Promised Ballot `msgpack:"p"`
 	Accepted State  `msgpack:"a"`
 }
 
-// Output is the outcome of a step: if NeedsSync, Reply may be handed out only after the pending record was synced.
+// Output is the result of a step. If NeedsSync is true, Reply must not be sent before the pending record is synced.
 type Output struct {
 	NeedsSync bool
 	Reply     Reply
 }
 
-// AcceptorMachine is the state machine of one acceptor. Requests change its pending record; the caller syncs that record,
-// for one request or for several together, and then calls Synced or, if the disk refused, Discard.
+// AcceptorMachine is the state machine of one acceptor. Requests change its pending record. The caller syncs that record,
+// for one request or for a batch, and then calls Synced, or Discard if the write failed.
 type AcceptorMachine struct {
 	durable Record
 	pending Record
 	dirty   bool
 }
 
-// NewAcceptorMachine returns a machine that goes on from a record read from disk.
+// NewAcceptorMachine returns a machine that starts from a record read from disk.
 func NewAcceptorMachine(record Record) *AcceptorMachine {
 	return &AcceptorMachine{durable: record, pending: record}
 }
 
-// Durable is the record as last synced.
+// Durable returns the record as last synced.
 func (machine *AcceptorMachine) Durable() Record { return machine.durable }
 
-// Pending is the record to be synced.
+// Pending returns the record to be synced.
 func (machine *AcceptorMachine) Pending() Record { return machine.pending }
 
-// Synced tells the machine that the pending record is on disk.
+// Synced reports to the machine that the pending record is on disk.
 func (machine *AcceptorMachine) Synced() {
 	machine.durable = machine.pending
 	machine.dirty = false
 }
 
-// Discard tells the machine that the pending record could not be written. Replies that need it must not be handed out.
+// Discard reports to the machine that the pending record could not be written. Replies that depend on it must not be sent.
 func (machine *AcceptorMachine) Discard() {
 	machine.pending = machine.durable
 	machine.dirty = false
 }
 
-// Step takes one request.
+// Step processes one request.
 func (machine *AcceptorMachine) Step(request Request) (Output, error) {
 	if request.To != machine.pending.ID {
 		return Output{}, &IdentityError{Wanted: request.To, Actual: machine.pending.ID}
@@ -75,7 +75,8 @@
 	return Output{NeedsSync: machine.dirty, Reply: reply}
 }
 
-// prepare promises the ballot if it is new, or again if it was promised and nothing was accepted under it yet.
+// prepare promises the ballot if it is higher than every promised one, or repeats the promise if it is the promised ballot
+// and nothing was accepted under it yet.
 func (machine *AcceptorMachine) prepare(request Request) Reply {
 	record := &machine.pending
 	isRepeated := request.Ballot == record.Promised && record.Accepted.Ballot.Less(request.Ballot)
@@ -89,7 +90,7 @@
 	return stateReply(*record, request, Promised)
 }
 
-// accept takes the value unless a higher ballot was promised.
+// accept accepts the value unless a higher ballot was promised.
 func (machine *AcceptorMachine) accept(request Request) Reply {
 	record := &machine.pending
 	if request.Ballot.Less(record.Promised) {
@@ -109,7 +110,7 @@
 	}
 }
 
-// ReportOf is the reply to a report request, which depends on the synced record alone.
+// ReportOf returns the reply to a report request, which depends on the synced record alone.
 func ReportOf(durable Record, request Request) Reply {
 	return stateReply(durable, request, Reported)
 }
--- a/internal/router/casregister/acceptor_test.go
+++ b/internal/router/casregister/acceptor_test.go
@@ -9,8 +9,8 @@
 
 func ballotOf(counter uint64) Ballot { return Ballot{Counter: counter, Proposer: "p"} }
 
-// take steps the machine and syncs what it asks for.
-func take(t *testing.T, machine *AcceptorMachine, request Request) Output {
+// stepAndSync sends the machine a request and, if its reply needs a sync, reports the pending record as synced.
+func stepAndSync(t *testing.T, machine *AcceptorMachine, request Request) Output {
 	t.Helper()
 	request.To = "a"
 	output, err := machine.Step(request)
@@ -25,41 +25,41 @@
 	machine := NewAcceptorMachine(Record{ID: "a"})
 	value := &Value{Payload: []byte("x")}
 
-	output := take(t, machine, Request{Kind: Prepare, Ballot: ballotOf(5)})
+	output := stepAndSync(t, machine, Request{Kind: Prepare, Ballot: ballotOf(5)})
 	assert.Assert(t, output.NeedsSync)
 	assert.Equal(t, output.Reply.Verdict, Promised)
 
-	output = take(t, machine, Request{Kind: Prepare, Ballot: ballotOf(5)})
+	output = stepAndSync(t, machine, Request{Kind: Prepare, Ballot: ballotOf(5)})
 	assert.Assert(t, !output.NeedsSync)
 	assert.Equal(t, output.Reply.Verdict, Promised)
 
 	for _, kind := range []RequestKind{Prepare, Accept} {
-		output = take(t, machine, Request{Kind: kind, Ballot: ballotOf(4), Value: value})
+		output = stepAndSync(t, machine, Request{Kind: kind, Ballot: ballotOf(4), Value: value})
 		assert.Equal(t, output.Reply.Verdict, Conflict)
 		assert.Equal(t, output.Reply.Promised, ballotOf(5))
 	}
 
-	output = take(t, machine, Request{Kind: Accept, Ballot: ballotOf(5), Value: value})
+	output = stepAndSync(t, machine, Request{Kind: Accept, Ballot: ballotOf(5), Value: value})
 	assert.Assert(t, output.NeedsSync)
 	assert.Equal(t, output.Reply.Verdict, Accepted)
 
-	output = take(t, machine, Request{Kind: Accept, Ballot: ballotOf(5), Value: value})
+	output = stepAndSync(t, machine, Request{Kind: Accept, Ballot: ballotOf(5), Value: value})
 	assert.Assert(t, !output.NeedsSync)
 	assert.Equal(t, output.Reply.Verdict, Accepted)
 
-	output = take(t, machine, Request{Kind: Prepare, Ballot: ballotOf(5)})
-	assert.Equal(t, output.Reply.Verdict, Conflict, "a late prepare after the accept of its ballot")
+	output = stepAndSync(t, machine, Request{Kind: Prepare, Ballot: ballotOf(5)})
+	assert.Equal(t, output.Reply.Verdict, Conflict, "a delayed prepare after the accept of the same ballot")
 
-	output = take(t, machine, Request{Kind: Prepare, Ballot: ballotOf(6)})
+	output = stepAndSync(t, machine, Request{Kind: Prepare, Ballot: ballotOf(6)})
 	assert.Equal(t, output.Reply.Accepted, ballotOf(5))
 	assert.DeepEqual(t, output.Reply.Value, value)
 
-	output = take(t, machine, Request{Kind: Prepare, Ballot: ballotOf(7), Known: ballotOf(5)})
+	output = stepAndSync(t, machine, Request{Kind: Prepare, Ballot: ballotOf(7), Known: ballotOf(5)})
 	assert.Equal(t, output.Reply.Accepted, ballotOf(5))
-	assert.Assert(t, output.Reply.Value == nil, "the sender has the value")
+	assert.Assert(t, output.Reply.Value == nil, "the sender already has the value")
 }
 
-func TestAcceptorAnswersOnlyForItself(t *testing.T) {
+func TestAcceptorRejectsRequestsForOthers(t *testing.T) {
 	machine := NewAcceptorMachine(Record{ID: "a"})
 	_, err := machine.Step(Request{Kind: Prepare, To: "b", Ballot: ballotOf(1)})
 	other := new(IdentityError)
@@ -67,7 +67,7 @@
 	assert.Equal(t, *other, IdentityError{Wanted: "b", Actual: "a"})
 }
 
-func TestAcceptorRefusesMalformedRequests(t *testing.T) {
+func TestAcceptorRejectsMalformedRequests(t *testing.T) {
 	machine := NewAcceptorMachine(Record{ID: "a"})
 	for _, request := range []Request{
 		{To: "a"},
@@ -79,9 +79,9 @@
 	}
 }
 
-// TestAcceptorBehindOneSync steps several requests before one sync: all replies since the first change need it, and if it
-// fails the machine is where it was.
-func TestAcceptorBehindOneSync(t *testing.T) {
+// TestAcceptorBatchesRequestsUnderOneSync steps several requests before one sync: all replies since the first change need
+// that sync, and if it fails, the machine returns to its durable record.
+func TestAcceptorBatchesRequestsUnderOneSync(t *testing.T) {
 	machine := NewAcceptorMachine(Record{ID: "a"})
 	before := machine.Durable()
 	for _, request := range []Request{
@@ -96,7 +96,7 @@
 	report, err := machine.Step(Request{Kind: Report, To: "a"})
 	assert.NilError(t, err)
 	assert.Assert(t, !report.NeedsSync)
-	assert.Assert(t, report.Reply.Accepted.IsZero(), "a report tells only what is on disk")
+	assert.Assert(t, report.Reply.Accepted.IsZero(), "a report contains only durable state")
 	machine.Discard()
 	assert.DeepEqual(t, machine.Pending(), before)
 }
--- a/internal/router/casregister/ballot.go
+++ b/internal/router/casregister/ballot.go
@@ -5,7 +5,7 @@
 	"fmt"
 )
 
-// Ballot numbers a proposal. Proposer must be unique for each incarnation of a process, so that no two proposals ever
+// Ballot is the number of a proposal. Proposer must be unique for each incarnation of a process, so that no two proposals
 // share a ballot.
 type Ballot struct {
 	Counter  uint64 `msgpack:"c"`
@@ -20,25 +20,25 @@
 	return cmp.Compare(ballot.Proposer, other.Proposer)
 }
 
-// Less says whether ballot comes before other.
+// Less reports whether ballot is lower than other.
 func (ballot Ballot) Less(other Ballot) bool { return ballot.Compare(other) < 0 }
 
-// IsZero says whether this is the ballot of the first value, which nobody proposed.
+// IsZero reports whether this is the ballot of the initial value, which no proposer proposed.
 func (ballot Ballot) IsZero() bool { return ballot == Ballot{} }
 
-// Next is a ballot of proposer above this one.
+// Next returns the next higher ballot, owned by proposer.
 func (ballot Ballot) Next(proposer string) Ballot {
 	return Ballot{Counter: ballot.Counter + 1, Proposer: proposer}
 }
 
-// recoveryStep is how far the ballot of a recovery lies above those known. No proposal that began without knowing of a recovery
-// reaches its ballots.
-const recoveryStep = 1 << 32
+// recoveryBallotGap is the distance of a recovery's ballot from the highest known one. It is so large that no proposal that
+// began without knowledge of the recovery reaches its ballots.
+const recoveryBallotGap = 1 << 32
 
-// NextRecovery is a ballot of proposer for a recovery, far above this one.
+// NextRecovery returns a ballot of proposer for a recovery, recoveryBallotGap above this one.
 func (ballot Ballot) NextRecovery(proposer string) Ballot {
-	return Ballot{Counter: ballot.Counter + recoveryStep, Proposer: proposer}
+	return Ballot{Counter: ballot.Counter + recoveryBallotGap, Proposer: proposer}
 }
 
-// String shows the ballot as counter@proposer.
+// String formats the ballot as counter@proposer.
 func (ballot Ballot) String() string { return fmt.Sprintf("%d@%s", ballot.Counter, ballot.Proposer) }
--- a/internal/router/casregister/client_test.go
+++ b/internal/router/casregister/client_test.go
@@ -5,98 +5,100 @@
 	"slices"
 )
 
-// operationKind is what a client does to the register, whose payload is the list of the appended numbers, a byte each.
+// operationKind is the kind of a client's operation. The payload of the register is the list of the appended numbers, one
+// byte each.
 type operationKind int
 
 const (
 	appendNumber operationKind = iota
-	refuseState
+	refuseChange
 	readState
 	changeSet
 )
 
-// operation is one operation as its client saw it. Without a clear end it returned never.
+// operation is one operation as its client observed it. isDefinite says that the client learned its outcome; otherwise the
+// operation counts as one that never returned.
 type operation struct {
-	kind    operationKind
-	client  int
-	number  byte
-	called  int64
-	returns int64
-	isClear bool
-	payload string
+	kind       operationKind
+	client     int
+	number     byte
+	calledAt   int64
+	returnedAt int64
+	isDefinite bool
+	payload    string
 }
 
-// client makes one operation after another, each in some attempts under rising ballots.
+// client runs one operation after another, each in one or more attempts under increasing ballots.
 type client struct {
-	world   *world
-	index   int
-	isFinal bool
-	isDone  bool
-	start   Set
-	known   *State
-
-	current  *operation
-	attempts int
-	attempt  int
-	since    int64
-	highest  Ballot
-	proposer *Proposer
-	reader   *Reader
+	simulation *simulation
+	index      int
+	isFinal    bool
+	isDone     bool
+	start      Set
+	known      *State
+
+	current          *operation
+	attempts         int
+	attempt          int
+	attemptStartedAt int64
+	highest          Ballot
+	proposer         *Proposer
+	reader           *Reader
 }
 
 func (client *client) tick() {
 	switch {
 	case client.isDone:
 	case client.current == nil:
-		client.begin()
-	case client.world.clock-client.since > stepsPerAttempt:
+		client.startOperation()
+	case client.simulation.clock-client.attemptStartedAt > stepsPerAttempt:
 		client.retry()
 	}
 }
 
-// begin draws the next operation.
-func (client *client) begin() {
+// startOperation draws the next operation at random.
+func (client *client) startOperation() {
 	kind := readState
 	if !client.isFinal {
-		if !client.world.chance(4) {
+		if !client.simulation.chance(4) {
 			return
 		}
-		kind = []operationKind{appendNumber, appendNumber, refuseState, readState, changeSet, changeSet}[client.world.random.IntN(6)]
+		kind = []operationKind{appendNumber, appendNumber, refuseChange, readState, changeSet, changeSet}[client.simulation.random.IntN(6)]
 	}
 	client.current = &operation{
-		kind:   kind,
-		client: client.index,
-		called: client.world.clock,
+		kind:     kind,
+		client:   client.index,
+		calledAt: client.simulation.clock,
 	}
-	client.current.number = client.world.nextNumber()
+	client.current.number = client.simulation.nextNumber()
 	client.attempts = 0
-	client.try()
+	client.startAttempt()
 }
 
-// nextNumber is a number that no operation has had.
-func (world *world) nextNumber() byte {
-	world.numbers++
-	return world.numbers
+// nextNumber returns a number that no operation has had.
+func (sim *simulation) nextNumber() byte {
+	sim.lastNumber++
+	return sim.lastNumber
 }
 
-// retry gives up the attempt, and the operation after too many.
+// retry abandons the attempt, and the operation after attemptsPerOperation attempts.
 func (client *client) retry() {
 	if client.attempts == attemptsPerOperation && !client.isFinal {
-		client.end(false, nil)
+		client.finishOperation(false, nil)
 		return
 	}
-	client.try()
+	client.startAttempt()
 }
 
-// try begins an attempt with what the client knows, or at times with what it knew at first.
-func (client *client) try() {
-	world := client.world
+// startAttempt starts an attempt from the newest set and state that the client knows or, at random, from the initial set.
+func (client *client) startAttempt() {
+	sim := client.simulation
 	client.attempts++
 	client.attempt++
-	client.since = world.clock
+	client.attemptStartedAt = sim.clock
 	start, known := client.start, client.known
-	if world.chance(20) {
-		start, known = world.first, nil
+	if sim.chance(20) {
+		start, known = sim.first, nil
 	}
 	client.reader, client.proposer = nil, nil
 	if client.current.kind == readState && client.attempts%2 == 1 {
@@ -116,7 +118,7 @@
 
 func (client *client) send(outbox []Outgoing) {
 	for _, outgoing := range outbox {
-		client.world.network = append(client.world.network, packet{
+		client.simulation.network = append(client.simulation.network, packet{
 			request: &outgoing.Request,
 			address: outgoing.To.Address,
 			client:  client.index,
@@ -133,13 +135,13 @@
 			return base, nil
 		}
 		return Value{Set: base.Set, Payload: append(slices.Clone(base.Payload), client.current.number)}, nil
-	case refuseState:
+	case refuseChange:
 		return base, errRefused
 	case changeSet:
 		if base.Set.IsJoint() {
 			return Value{Set: base.Set.Leave(), Payload: base.Payload}, nil
 		}
-		voters := client.world.drawVoters(base.Set.Voters)
+		voters := client.simulation.randomVoters(base.Set.Voters)
 		return Value{Set: base.Set.Enter(voters), Payload: base.Payload}, nil
 	default:
 		return base, nil
@@ -154,7 +156,7 @@
 		client.reader.Receive(reply)
 		client.send(client.reader.Outbox())
 		if state, isChosen := client.reader.Result(); isChosen {
-			client.end(true, &state)
+			client.finishOperation(true, &state)
 		}
 		return
 	}
@@ -162,9 +164,9 @@
 	client.send(client.proposer.Outbox())
 	switch result := client.proposer.Result(); result.Outcome {
 	case Chosen, Refused:
-		client.end(true, &result.State)
+		client.finishOperation(true, &result.State)
 	case BaseChosen:
-		client.learn(result.State)
+		client.recordChosen(result.State)
 		client.retry()
 	case Preempted:
 		client.highest = result.Higher
@@ -172,8 +174,8 @@
 	}
 }
 
-func (client *client) learn(state State) {
-	client.world.claims = append(client.world.claims, state)
+func (client *client) recordChosen(state State) {
+	client.simulation.reportedChosen = append(client.simulation.reportedChosen, state)
 	if state.Ballot.IsZero() {
 		return
 	}
@@ -183,16 +185,16 @@
 	}
 }
 
-// end ends the operation.
-func (client *client) end(isClear bool, state *State) {
+// finishOperation adds the operation to the history. state is the chosen state that it saw, nil if it was abandoned.
+func (client *client) finishOperation(isClear bool, state *State) {
 	ended := *client.current
-	ended.isClear = isClear
-	ended.returns = client.world.clock
+	ended.isDefinite = isClear
+	ended.returnedAt = client.simulation.clock
 	if state != nil {
-		client.learn(*state)
+		client.recordChosen(*state)
 		ended.payload = string(state.Value.Payload)
 	}
-	client.world.history = append(client.world.history, ended)
+	client.simulation.history = append(client.simulation.history, ended)
 	client.current = nil
 	client.attempt++
 	client.isDone = client.isFinal
--- a/internal/router/casregister/ended.go
+++ b/internal/router/casregister/ended.go
@@ -1,24 +1,26 @@
 package casregister
 
-// Ended are volatile acceptors that are proven to have ended: their record is gone, and they will never answer again.
+// Ended is the set of volatile acceptors that are proven to have ended permanently: their records are lost, and they will
+// never reply again.
 type Ended map[AcceptorID]bool
 
-// HasQuorumWithout is HasQuorum for a recovery. A list of which so many members have ended that the others are no majority any
-// more has a quorum in all of its other members, of which there must be one at least.
-func (set Set) HasQuorumWithout(ended Ended, has func(AcceptorID) bool) bool {
-	if set.IsZero() || !hasQuorumWithout(set.Voters, ended, has) {
+// HasQuorumWithout is HasQuorum for a recovery. If the members of a list that have not ended are no majority of it, the quorum
+// of that list is all of these remaining members, of which there must be at least one.
+func (set Set) HasQuorumWithout(ended Ended, contains func(AcceptorID) bool) bool {
+	if set.IsZero() || !hasQuorumWithout(set.Voters, ended, contains) {
 		return false
 	}
-	return !set.IsJoint() || hasQuorumWithout(set.Previous, ended, has)
+	return !set.IsJoint() || hasQuorumWithout(set.Previous, ended, contains)
 }
 
-// NeedsRecovery says whether a list of the set can't have a majority any more, though some of its members have not ended.
+// NeedsRecovery reports whether some list of the set can no longer reach a majority while each list still has a member that
+// has not ended.
 func (set Set) NeedsRecovery(ended Ended) bool {
 	isLeft := func(id AcceptorID) bool { return !ended[id] }
 	return !set.HasQuorum(isLeft) && set.HasQuorumWithout(ended, isLeft)
 }
 
-func hasQuorumWithout(acceptors []Acceptor, ended Ended, has func(AcceptorID) bool) bool {
+func hasQuorumWithout(acceptors []Acceptor, ended Ended, contains func(AcceptorID) bool) bool {
 	left := 0
 	isMissing := false
 	for _, acceptor := range acceptors {
@@ -26,10 +28,10 @@
 			continue
 		}
 		left++
-		isMissing = isMissing || !has(acceptor.ID)
+		isMissing = isMissing || !contains(acceptor.ID)
 	}
 	if left > len(acceptors)/2 {
-		return hasMajority(acceptors, has)
+		return hasMajority(acceptors, contains)
 	}
 	return left > 0 && !isMissing
 }
--- a/internal/router/casregister/ended_test.go
+++ b/internal/router/casregister/ended_test.go
@@ -19,8 +19,8 @@
 	return func(id AcceptorID) bool { return has[id] }
 }
 
-// TestQuorumWithoutTheEnded compares the quorums of recoveries with what they are to be, for a plain set and for a joint one.
-func TestQuorumWithoutTheEnded(t *testing.T) {
+// TestRecoveryQuorum compares the quorums of recoveries with the expected ones, for a plain set and for a joint one.
+func TestRecoveryQuorum(t *testing.T) {
 	plain := plainSet("abcde")
 	joint := plainSet("abc").Enter(acceptorsNamed("abd"))
 	cases := map[string]struct {
@@ -29,17 +29,17 @@
 		isQuorum   bool
 		isNeeded   bool
 	}{
-		"a majority":                     {plain, "", "abc", true, false},
-		"no majority":                    {plain, "", "ab", false, false},
-		"a majority of those left":       {plain, "de", "abc", true, false},
-		"no majority of those left":      {plain, "de", "ab", false, false},
-		"all that are left":              {plain, "cde", "ab", true, true},
-		"one that is left is missing":    {plain, "cde", "a", false, true},
-		"the ended don't count":          {plain, "cde", "acde", false, true},
-		"nobody is left":                 {plain, "abcde", "abcde", false, false},
-		"a joint set":                    {joint, "ab", "cd", true, true},
-		"a joint set, one is missing":    {joint, "ab", "c", false, true},
-		"nobody is left of the new list": {joint, "abd", "c", false, false},
+		"a majority":                            {plain, "", "abc", true, false},
+		"no majority":                           {plain, "", "ab", false, false},
+		"a majority, two have ended":            {plain, "de", "abc", true, false},
+		"no majority, two have ended":           {plain, "de", "ab", false, false},
+		"all remaining members":                 {plain, "cde", "ab", true, true},
+		"a remaining member is missing":         {plain, "cde", "a", false, true},
+		"ended members don't count":             {plain, "cde", "acde", false, true},
+		"no remaining member":                   {plain, "abcde", "abcde", false, false},
+		"a joint set":                           {joint, "ab", "cd", true, true},
+		"a joint set, one is missing":           {joint, "ab", "c", false, true},
+		"no remaining member of the new voters": {joint, "abd", "c", false, false},
 	}
 	for name, test := range cases {
 		ended := endedNamed(test.ended)
@@ -49,8 +49,9 @@
 	assert.Assert(t, !Set{}.HasQuorumWithout(nil, hasNamed("a")))
 }
 
-// TestRecoveryGoesOnFromWhatIsKnown has the acceptors that are left miss a chosen value, which the recovering process has learned.
-func TestRecoveryGoesOnFromWhatIsKnown(t *testing.T) {
+// TestRecoveryStartsFromKnownState recovers from a state in which no remaining acceptor has the chosen value, but the
+// recovering process has learned it.
+func TestRecoveryStartsFromKnownState(t *testing.T) {
 	acceptors := newCluster("abc")
 	first := plainSet("abc")
 	chosen := acceptors.propose(t, 1, first, "ab", setPayload("1"))
@@ -62,8 +63,9 @@
 	assert.DeepEqual(t, string(result.State.Value.Payload), "12")
 }
 
-// TestReadDoesNotTakeThoseLeftForAQuorum is why a read needs a recovery's promise.
-func TestReadDoesNotTakeThoseLeftForAQuorum(t *testing.T) {
+// TestReadDoesNotUseRecoveryQuorum guards against a read that takes all remaining acceptors for a quorum: a read leaves no
+// promise, so the state that it finds is not known to be chosen before a recovery.
+func TestReadDoesNotUseRecoveryQuorum(t *testing.T) {
 	acceptors := newCluster("c")
 	acceptors.force(t, "c", ballotOf(1), Value{Set: plainSet("abc"), Payload: []byte{1}})
 	reader := NewReader(plainSet("abc"), nil)
--- a/internal/router/casregister/history_test.go
+++ b/internal/router/casregister/history_test.go
@@ -15,56 +15,56 @@
 	"gotest.tools/v3/assert"
 )
 
-// drawnHistories is how many histories TestDrawnHistories draws.
-const drawnHistories = 12000
+// randomHistories is the number of histories that TestRandomHistories generates.
+const randomHistories = 12000
 
-// historyTotals counts what the histories held, so that the test is known not to be empty.
+// historyTotals counts operations and events of all histories, to check that the test covers each of them.
 type historyTotals struct {
-	clear, unclear, refused, joint, plain, wipes atomic.Int64
+	definite, indefinite, refused, joint, plain, wipes atomic.Int64
 }
 
-// TestDrawnHistories plays drawn histories and checks each in two ways: the values that quorums have accepted form one
-// chain, and what the clients saw is linearizable.
-func TestDrawnHistories(t *testing.T) {
+// TestRandomHistories simulates random histories and checks each in two ways: the values that quorums have accepted form one
+// chain, and the operations that the clients observed are linearizable.
+func TestRandomHistories(t *testing.T) {
 	var totals historyTotals
 	var seeds atomic.Uint64
 	var workers sync.WaitGroup
 	for range runtime.GOMAXPROCS(0) {
 		workers.Go(func() {
-			for seed := seeds.Add(1); seed <= drawnHistories; seed = seeds.Add(1) {
-				world := newWorld(seed)
-				world.run()
-				if err := checkWorld(world); err != nil {
+			for seed := seeds.Add(1); seed <= randomHistories; seed = seeds.Add(1) {
+				sim := newSimulation(seed)
+				sim.run()
+				if err := checkSimulation(sim); err != nil {
 					t.Errorf("seed %d: %v", seed, err)
 					return
 				}
-				totals.add(world)
+				totals.add(sim)
 			}
 		})
 	}
 	workers.Wait()
-	t.Logf("%d clear, %d unclear, %d refused operations, %d joint and %d later plain sets chosen, %d disks wiped",
-		totals.clear.Load(), totals.unclear.Load(), totals.refused.Load(), totals.joint.Load(), totals.plain.Load(),
+	t.Logf("%d definite, %d indefinite, %d refused operations, %d joint and %d later plain sets chosen, %d disks wiped",
+		totals.definite.Load(), totals.indefinite.Load(), totals.refused.Load(), totals.joint.Load(), totals.plain.Load(),
 		totals.wipes.Load())
-	assert.Assert(t, totals.clear.Load() > 3*drawnHistories)
-	assert.Assert(t, totals.unclear.Load() > drawnHistories/10)
-	assert.Assert(t, totals.joint.Load() > drawnHistories)
-	assert.Assert(t, totals.plain.Load() > drawnHistories/2)
-	assert.Assert(t, totals.wipes.Load() > drawnHistories/2)
+	assert.Assert(t, totals.definite.Load() > 3*randomHistories)
+	assert.Assert(t, totals.indefinite.Load() > randomHistories/10)
+	assert.Assert(t, totals.joint.Load() > randomHistories)
+	assert.Assert(t, totals.plain.Load() > randomHistories/2)
+	assert.Assert(t, totals.wipes.Load() > randomHistories/2)
 }
 
-func (totals *historyTotals) add(world *world) {
-	for _, operation := range world.history {
+func (totals *historyTotals) add(sim *simulation) {
+	for _, operation := range sim.history {
 		switch {
-		case !operation.isClear:
-			totals.unclear.Add(1)
-		case operation.kind == refuseState:
+		case !operation.isDefinite:
+			totals.indefinite.Add(1)
+		case operation.kind == refuseChange:
 			totals.refused.Add(1)
 		default:
-			totals.clear.Add(1)
+			totals.definite.Add(1)
 		}
 	}
-	for _, state := range world.chosenStates() {
+	for _, state := range sim.chosenStates() {
 		switch {
 		case state.Value.Set.IsJoint():
 			totals.joint.Add(1)
@@ -72,36 +72,36 @@
 			totals.plain.Add(1)
 		}
 	}
-	totals.wipes.Add(int64(world.wipes))
+	totals.wipes.Add(int64(sim.wipes))
 }
 
-func checkWorld(world *world) error {
-	for _, done := range world.history {
-		isAppend := done.kind == appendNumber && done.isClear
+func checkSimulation(sim *simulation) error {
+	for _, done := range sim.history {
+		isAppend := done.kind == appendNumber && done.isDefinite
 		if isAppend && !strings.Contains(done.payload, string([]byte{done.number})) {
-			return errors.Errorf("acknowledged, but not there: %+v", done)
+			return errors.Errorf("acknowledged append is missing from its own result: %+v", done)
 		}
 	}
-	if err := world.checkClaims(); err != nil {
+	if err := sim.checkReportedChosen(); err != nil {
 		return err
 	}
-	if err := checkChain(world.chosenStates()); err != nil {
+	if err := checkChain(sim.chosenStates()); err != nil {
 		return err
 	}
-	if !porcupine.CheckOperations(registerModel, world.porcupineOperations()) {
-		return errors.Errorf("not linearizable: %+v", world.history)
+	if !porcupine.CheckOperations(registerModel, sim.porcupineOperations()) {
+		return errors.Errorf("not linearizable: %+v", sim.history)
 	}
 	return nil
 }
 
-// chosenStates returns, in the order of their ballots, the states that a quorum has durably accepted, and those of recoveries that
-// were called chosen once all that are left had accepted them.
-func (facts *historyFacts) chosenStates() []State {
+// chosenStates returns, in the order of their ballots, the states that a quorum has durably accepted, and those that were
+// reported as chosen after a recovery quorum had durably accepted them.
+func (facts *acceptanceRecord) chosenStates() []State {
 	var chosen []State
-	for ballot, accepted := range facts.log {
+	for ballot, accepted := range facts.acceptedValues {
 		state := State{Ballot: ballot, Value: accepted.value}
 		hasAccepted := func(id AcceptorID) bool { return accepted.by[id] }
-		isClaimed := slices.ContainsFunc(facts.claims, func(claim State) bool { return claim.Ballot == ballot })
+		isClaimed := slices.ContainsFunc(facts.reportedChosen, func(claim State) bool { return claim.Ballot == ballot })
 		if accepted.value.Set.HasQuorum(hasAccepted) || isClaimed && accepted.value.Set.HasQuorumWithout(facts.ended, hasAccepted) {
 			chosen = append(chosen, state)
 		}
@@ -110,21 +110,22 @@
 	return chosen
 }
 
-// checkClaims says whether all states that were called chosen are.
-func (facts *historyFacts) checkClaims() error {
+// checkReportedChosen returns an error if a state that was reported as chosen is not chosen.
+func (facts *acceptanceRecord) checkReportedChosen() error {
 	chosen := facts.chosenStates()
-	for _, claim := range facts.claims {
+	for _, claim := range facts.reportedChosen {
 		isChosen := slices.ContainsFunc(chosen, func(state State) bool {
 			return state.Ballot == claim.Ballot && state.Value.Equal(claim.Value)
 		})
 		if !isChosen && !claim.Ballot.IsZero() {
-			return errors.Errorf("called chosen, but is not: %v %v", claim.Ballot, claim.Value)
+			return errors.Errorf("reported as chosen, but is not: %v %v", claim.Ballot, claim.Value)
 		}
 	}
 	return nil
 }
 
-// checkChain says whether each state goes on from the one before.
+// checkChain returns an error unless each state's payload extends that of the one before, and its set is the same or has a
+// higher epoch.
 func checkChain(chosen []State) error {
 	for index := 1; index < len(chosen); index++ {
 		before, after := chosen[index-1].Value, chosen[index].Value
@@ -135,13 +136,13 @@
 			return errors.Errorf("chosen set %d was lost in %d", before.Set.Epoch, after.Set.Epoch)
 		}
 		if after.Set.Epoch == before.Set.Epoch && !after.Set.Equal(before.Set) {
-			return errors.Errorf("two sets of epoch %d", after.Set.Epoch)
+			return errors.Errorf("two different sets have epoch %d", after.Set.Epoch)
 		}
 	}
 	return nil
 }
 
-// registerModel is the plain register: a list to which numbers are appended.
+// registerModel is the sequential specification of the register: a list to which numbers are appended.
 var registerModel = porcupine.Model{
 	Init: func() any { return "" },
 	Step: func(state, input, output any) (bool, any) {
@@ -157,32 +158,32 @@
 	Equal: func(left, right any) bool { return left == right },
 }
 
-// porcupineOperations are the operations with an effect or a clear end. One without a clear end may take effect at any
-// time after its call, which at the very end equals never. An append may take effect some time before its client reads the
-// outcome, so that a clear append is an append and a read.
-func (world *world) porcupineOperations() []porcupine.Operation {
+// porcupineOperations returns the operations with an effect or a definite outcome. An indefinite one may take effect at any
+// time after its call; it returns at the end of time, so that taking effect last amounts to no effect. An append may take
+// effect some time before its client reads the result, so a definite append is modelled as an append and a read.
+func (sim *simulation) porcupineOperations() []porcupine.Operation {
 	var operations []porcupine.Operation
-	pending := slices.Clone(world.history)
-	for _, client := range world.clients {
+	pending := slices.Clone(sim.history)
+	for _, client := range sim.clients {
 		if client.current != nil {
 			pending = append(pending, *client.current)
 		}
 	}
 	for _, done := range pending {
-		if !done.isClear && done.kind != appendNumber {
+		if !done.isDefinite && done.kind != appendNumber {
 			continue
 		}
-		returns := done.returns
-		if !done.isClear {
+		returns := done.returnedAt
+		if !done.isDefinite {
 			returns = math.MaxInt64
 		}
 		operations = append(operations, porcupine.Operation{
-			Input: done, Output: done, Call: done.called, Return: returns,
+			Input: done, Output: done, Call: done.calledAt, Return: returns,
 		})
-		if done.isClear && done.kind == appendNumber {
+		if done.isDefinite && done.kind == appendNumber {
 			done.kind = readState
 			operations = append(operations, porcupine.Operation{
-				Input: done, Output: done, Call: done.called, Return: returns,
+				Input: done, Output: done, Call: done.calledAt, Return: returns,
 			})
 		}
 	}
--- a/internal/router/casregister/message.go
+++ b/internal/router/casregister/message.go
@@ -5,13 +5,13 @@
 	"fmt"
 )
 
-// Value is what the register holds: its acceptor set and the payload of its user.
+// Value is the content of the register: its acceptor set and the application's payload.
 type Value struct {
 	Set     Set    `msgpack:"s"`
 	Payload []byte `msgpack:"p"`
 }
 
-// Equal says whether both values have the same set and payload.
+// Equal reports whether both values have the same set and payload.
 func (value Value) Equal(other Value) bool {
 	return value.Set.Equal(other.Set) && bytes.Equal(value.Payload, other.Payload)
 }
@@ -22,10 +22,10 @@
 	Value  Value  `msgpack:"v"`
 }
 
-// RequestKind says what a proposer or reader asks of an acceptor.
+// RequestKind is the kind of a request to an acceptor.
 type RequestKind uint8
 
-// The requests.
+// The request kinds. Report is the request of a quorum read.
 const (
 	Prepare RequestKind = iota + 1
 	Accept
@@ -37,16 +37,16 @@
 	Kind   RequestKind `msgpack:"k"`
 	To     AcceptorID  `msgpack:"t"`
 	Ballot Ballot      `msgpack:"b"`
-	// Known is the ballot of a state that the sender has, so that a reply need not carry its value again.
+	// Known is the ballot of a state that the sender already has; replies omit the value of that state.
 	Known Ballot `msgpack:"n"`
-	// Value is the proposed value, in an accept request.
+	// Value is the proposed value of an accept request, nil in other requests.
 	Value *Value `msgpack:"v,omitempty"`
 }
 
-// Verdict is an acceptor's answer.
+// Verdict is the kind of a reply.
 type Verdict uint8
 
-// The verdicts.
+// The verdicts. Conflict: a higher ballot was promised. OtherIdentity: the request was for another acceptor.
 const (
 	Promised Verdict = iota + 1
 	Accepted
@@ -55,7 +55,7 @@
 	OtherIdentity
 )
 
-// Reply is an acceptor's answer to a request. It is handed out only once what it says is on disk.
+// Reply is an acceptor's reply to a request. It is sent only once the state that it reports is on disk.
 type Reply struct {
 	Verdict Verdict    `msgpack:"k"`
 	From    AcceptorID `msgpack:"f"`
@@ -63,27 +63,27 @@
 	Ballot Ballot `msgpack:"b"`
 	// Promised is the highest ballot that the acceptor has promised.
 	Promised Ballot `msgpack:"p"`
-	// Accepted is the ballot of the state that the acceptor holds, zero if it holds none.
+	// Accepted is the ballot of the state that the acceptor has accepted, zero if there is none.
 	Accepted Ballot `msgpack:"a"`
-	// Value is the value of that state, unless the sender has it.
+	// Value is the value of that state, nil if the sender already has it.
 	Value *Value `msgpack:"v,omitempty"`
-	// IsVolatile says that the acceptor which answers has no disk. With OtherIdentity, no acceptor before it at its address has kept
-	// anything.
+	// IsVolatile says that the replying acceptor has no disk. With OtherIdentity, it implies that no earlier acceptor at the
+	// same address has kept its record.
 	IsVolatile bool `msgpack:"l,omitempty"`
 }
 
-// ProvesEnd says whether this reply to a request proves that the acceptor that was asked has ended for good.
+// ProvesEnd reports whether this reply to a request to the given acceptor proves that it has ended permanently.
 func (reply Reply) ProvesEnd(asked Acceptor) bool {
 	return reply.Verdict == OtherIdentity && (asked.Volatile || reply.IsVolatile)
 }
 
-// IdentityError is the answer to a message for another acceptor than the one that got it.
+// IdentityError is returned for a request that was addressed to another acceptor than the one that received it.
 type IdentityError struct {
 	Wanted AcceptorID
 	Actual AcceptorID
 }
 
-// Error describes both acceptors.
+// Error names both acceptors.
 func (err *IdentityError) Error() string {
 	return fmt.Sprintf("casregister: message for acceptor %q reached acceptor %q", err.Wanted, err.Actual)
 }
--- a/internal/router/casregister/proposer.go
+++ b/internal/router/casregister/proposer.go
@@ -1,121 +1,123 @@
 package casregister
 
-// Change makes the next value from the present one, or refuses.
+// Change is the change function of a proposal: it returns the next value for the current one, or an error to refuse.
 type Change func(base Value) (Value, error)
 
-// Outcome says how a proposal ended.
+// Outcome is how a proposal ended.
 type Outcome uint8
 
-// The outcomes. Pending is none yet.
+// The outcomes. Pending: the proposal has not ended.
 const (
 	Pending Outcome = iota
 	// Chosen: the changed value is chosen.
 	Chosen
-	// Refused: the change function refused the state of the result, which is chosen.
+	// Refused: the change function returned an error for the state of the result, which is chosen.
 	Refused
-	// BaseChosen: the base is now known to be chosen, and the change of the set may be proposed on it.
+	// BaseChosen: the base is now known to be chosen, and the set change may be proposed on it.
 	BaseChosen
-	// Preempted: another proposer has a higher ballot.
+	// Preempted: too many acceptors have promised a higher ballot.
 	Preempted
 )
 
-// Result is the end of a proposal. State is a chosen state, except for Preempted.
+// Result is the result of a proposal. State is a chosen state, except for Preempted.
 type Result struct {
 	Outcome Outcome
 	State   State
-	// Err is the error of the change function, for Refused.
+	// Err is the error of the change function, or ErrSetChange. It is set for Refused.
 	Err error
-	// Higher is the ballot that the next one must exceed, for Preempted.
+	// Higher is the ballot that the next attempt must exceed. It is set for Preempted.
 	Higher Ballot
 }
 
-// Spread says which voters hold a state that a quorum has chosen.
+// Spread says how far a chosen state is replicated beyond its quorum.
 type Spread uint8
 
-// The spreads. SpreadPending: some voters have not answered yet.
+// The spreads. SpreadPending: some voters have not replied yet.
 const (
 	SpreadPending Spread = iota
-	// SpreadWhole: all hold it, but for those that have ended.
-	SpreadWhole
-	// SpreadRefused: all have answered, and some have promised a higher ballot.
+	// SpreadComplete: all voters that have not ended have accepted it.
+	SpreadComplete
+	// SpreadRefused: all voters have replied, and some have promised a higher ballot.
 	SpreadRefused
 )
 
-// Proposal is what a proposer starts with.
+// Proposal is the input of a proposer.
 type Proposal struct {
 	Ballot Ballot
-	// Start is the set at whose voters to begin. It may be outdated.
+	// Start is the set whose members are sent prepare requests first. It may be outdated.
 	Start Set
 	// Known is the newest state known to be chosen, or nil.
 	Known  *State
 	Change Change
-	// Ended makes the proposal a recovery, under a ballot made by NextRecovery. It must hold only what was proven before that
-	// ballot was made.
+	// Ended makes the proposal a recovery if it is not empty. Ballot must then come from NextRecovery, and Ended must contain
+	// only acceptors that were proven to have ended before that ballot was generated.
 	Ended Ended
-	// Rewrites has the base accepted anew under this ballot though it is known to be chosen, so that all voters hold it.
+	// Rewrites makes the proposer run the accept round for an unchanged base even if it is known to be chosen, so that all
+	// voters accept it.
 	Rewrites bool
 }
 
 // Proposer is the state machine of one proposal under one ballot.
 type Proposer struct {
-	proposal Proposal
-	survey   survey
-	outbox   []Outgoing
-	higher   Ballot
-	rejected map[AcceptorID]bool
-	result   Result
-	// hasVolatile says that an acceptor without a disk has answered.
+	proposal  Proposal
+	collector quorumCollector
+	outbox    []Outgoing
+	higher    Ballot
+	rejected  map[AcceptorID]bool
+	result    Result
+	// hasVolatile says that an acceptor without a disk has replied.
 	hasVolatile bool
 
-	// The second round: what is proposed, on which set it was based, who has accepted, and the outcome once chosen.
-	proposed *State
-	baseSet  Set
-	accepted map[AcceptorID]bool
-	intended Result
+	// The accept round: the proposed state, the set of its base, the acceptors that have accepted it, and the result to
+	// report once it is chosen.
+	proposed       *State
+	baseSet        Set
+	accepted       map[AcceptorID]bool
+	intendedResult Result
 }
 
 // NewProposer starts a proposal with its prepare round.
 func NewProposer(proposal Proposal) *Proposer {
 	proposer := &Proposer{
-		proposal: proposal,
-		survey:   newSurvey(proposal.Start, proposal.Known, proposal.Ended),
-		rejected: make(map[AcceptorID]bool),
-		accepted: make(map[AcceptorID]bool),
+		proposal:  proposal,
+		collector: newQuorumCollector(proposal.Start, proposal.Known, proposal.Ended),
+		rejected:  make(map[AcceptorID]bool),
+		accepted:  make(map[AcceptorID]bool),
 	}
 	proposer.prepare(proposal.Start)
-	proposer.prepare(proposer.survey.base().Value.Set)
+	proposer.prepare(proposer.collector.base().Value.Set)
 	return proposer
 }
 
-// Outbox returns the requests to be sent since the last call. A request may be sent again while the proposal is pending.
+// Outbox returns the requests generated since the last call. A request may be resent while the proposal is pending.
 func (proposer *Proposer) Outbox() []Outgoing {
 	outbox := proposer.outbox
 	proposer.outbox = nil
 	return outbox
 }
 
-// Result is the end of the proposal, with outcome Pending if it has not ended.
+// Result returns the result of the proposal, with outcome Pending if it has not ended.
 func (proposer *Proposer) Result() Result { return proposer.result }
 
-// Higher is the highest ballot above the proposal's own that an acceptor has answered with, or zero.
+// Higher returns the highest ballot above the proposal's own that an acceptor has reported, or zero.
 func (proposer *Proposer) Higher() Ballot { return proposer.higher }
 
-// HasVolatile says whether an acceptor without a disk has answered.
+// HasVolatile reports whether an acceptor without a disk has replied.
 func (proposer *Proposer) HasVolatile() bool { return proposer.hasVolatile }
 
-// IsAccepting says whether the second round has begun.
+// IsAccepting reports whether the accept round has begun.
 func (proposer *Proposer) IsAccepting() bool { return proposer.proposed != nil }
 
-// Receive takes an acceptor's reply. After the end of the proposal it only counts who holds the chosen state.
+// Receive processes an acceptor's reply. After the end of the proposal, replies only update Spread and Higher.
 func (proposer *Proposer) Receive(reply Reply) {
 	proposer.hasVolatile = proposer.hasVolatile || reply.IsVolatile
 	if proposer.result.Outcome != Pending {
-		proposer.receiveLate(reply)
+		proposer.receiveAfterEnd(reply)
 		return
 	}
 	if reply.Verdict == OtherIdentity {
 		proposer.rejected[reply.From] = true
-		proposer.endWithoutQuorum()
+		proposer.preemptWithoutQuorum()
 		return
 	}
 	if reply.Ballot != proposer.proposal.Ballot {
@@ -132,49 +134,50 @@
 }
 
 func (proposer *Proposer) prepare(set Set) {
-	for _, acceptor := range proposer.survey.unasked(set) {
+	for _, acceptor := range proposer.collector.takeUnqueried(set) {
 		request := Request{
 			Kind:   Prepare,
 			To:     acceptor.ID,
 			Ballot: proposer.proposal.Ballot,
-			Known:  proposer.survey.knownBallot(),
+			Known:  proposer.collector.knownBallot(),
 		}
 		proposer.outbox = append(proposer.outbox, Outgoing{To: acceptor, Request: request})
 	}
 }
 
 func (proposer *Proposer) receivePromise(reply Reply) {
-	if proposer.IsAccepting() || !proposer.survey.add(reply) {
+	if proposer.IsAccepting() || !proposer.collector.add(reply) {
 		return
 	}
-	proposer.prepare(proposer.survey.base().Value.Set)
-	if proposer.survey.isComplete() {
-		proposer.change()
+	proposer.prepare(proposer.collector.base().Value.Set)
+	if proposer.collector.isComplete() {
+		proposer.applyChange()
 	}
 }
 
-// change applies the change function to the base and begins the second round, unless nothing is left to do.
-func (proposer *Proposer) change() {
-	base := proposer.survey.base()
-	isChosen := proposer.survey.isChosen()
+// applyChange applies the change function to the base and starts the accept round, unless the base is chosen and unchanged.
+func (proposer *Proposer) applyChange() {
+	base := proposer.collector.base()
+	isChosen := proposer.collector.isChosen()
 	next, err := proposer.proposal.Change(base.Value)
 	if err == nil {
 		err = base.Value.Set.CheckStep(next.Set)
 	}
 	switch {
 	case err != nil:
-		proposer.settle(base, isChosen, Result{Outcome: Refused, Err: err})
+		proposer.endOnBase(base, isChosen, Result{Outcome: Refused, Err: err})
 	case next.Equal(base.Value):
-		proposer.settle(base, isChosen, Result{Outcome: Chosen})
+		proposer.endOnBase(base, isChosen, Result{Outcome: Chosen})
 	case !isChosen && !next.Set.Equal(base.Value.Set):
-		proposer.settle(base, isChosen, Result{Outcome: BaseChosen})
+		proposer.endOnBase(base, isChosen, Result{Outcome: BaseChosen})
 	default:
 		proposer.accept(base.Value.Set, next, Result{Outcome: Chosen})
 	}
 }
 
-// settle ends the proposal on its base, which is proposed again unchanged unless it is known to be chosen.
-func (proposer *Proposer) settle(base State, isChosen bool, intended Result) {
+// endOnBase ends the proposal with its base as the result. A base that is not known to be chosen is first proposed again
+// unchanged.
+func (proposer *Proposer) endOnBase(base State, isChosen bool, intended Result) {
 	if isChosen && !proposer.proposal.Rewrites {
 		intended.State = base
 		proposer.result = intended
@@ -183,12 +186,12 @@
 	proposer.accept(base.Value.Set, base.Value, intended)
 }
 
-// accept begins the second round at the members of the base's set and of the proposed value's set.
+// accept starts the accept round at the members of the base's set and of the proposed value's set.
 func (proposer *Proposer) accept(baseSet Set, value Value, intended Result) {
 	ballot := proposer.proposal.Ballot
 	proposer.proposed = &State{Ballot: ballot, Value: value}
 	proposer.baseSet = baseSet
-	proposer.intended = intended
+	proposer.intendedResult = intended
 	proposer.outbox = nil
 	targets := baseSet.Members()
 	for _, acceptor := range value.Set.Members() {
@@ -211,12 +214,12 @@
 	if !proposer.hasQuorum(hasAccepted) {
 		return
 	}
-	proposer.result = proposer.intended
+	proposer.result = proposer.intendedResult
 	proposer.result.State = *proposer.proposed
 }
 
-// receiveLate takes a reply to the second round that comes after the value was chosen.
-func (proposer *Proposer) receiveLate(reply Reply) {
+// receiveAfterEnd processes a reply to the accept round that arrives after the value was chosen.
+func (proposer *Proposer) receiveAfterEnd(reply Reply) {
 	switch {
 	case reply.Verdict == OtherIdentity:
 		proposer.rejected[reply.From] = true
@@ -225,16 +228,16 @@
 	case reply.Verdict == Accepted:
 		proposer.accepted[reply.From] = true
 	case reply.Verdict == Conflict:
-		proposer.noteConflict(reply)
+		proposer.recordConflict(reply)
 	}
 }
 
-// Spread says how far the second round of a proposal that has ended got beyond its quorum.
+// Spread returns how far the accept round of a proposal that has ended is replicated beyond its quorum.
 func (proposer *Proposer) Spread() Spread {
 	if !proposer.IsAccepting() {
-		return SpreadWhole
+		return SpreadComplete
 	}
-	spread := SpreadWhole
+	spread := SpreadComplete
 	for _, voter := range proposer.proposed.Value.Set.Voters {
 		switch {
 		case proposer.accepted[voter.ID] || proposer.proposal.Ended[voter.ID]:
@@ -250,19 +253,20 @@
 }
 
 func (proposer *Proposer) receiveConflict(reply Reply) {
-	proposer.noteConflict(reply)
-	proposer.endWithoutQuorum()
+	proposer.recordConflict(reply)
+	proposer.preemptWithoutQuorum()
 }
 
-func (proposer *Proposer) noteConflict(reply Reply) {
+func (proposer *Proposer) recordConflict(reply Reply) {
 	if proposer.higher.Less(reply.Promised) {
 		proposer.higher = reply.Promised
 	}
 	proposer.rejected[reply.From] = true
 }
 
-// endWithoutQuorum ends the proposal if too many acceptors will not answer it.
-func (proposer *Proposer) endWithoutQuorum() {
+// preemptWithoutQuorum ends the proposal as preempted if it can no longer reach a quorum and an acceptor has reported a
+// higher ballot.
+func (proposer *Proposer) preemptWithoutQuorum() {
 	if proposer.higher.IsZero() || proposer.canReachQuorum() {
 		return
 	}
@@ -274,12 +278,12 @@
 	if proposer.IsAccepting() {
 		return proposer.hasQuorum(mayAnswer)
 	}
-	return proposer.survey.base().Value.Set.HasQuorumWithout(proposer.proposal.Ended, mayAnswer)
+	return proposer.collector.base().Value.Set.HasQuorumWithout(proposer.proposal.Ended, mayAnswer)
 }
 
-// hasQuorum says whether the acceptors for which has is true are a quorum for the second round: of the base's set and of the
-// proposed value's set.
-func (proposer *Proposer) hasQuorum(has func(AcceptorID) bool) bool {
+// hasQuorum reports whether the acceptors for which contains returns true are a quorum for the accept round: of the base's
+// set and of the proposed value's set.
+func (proposer *Proposer) hasQuorum(contains func(AcceptorID) bool) bool {
 	ended := proposer.proposal.Ended
-	return proposer.baseSet.HasQuorumWithout(ended, has) && proposer.proposed.Value.Set.HasQuorumWithout(ended, has)
+	return proposer.baseSet.HasQuorumWithout(ended, contains) && proposer.proposed.Value.Set.HasQuorumWithout(ended, contains)
 }
--- a/internal/router/casregister/proposer_test.go
+++ b/internal/router/casregister/proposer_test.go
@@ -9,7 +9,7 @@
 
 var errRefused = errors.New("refused")
 
-// cluster is some acceptors without a network: what is sent to a reachable one is answered at once.
+// cluster is a group of acceptors without a network: a reachable acceptor replies to a request immediately.
 type cluster map[AcceptorID]*AcceptorMachine
 
 func newCluster(names string) cluster {
@@ -20,7 +20,7 @@
 	return acceptors
 }
 
-// exchange steps one request and syncs.
+// exchange steps one request, syncs and returns the reply.
 func (acceptors cluster) exchange(t *testing.T, request Request) Reply {
 	t.Helper()
 	machine := acceptors[request.To]
@@ -30,7 +30,7 @@
 	return output.Reply
 }
 
-// run drives a proposer with the named acceptors until nothing is left to send.
+// run exchanges a proposer's requests with the reachable acceptors, one character each, until none is left to send.
 func (acceptors cluster) run(t *testing.T, proposer *Proposer, reachable string) Result {
 	t.Helper()
 	for {
@@ -53,7 +53,7 @@
 	return acceptors.run(t, NewProposer(Proposal{Ballot: ballotOf(counter), Start: start, Change: change}), reachable)
 }
 
-// force has an acceptor accept a value as if a proposer had died after that.
+// force makes one acceptor accept a value, as if a proposer had crashed after its first accept request.
 func (acceptors cluster) force(t *testing.T, name AcceptorID, ballot Ballot, value Value) {
 	t.Helper()
 	acceptors.exchange(t, Request{Kind: Accept, To: name, Ballot: ballot, Value: &value})
@@ -75,7 +75,7 @@
 
 func refuse(base Value) (Value, error) { return base, errRefused }
 
-func TestProposeOnAQuorum(t *testing.T) {
+func TestProposalNeedsQuorum(t *testing.T) {
 	acceptors := newCluster("abc")
 	result := acceptors.propose(t, 1, plainSet("abc"), "ab", setPayload("x"))
 	assert.Equal(t, result.Outcome, Chosen)
@@ -84,7 +84,7 @@
 	assert.Equal(t, acceptors.propose(t, 2, plainSet("abc"), "bc", setPayload("y")).Outcome, Chosen)
 }
 
-func TestRefusalWaitsUntilItsBaseIsChosen(t *testing.T) {
+func TestRefusalNeedsChosenBase(t *testing.T) {
 	acceptors := newCluster("abc")
 	acceptors.force(t, "a", ballotOf(1), Value{Set: plainSet("abc"), Payload: []byte("half")})
 
@@ -96,10 +96,10 @@
 	assert.Equal(t, string(acceptors["b"].Durable().Accepted.Value.Payload), "half")
 
 	result = acceptors.propose(t, 4, plainSet("abc"), "ab", refuse)
-	assert.Equal(t, result.State.Ballot, ballotOf(3), "a chosen base is not written again")
+	assert.Equal(t, result.State.Ballot, ballotOf(3), "a chosen base is not proposed again")
 }
 
-func TestPreemptedProposalNamesTheHigherBallot(t *testing.T) {
+func TestPreemptedProposalReportsHigherBallot(t *testing.T) {
 	acceptors := newCluster("abc")
 	acceptors.propose(t, 7, plainSet("abc"), "abc", setPayload("x"))
 	result := acceptors.propose(t, 3, plainSet("abc"), "abc", setPayload("y"))
@@ -107,7 +107,7 @@
 	assert.Equal(t, result.Higher, ballotOf(7))
 }
 
-func TestChangeOfTheSet(t *testing.T) {
+func TestSetChange(t *testing.T) {
 	acceptors := newCluster("abcd")
 	start := plainSet("abc")
 	assert.Equal(t, acceptors.propose(t, 1, start, "abc", setPayload("x")).Outcome, Chosen)
@@ -120,12 +120,12 @@
 	assert.Equal(t, acceptors.propose(t, 6, start, "acd", leaveJoint).Outcome, Chosen)
 
 	result := acceptors.propose(t, 8, start, "bcd", setPayload("z"))
-	assert.Equal(t, result.Outcome, Chosen, "an outdated start leads to the present set")
+	assert.Equal(t, result.Outcome, Chosen, "a proposer that starts from an outdated set finds the current one")
 	assert.Equal(t, namesOf(result.State.Value.Set.Voters), "abd")
-	assert.Equal(t, acceptors.propose(t, 9, start, "bc", setPayload("w")).Outcome, Pending, "the old quorum has no say")
+	assert.Equal(t, acceptors.propose(t, 9, start, "bc", setPayload("w")).Outcome, Pending, "the previous quorum is no longer a quorum")
 }
 
-func TestChangeOfTheSetNeedsAChosenBase(t *testing.T) {
+func TestSetChangeNeedsChosenBase(t *testing.T) {
 	acceptors := newCluster("abcd")
 	start := plainSet("abc")
 	joint := Value{Set: start.Enter(acceptorsNamed("abd")), Payload: []byte("x")}
@@ -139,14 +139,14 @@
 	assert.Assert(t, !result.State.Value.Set.IsJoint())
 }
 
-func TestForbiddenChangeOfTheSetIsRefused(t *testing.T) {
+func TestForbiddenSetChangeIsRefused(t *testing.T) {
 	acceptors := newCluster("abcde")
 	result := acceptors.propose(t, 1, plainSet("abc"), "abcde", setVoters("ade"))
 	assert.Equal(t, result.Outcome, Refused)
 	assert.ErrorIs(t, result.Err, ErrSetChange)
 }
 
-func TestEmptyRegisterIsBelievedOnlyOfTheFirstSet(t *testing.T) {
+func TestEmptyRegisterNeedsQuorumOfFirstSet(t *testing.T) {
 	acceptors := newCluster("abc")
 	later := plainSet("abc")
 	later.Epoch = 2
@@ -175,7 +175,7 @@
 	acceptors := newCluster("abcd")
 	start := plainSet("abc")
 	state, isChosen := acceptors.read(t, start, "ab")
-	assert.Assert(t, isChosen && state.Ballot.IsZero(), "the first value")
+	assert.Assert(t, isChosen && state.Ballot.IsZero(), "the initial value")
 
 	acceptors.force(t, "a", ballotOf(1), Value{Set: start, Payload: []byte("x")})
 	_, isChosen = acceptors.read(t, start, "abc")
@@ -194,8 +194,8 @@
 	assert.Assert(t, isChosen)
 }
 
-// TestSpread follows how far a chosen value gets beyond its quorum, and has it accepted anew by the acceptor that had promised a
-// higher ballot.
+// TestSpread checks the reported spread of a chosen value beyond its quorum, and that a rewrite reaches the acceptor that had
+// promised a higher ballot.
 func TestSpread(t *testing.T) {
 	acceptors := newCluster("abc")
 	set := plainSet("abc")
@@ -215,6 +215,6 @@
 	keep := func(base Value) (Value, error) { return base, nil }
 	rewrite := NewProposer(Proposal{Ballot: higher.Next("p"), Start: set, Known: &chosen, Change: keep, Rewrites: true})
 	assert.Equal(t, acceptors.run(t, rewrite, "abc").Outcome, Chosen)
-	assert.Equal(t, rewrite.Spread(), SpreadWhole)
+	assert.Equal(t, rewrite.Spread(), SpreadComplete)
 	assert.DeepEqual(t, acceptors["c"].Durable().Accepted.Value.Payload, []byte("1"))
 }
--- a/internal/router/casregister/reader.go
+++ b/internal/router/casregister/reader.go
@@ -1,42 +1,42 @@
 package casregister
 
-// Reader is a quorum read: it asks acceptors what they hold and changes nothing.
+// Reader is the state machine of a quorum read: it queries the accepted states of acceptors and changes nothing.
 type Reader struct {
-	survey survey
-	outbox []Outgoing
+	collector quorumCollector
+	outbox    []Outgoing
 }
 
-// NewReader starts a read at the voters of a set. Known is a state known to be chosen, or nil.
+// NewReader starts a read at the members of a set. Known is a state known to be chosen, or nil.
 func NewReader(start Set, known *State) *Reader {
-	reader := &Reader{survey: newSurvey(start, known, nil)}
-	reader.ask(start)
-	reader.ask(reader.survey.base().Value.Set)
+	reader := &Reader{collector: newQuorumCollector(start, known, nil)}
+	reader.query(start)
+	reader.query(reader.collector.base().Value.Set)
 	return reader
 }
 
-// Outbox returns the requests to be sent since the last call.
+// Outbox returns the requests generated since the last call.
 func (reader *Reader) Outbox() []Outgoing {
 	outbox := reader.outbox
 	reader.outbox = nil
 	return outbox
 }
 
-// Receive takes an acceptor's reply.
+// Receive processes an acceptor's reply.
 func (reader *Reader) Receive(reply Reply) {
-	if reply.Verdict != Reported || !reader.survey.add(reply) {
+	if reply.Verdict != Reported || !reader.collector.add(reply) {
 		return
 	}
-	reader.ask(reader.survey.base().Value.Set)
+	reader.query(reader.collector.base().Value.Set)
 }
 
-// Result is the newest state, and whether a quorum has answered and the state is known to be chosen.
+// Result returns the newest state found, and whether a quorum has replied and the state is known to be chosen.
 func (reader *Reader) Result() (State, bool) {
-	return reader.survey.base(), reader.survey.isComplete() && reader.survey.isChosen()
+	return reader.collector.base(), reader.collector.isComplete() && reader.collector.isChosen()
 }
 
-func (reader *Reader) ask(set Set) {
-	for _, acceptor := range reader.survey.unasked(set) {
-		request := Request{Kind: Report, To: acceptor.ID, Known: reader.survey.knownBallot()}
+func (reader *Reader) query(set Set) {
+	for _, acceptor := range reader.collector.takeUnqueried(set) {
+		request := Request{Kind: Report, To: acceptor.ID, Known: reader.collector.knownBallot()}
 		reader.outbox = append(reader.outbox, Outgoing{To: acceptor, Request: request})
 	}
 }
--- a/internal/router/casregister/set.go
+++ b/internal/router/casregister/set.go
@@ -6,37 +6,37 @@
 	"github.com/pkg/errors"
 )
 
-// ErrSetChange is the error of a change function that asks for a set which may not follow its base.
-var ErrSetChange = errors.New("casregister: not a permitted step of the acceptor set")
+// ErrSetChange is returned if a change function changes the acceptor set by more than one permitted step.
+var ErrSetChange = errors.New("casregister: acceptor set change is not a permitted step")
 
-// AcceptorID names an acceptor for good. It belongs to a disk, not to a machine or an address.
+// AcceptorID identifies an acceptor permanently. It belongs to a disk, not to a machine or an address.
 type AcceptorID string
 
-// Acceptor is an acceptor and where to reach it.
+// Acceptor is the ID and the address of an acceptor.
 type Acceptor struct {
 	ID      AcceptorID `msgpack:"i"`
 	Address string     `msgpack:"a"`
-	// Volatile says that the record is kept in memory alone, so that the acceptor is gone with its process.
+	// Volatile says that the record is stored in memory alone, so that the acceptor ends with its process.
 	Volatile bool `msgpack:"l,omitempty"`
 }
 
-// Set is a set of acceptors. It is joint when Previous is not empty: quorums then need a majority of both lists.
+// Set is a set of acceptors. It is joint if Previous is not empty: a quorum then needs a majority of both lists.
 type Set struct {
 	Epoch    uint64     `msgpack:"e"`
 	Voters   []Acceptor `msgpack:"v"`
 	Previous []Acceptor `msgpack:"o,omitempty"`
-	// MovedAt is the epoch at which the members' addresses last changed. An acceptor with an empty disk that takes the place of
-	// the one before it at its address changes the set, but not the addresses.
+	// MovedAt is the epoch at which the members' addresses last changed. An acceptor with an empty disk that replaces an
+	// earlier one at the same address changes the set, but not the addresses.
 	MovedAt uint64 `msgpack:"m,omitempty"`
 }
 
-// IsZero says whether the set is unknown.
+// IsZero reports whether the set is unknown.
 func (set Set) IsZero() bool { return len(set.Voters) == 0 }
 
-// IsJoint says whether the set is in the middle of a change.
+// IsJoint reports whether the set is joint, which it is between the two steps of a set change.
 func (set Set) IsJoint() bool { return len(set.Previous) > 0 }
 
-// Members lists the voters and the previous voters, each acceptor once.
+// Members returns the voters and the previous voters, each acceptor once.
 func (set Set) Members() []Acceptor {
 	members := slices.Clone(set.Voters)
 	for _, acceptor := range set.Previous {
@@ -47,18 +47,18 @@
 	return members
 }
 
-// HasVoter says whether the acceptor is among the voters, not merely the previous ones.
+// HasVoter reports whether the acceptor is among the voters. Previous voters don't count.
 func (set Set) HasVoter(id AcceptorID) bool { return containsID(set.Voters, id) }
 
-// HasQuorum says whether the acceptors for which has is true are a quorum of the set.
-func (set Set) HasQuorum(has func(AcceptorID) bool) bool {
-	if set.IsZero() || !hasMajority(set.Voters, has) {
+// HasQuorum reports whether the acceptors for which contains returns true are a quorum of the set.
+func (set Set) HasQuorum(contains func(AcceptorID) bool) bool {
+	if set.IsZero() || !hasMajority(set.Voters, contains) {
 		return false
 	}
-	return !set.IsJoint() || hasMajority(set.Previous, has)
+	return !set.IsJoint() || hasMajority(set.Previous, contains)
 }
 
-// Equal says whether both sets have the same epoch and the same lists.
+// Equal reports whether both sets have the same epochs and the same lists.
 func (set Set) Equal(other Set) bool {
 	return set.Epoch == other.Epoch &&
 		set.MovedAt == other.MovedAt &&
@@ -66,18 +66,18 @@
 		slices.Equal(set.Previous, other.Previous)
 }
 
-// Enter is the joint set that leads from this plain set to one with the given voters.
+// Enter returns the joint set between this plain set and one with the given voters.
 func (set Set) Enter(voters []Acceptor) Set {
-	return set.follow(Set{Voters: voters, Previous: set.Voters})
+	return set.successor(Set{Voters: voters, Previous: set.Voters})
 }
 
-// Leave is the plain set that follows this joint set.
+// Leave returns the plain set with this joint set's voters, the second step of a set change.
 func (set Set) Leave() Set {
-	return set.follow(Set{Voters: set.Voters})
+	return set.successor(Set{Voters: set.Voters})
 }
 
-// follow numbers a set as the next one after this.
-func (set Set) follow(next Set) Set {
+// successor returns next with the epoch after this set's, and with MovedAt updated if the addresses differ.
+func (set Set) successor(next Set) Set {
 	next.Epoch = set.Epoch + 1
 	next.MovedAt = set.MovedAt
 	if !slices.Equal(next.addresses(), set.addresses()) {
@@ -86,7 +86,7 @@
 	return next
 }
 
-// addresses lists the addresses of all members in order, each once.
+// addresses returns the sorted addresses of all members without duplicates.
 func (set Set) addresses() []string {
 	var addresses []string
 	for _, acceptor := range set.Members() {
@@ -96,27 +96,27 @@
 	return slices.Compact(addresses)
 }
 
-// CheckStep returns ErrSetChange unless next is the set itself or one permitted step away from it.
+// CheckStep returns ErrSetChange unless next is the set itself or one permitted step after it.
 func (set Set) CheckStep(next Set) error {
 	if set.Equal(next) {
 		return nil
 	}
 	if set.IsJoint() {
-		return permit(set.Leave().Equal(next))
+		return errUnlessPermitted(set.Leave().Equal(next))
 	}
-	permitted := set.Enter(next.Voters).Equal(next) && hasDistinctIDs(next.Voters) && differByOne(set.Voters, next.Voters)
-	return permit(permitted)
+	permitted := set.Enter(next.Voters).Equal(next) && hasDistinctIDs(next.Voters) && differByOneMember(set.Voters, next.Voters)
+	return errUnlessPermitted(permitted)
 }
 
-func permit(permitted bool) error {
+func errUnlessPermitted(permitted bool) error {
 	if permitted {
 		return nil
 	}
 	return ErrSetChange
 }
 
-// differByOne says whether one list follows from the other by adding, removing or replacing one acceptor.
-func differByOne(old, next []Acceptor) bool {
+// differByOneMember reports whether next results from old by adding, removing or replacing one acceptor.
+func differByOneMember(old, next []Acceptor) bool {
 	if len(next) == 0 {
 		return false
 	}
@@ -125,21 +125,21 @@
 	return removed <= 1 && added <= 1 && removed+added > 0
 }
 
-// countMissing counts the acceptors of the first list that the second lacks.
-func countMissing(of, in []Acceptor) int {
+// countMissing returns the number of acceptors that are not among the others.
+func countMissing(acceptors, others []Acceptor) int {
 	missing := 0
-	for _, acceptor := range of {
-		if !containsID(in, acceptor.ID) {
+	for _, acceptor := range acceptors {
+		if !containsID(others, acceptor.ID) {
 			missing++
 		}
 	}
 	return missing
 }
 
-func hasMajority(acceptors []Acceptor, has func(AcceptorID) bool) bool {
+func hasMajority(acceptors []Acceptor, contains func(AcceptorID) bool) bool {
 	count := 0
 	for _, acceptor := range acceptors {
-		if has(acceptor.ID) {
+		if contains(acceptor.ID) {
 			count++
 		}
 	}
--- a/internal/router/casregister/set_test.go
+++ b/internal/router/casregister/set_test.go
@@ -47,17 +47,17 @@
 		"emptied":           {plainSet("a"), plainSet("a").Enter(nil)},
 		"voter twice":       {plain, plain.Enter(acceptorsNamed("abcc"))},
 		"unchanged joint":   {plain, plain.Enter(plain.Voters)},
-		"joint given up":    {joint, Set{Epoch: 2, Voters: plain.Voters}},
+		"joint rolled back": {joint, Set{Epoch: 2, Voters: plain.Voters}},
 		"joint to joint":    {joint, joint.Enter(acceptorsNamed("abde"))},
-		"epoch left out":    {plain, Set{Epoch: 2, Voters: acceptorsNamed("abd"), Previous: plain.Voters}},
+		"epoch skipped":     {plain, Set{Epoch: 2, Voters: acceptorsNamed("abd"), Previous: plain.Voters}},
 	}
 	for name, pair := range refused {
 		assert.ErrorIs(t, pair[0].CheckStep(pair[1]), ErrSetChange, name)
 	}
 }
 
-// drawStep draws the set itself or a permitted step from it.
-func drawStep(t *rapid.T, set Set) Set {
+// drawNextSet draws the set itself or a set one permitted step after it.
+func drawNextSet(t *rapid.T, set Set) Set {
 	if rapid.Bool().Draw(t, "stay") {
 		return set
 	}
@@ -71,14 +71,14 @@
 	return set.Enter(voters)
 }
 
-// TestQuorumsOfNeighboursMeet is the lemma of the safety argument: any two sets at most one step from one set have quorums
-// that meet.
-func TestQuorumsOfNeighboursMeet(t *testing.T) {
+// TestQuorumsOfAdjacentSetsIntersect checks the lemma of the safety argument: any two sets at most one step away from the same
+// set have intersecting quorums.
+func TestQuorumsOfAdjacentSetsIntersect(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		voters := rapid.SampledFrom([]string{"a", "ab", "abc", "abcd", "abcde"}).Draw(t, "first")
-		common := drawStep(t, plainSet(voters))
-		left := drawStep(t, common)
-		right := drawStep(t, common)
+		common := drawNextSet(t, plainSet(voters))
+		left := drawNextSet(t, common)
+		right := drawNextSet(t, common)
 		chosen := rapid.SliceOfN(rapid.Bool(), 7, 7).Draw(t, "members of the left quorum")
 		isLeft := func(id AcceptorID) bool { return chosen[id[0]-'a'] }
 		isRest := func(id AcceptorID) bool { return !isLeft(id) }
@@ -91,15 +91,15 @@
 	assert.Assert(t, !Set{}.HasQuorum(func(AcceptorID) bool { return true }))
 }
 
-func TestMovedAtFollowsTheAddresses(t *testing.T) {
+func TestMovedAtTracksAddressChanges(t *testing.T) {
 	at := func(id AcceptorID, address string) Acceptor { return Acceptor{ID: id, Address: address} }
 	first := Set{Voters: []Acceptor{at("a", "1"), at("b", "2"), at("c", "3")}}
 	wiped := first.Enter([]Acceptor{at("a", "1"), at("d", "2"), at("c", "3")})
-	assert.Equal(t, wiped.MovedAt, uint64(0), "an empty disk at the same address moves nothing")
+	assert.Equal(t, wiped.MovedAt, uint64(0), "an acceptor with an empty disk at the same address changes no address")
 	assert.Equal(t, wiped.Leave().MovedAt, uint64(0))
 	grown := wiped.Leave().Enter([]Acceptor{at("a", "1"), at("d", "2"), at("c", "3"), at("e", "4")})
 	assert.Equal(t, grown.MovedAt, grown.Epoch)
-	assert.Equal(t, grown.Leave().MovedAt, grown.Epoch, "all of the larger set were members of the joint one")
+	assert.Equal(t, grown.Leave().MovedAt, grown.Epoch, "all members of the larger set were members of the joint one")
 	replaced := grown.Leave().Enter([]Acceptor{at("a", "1"), at("d", "2"), at("c", "3"), at("f", "5")})
-	assert.Equal(t, replaced.Leave().MovedAt, replaced.Epoch+1, "the one that was replaced leaves with the joint set")
+	assert.Equal(t, replaced.Leave().MovedAt, replaced.Epoch+1, "the replaced acceptor is removed with the joint set")
 }
