--- a/internal/router/disk/disk.go
+++ b/internal/router/disk/disk.go
@@ -5,41 +5,41 @@
 	"slices"
 )
 
-// keptVersions is how many versions stay in the folder.
-const keptVersions = 2
+// retainedVersions is the number of versions that remain in the directory.
+const retainedVersions = 2
 
-// Step names a step of saving a version.
+// Step is a step of Save.
 type Step string
 
-// The steps of saving, in their order. Cleaning may fail without harm.
+// The steps of Save in their order. A failure of StepClean is ignored; obsolete files are removed after a later save.
 const (
-	StepCreateAside Step = "create aside"
-	StepWriteAside  Step = "write aside"
-	StepSyncAside   Step = "sync aside"
-	StepRename      Step = "rename"
-	StepSyncFolder  Step = "sync folder"
-	StepClean       Step = "clean"
+	StepCreateTemporary Step = "create temporary file"
+	StepWriteTemporary  Step = "write temporary file"
+	StepSyncTemporary   Step = "sync temporary file"
+	StepRename          Step = "rename"
+	StepSyncDirectory   Step = "sync directory"
+	StepClean           Step = "clean"
 )
 
-// SaveError is the failure of a step. The last saved version is still in force.
+// SaveError is the failure of a step of Save. The last saved version remains the current one.
 type SaveError struct {
 	Step Step
 	Err  error
 }
 
-// Error names the step and its cause.
+// Error returns the step and its cause.
 func (err *SaveError) Error() string { return "disk: " + string(err.Step) + ": " + err.Err.Error() }
 
 // Unwrap returns the cause.
 func (err *SaveError) Unwrap() error { return err.Err }
 
-// Disk saves versions of one document in a folder. It is for one goroutine.
+// Disk saves versions of one document in a directory. It is not safe for concurrent use.
 type Disk struct {
 	files   FileSystem
 	version uint64
 }
 
-// Open returns the folder's newest valid version, nil if there is none, and the disk that goes on from it.
+// Open returns a Disk and the content of the newest valid version, nil if there is none.
 func Open(files FileSystem) (*Disk, []byte, error) {
 	names, err := files.List()
 	if err != nil {
@@ -53,51 +53,51 @@
 	if content == nil {
 		return disk, nil, nil
 	}
-	if err := disk.syncFound(versionName(disk.version)); err != nil {
+	if err := disk.syncExisting(versionName(disk.version)); err != nil {
 		return nil, nil, err
 	}
-	disk.clean()
+	disk.removeObsolete()
 	return disk, content, nil
 }
 
-// Save returns once the content is on disk as the newest version.
+// Save stores the content as the newest version. It returns nil once that version is durable, and otherwise a *SaveError.
 func (disk *Disk) Save(content []byte) error {
 	next := disk.version + 1
-	aside := asideName(next)
-	if err := disk.writeAside(aside, encodeFile(next, content)); err != nil {
-		_ = disk.files.Remove(aside)
+	temporary := temporaryName(next)
+	if err := disk.writeTemporary(temporary, encodeFile(next, content)); err != nil {
+		_ = disk.files.Remove(temporary)
 		return err
 	}
-	if err := disk.files.Rename(aside, versionName(next)); err != nil {
-		_ = disk.files.Remove(aside)
+	if err := disk.files.Rename(temporary, versionName(next)); err != nil {
+		_ = disk.files.Remove(temporary)
 		return &SaveError{Step: StepRename, Err: err}
 	}
-	if err := disk.files.SyncFolder(); err != nil {
-		return &SaveError{Step: StepSyncFolder, Err: err}
+	if err := disk.files.SyncDirectory(); err != nil {
+		return &SaveError{Step: StepSyncDirectory, Err: err}
 	}
 	disk.version = next
-	disk.clean()
+	disk.removeObsolete()
 	return nil
 }
 
-// writeAside writes a file whole and syncs it.
-func (disk *Disk) writeAside(name string, content []byte) error {
+// writeTemporary creates a file with the content and syncs it.
+func (disk *Disk) writeTemporary(name string, content []byte) error {
 	file, err := disk.files.Create(name)
 	if err != nil {
-		return &SaveError{Step: StepCreateAside, Err: err}
+		return &SaveError{Step: StepCreateTemporary, Err: err}
 	}
 	if _, err := file.Write(content); err != nil {
 		_ = file.Close()
-		return &SaveError{Step: StepWriteAside, Err: err}
+		return &SaveError{Step: StepWriteTemporary, Err: err}
 	}
 	if err := syncAndClose(file); err != nil {
-		return &SaveError{Step: StepSyncAside, Err: err}
+		return &SaveError{Step: StepSyncTemporary, Err: err}
 	}
 	return nil
 }
 
-// syncFound syncs a version that was found, and the folder: the process that wrote it may have died before it did.
-func (disk *Disk) syncFound(name string) error {
+// syncExisting syncs a version found by Open, and the directory: the process that wrote it may have ended before its sync.
+func (disk *Disk) syncExisting(name string) error {
 	file, err := disk.files.Open(name)
 	if err != nil {
 		return err
@@ -105,11 +105,11 @@
 	if err := syncAndClose(file); err != nil {
 		return err
 	}
-	return disk.files.SyncFolder()
+	return disk.files.SyncDirectory()
 }
 
-// readNewest returns the content of the newest valid version. A version that cannot be read is an error only if no valid
-// one is newer.
+// readNewest returns the content of the newest valid version, nil if there is none. A version that cannot be read is an error
+// unless a newer one is valid.
 func (disk *Disk) readNewest(names []string) ([]byte, error) {
 	for _, version := range listVersions(names) {
 		file, err := disk.files.Read(versionName(version))
@@ -126,9 +126,9 @@
 	return nil, nil
 }
 
-// clean removes what is neither the newest saved version nor the one before it. What cannot be removed now is removed
-// later.
-func (disk *Disk) clean() {
+// removeObsolete removes temporary files and all versions except the newest two. A file that cannot be removed now is removed
+// after a later save.
+func (disk *Disk) removeObsolete() {
 	names, err := disk.files.List()
 	if err != nil {
 		return
@@ -141,11 +141,11 @@
 }
 
 func (disk *Disk) isObsolete(name string) bool {
-	if isAsideName(name) {
+	if isTemporaryName(name) {
 		return true
 	}
 	version, isVersion := parseVersionName(name)
-	return isVersion && version+keptVersions <= disk.version
+	return isVersion && version+retainedVersions <= disk.version
 }
 
 // listVersions returns the versions among the names, the newest first.
--- a/internal/router/disk/disk_test.go
+++ b/internal/router/disk/disk_test.go
@@ -19,15 +19,15 @@
 const (
 	// contentSize spans several sectors, so that writes can be torn.
 	contentSize = 1700
-	// savesPerLife is how many versions a process saves, unless it is stopped first.
-	savesPerLife = 4
-	// drawsPerCut is how many outcomes of a loss of power are drawn at each point of a cut.
-	drawsPerCut = 60
+	// savesPerRun is the number of versions that a process saves, unless it is stopped first.
+	savesPerRun = 4
+	// trialsPerCut is the number of random outcomes of a loss of power that are tested at each operation.
+	trialsPerCut = 60
 )
 
 var errInjected = errors.New("injected")
 
-// contentOf is the content of a version, recognisable and of several sectors.
+// contentOf returns the content for a number. It spans several sectors, and numberOf recovers the number from it.
 func contentOf(number int) []byte {
 	return bytes.Repeat(fmt.Appendf(nil, "%08d ", number), contentSize/9)
 }
@@ -44,79 +44,80 @@
 	return number
 }
 
-// life is one process on the disk: it opens it and saves rising numbers until it is stopped.
-type life struct {
-	found int // the number found at the start
-	saved int // the last number that was acknowledged, or found
-	tried int // the last number that was begun
+// processRun is the result of one process that opens the disk and saves increasing numbers until it is stopped.
+type processRun struct {
+	found int // the number found at the start, 0 for an empty disk, -1 if Open failed
+	saved int // the last number whose save succeeded, or else the number found
+	tried int // the last number whose save was started
 }
 
-// live runs a process that saves some numbers above those tried before. It stops at the first error.
-func live(t *testing.T, files disk.FileSystem, triedBefore, saves int) life {
+// runProcess runs a process that saves the given count of numbers above those tried before. It stops at the first error.
+func runProcess(t *testing.T, files disk.FileSystem, triedBefore, saves int) processRun {
 	t.Helper()
-	lived := life{tried: triedBefore}
+	run := processRun{tried: triedBefore}
 	saver, content, err := disk.Open(files)
 	if err != nil {
-		lived.found = -1
-		return lived
+		run.found = -1
+		return run
 	}
-	lived.found = numberOf(t, content)
-	lived.saved = lived.found
+	run.found = numberOf(t, content)
+	run.saved = run.found
 	for range saves {
-		lived.tried++
-		if saver.Save(contentOf(lived.tried)) != nil {
-			return lived
+		run.tried++
+		if saver.Save(contentOf(run.tried)) != nil {
+			return run
 		}
-		lived.saved = lived.tried
+		run.saved = run.tried
 	}
-	return lived
+	return run
 }
 
-// cutAt arms the disk to lose power before its operation with the given number, counted from now, and returns whether it
-// did.
-func cutAt(simulated *simdisk.Disk, operation int) *bool {
+// cutPowerAt makes the disk lose power before its operation with the given index, counted from now. The result is set to true
+// once that has happened.
+func cutPowerAt(simulated *simdisk.Disk, operation int) *bool {
 	count := 0
-	hasCut := new(bool)
+	powerWasCut := new(bool)
 	simulated.Before(func(simdisk.Operation, string) error {
 		if count == operation {
 			simulated.CutPower()
-			*hasCut = true
+			*powerWasCut = true
 		}
 		count++
 		return nil
 	})
-	return hasCut
+	return powerWasCut
 }
 
-// killAt arms the disk to refuse all operations from the one with the given number, as for a process that is killed.
-func killAt(simulated *simdisk.Disk, operation int) *bool {
+// killProcessAt makes the disk fail all operations from the one with the given index on, as seen by a process that is killed
+// there. The result is set to true once that has happened.
+func killProcessAt(simulated *simdisk.Disk, operation int) *bool {
 	count := 0
-	hasKilled := new(bool)
+	wasKilled := new(bool)
 	simulated.Before(func(simdisk.Operation, string) error {
 		count++
 		if count > operation {
-			*hasKilled = true
+			*wasKilled = true
 			return errInjected
 		}
 		return nil
 	})
-	return hasKilled
+	return wasKilled
 }
 
-// TestPowerLossAtEachOperation cuts the power before each operation of a process's life, the first operation of the next
-// life being the point after the last one, and twice in a row.
+// TestPowerLossAtEachOperation cuts the power before each operation of a process and then once more, at random, during the
+// next process. The first operation of that next process stands for the point after the last operation of the first one.
 func TestPowerLossAtEachOperation(t *testing.T) {
 	cuts := 0
 	for first := 0; ; first++ {
-		hasCut := false
-		for draw := range drawsPerCut {
-			random := rand.New(rand.NewPCG(uint64(first), uint64(draw)))
+		powerWasCut := false
+		for trial := range trialsPerCut {
+			random := rand.New(rand.NewPCG(uint64(first), uint64(trial)))
 			simulated := simdisk.New()
-			initial := live(t, simulated, 0, 1+draw%2)
+			initial := runProcess(t, simulated, 0, 1+trial%2)
 
-			armed := cutAt(simulated, first)
-			before := live(t, simulated, initial.tried, savesPerLife)
-			hasCut = hasCut || *armed
+			armed := cutPowerAt(simulated, first)
+			before := runProcess(t, simulated, initial.tried, savesPerRun)
+			powerWasCut = powerWasCut || *armed
 			if before.found < 0 {
 				before = initial
 			}
@@ -124,64 +125,64 @@
 			simulated.CutPower()
 			simulated.PowerOn(random)
 
-			cutAt(simulated, random.IntN(20))
-			between := live(t, simulated, before.tried, savesPerLife)
+			cutPowerAt(simulated, random.IntN(20))
+			between := runProcess(t, simulated, before.tried, savesPerRun)
 			if between.found < 0 {
 				between = before
 			} else {
 				assert.Assert(t, between.found >= before.saved && between.found <= before.tried,
-					"cut %d, draw %d: found %d, saved %d, tried %d", first, draw, between.found, before.saved, before.tried)
+					"cut %d, trial %d: found %d, saved %d, tried %d", first, trial, between.found, before.saved, before.tried)
 			}
 			simulated.Before(nil)
 			simulated.CutPower()
 			simulated.PowerOn(random)
 
-			after := live(t, simulated, between.tried, 0)
+			after := runProcess(t, simulated, between.tried, 0)
 			assert.Assert(t, after.found >= between.saved && after.found <= between.tried,
-				"cut %d, draw %d: found %d, saved %d, tried %d", first, draw, after.found, between.saved, between.tried)
+				"cut %d, trial %d: found %d, saved %d, tried %d", first, trial, after.found, between.saved, between.tried)
 		}
-		if !hasCut {
+		if !powerWasCut {
 			break
 		}
 		cuts++
 	}
-	assert.Assert(t, cuts > 7*savesPerLife, "only %d points were cut", cuts)
+	assert.Assert(t, cuts > 7*savesPerRun, "only %d points were cut", cuts)
 }
 
-// TestKillThenPowerLoss kills the process at each operation. What the next process reads must survive a loss of power
-// although that process saves nothing.
+// TestKillThenPowerLoss kills the process at each operation. The version that the next process reads must survive a loss of
+// power, although that process saves nothing: Open syncs the version that it finds.
 func TestKillThenPowerLoss(t *testing.T) {
 	for operation := 0; ; operation++ {
-		hasKilled := false
-		for draw := range drawsPerCut {
-			random := rand.New(rand.NewPCG(uint64(operation), uint64(draw)))
+		wasKilled := false
+		for trial := range trialsPerCut {
+			random := rand.New(rand.NewPCG(uint64(operation), uint64(trial)))
 			simulated := simdisk.New()
-			armed := killAt(simulated, operation)
-			before := live(t, simulated, 0, savesPerLife)
-			hasKilled = hasKilled || *armed
+			armed := killProcessAt(simulated, operation)
+			before := runProcess(t, simulated, 0, savesPerRun)
+			wasKilled = wasKilled || *armed
 			simulated.Before(nil)
-			between := live(t, simulated, before.tried, 0)
+			between := runProcess(t, simulated, before.tried, 0)
 			assert.Assert(t, between.found >= before.saved && between.found <= before.tried)
 			simulated.CutPower()
 			simulated.PowerOn(random)
-			after := live(t, simulated, before.tried, 0)
-			assert.Equal(t, after.found, between.found, "killed at operation %d, draw %d", operation, draw)
+			after := runProcess(t, simulated, before.tried, 0)
+			assert.Equal(t, after.found, between.found, "killed at operation %d, trial %d", operation, trial)
 		}
-		if !hasKilled {
+		if !wasKilled {
 			return
 		}
 	}
 }
 
-// TestFailureOfEachStep has each step of a save fail, many times over: the saved version stays in force, no files pile up,
-// and the next save works.
+// TestFailureOfEachStep makes each step of a save fail repeatedly: the saved version remains current, files don't accumulate,
+// and the next save succeeds.
 func TestFailureOfEachStep(t *testing.T) {
 	steps := map[simdisk.Operation]disk.Step{
-		simdisk.Create:     disk.StepCreateAside,
-		simdisk.Write:      disk.StepWriteAside,
-		simdisk.Sync:       disk.StepSyncAside,
-		simdisk.Rename:     disk.StepRename,
-		simdisk.SyncFolder: disk.StepSyncFolder,
+		simdisk.Create:        disk.StepCreateTemporary,
+		simdisk.Write:         disk.StepWriteTemporary,
+		simdisk.Sync:          disk.StepSyncTemporary,
+		simdisk.Rename:        disk.StepRename,
+		simdisk.SyncDirectory: disk.StepSyncDirectory,
 	}
 	for operation, step := range steps {
 		t.Run(string(step), func(t *testing.T) {
@@ -206,19 +207,20 @@
 			names, err := simulated.List()
 			assert.NilError(t, err)
 			left := 1
-			if step == disk.StepSyncFolder {
+			if step == disk.StepSyncDirectory {
 				left = 2 // the renamed version, which the next save replaces
 			}
-			assert.Equal(t, len(names), left, "files have piled up: %v", names)
+			assert.Equal(t, len(names), left, "files have accumulated: %v", names)
 
 			assert.NilError(t, saver.Save(contentOf(3)))
-			assert.Equal(t, live(t, simulated, 3, 0).found, 3)
+			assert.Equal(t, runProcess(t, simulated, 3, 0).found, 3)
 		})
 	}
 }
 
-// TestCleaningMayFail has every removal fail: saving goes on, and the files go once removal works.
-func TestCleaningMayFail(t *testing.T) {
+// TestRemovalOfObsoleteFilesMayFail makes every removal fail: saves still succeed, and the files are removed once removal
+// works again.
+func TestRemovalOfObsoleteFilesMayFail(t *testing.T) {
 	simulated := simdisk.New()
 	saver, _, err := disk.Open(simulated)
 	assert.NilError(t, err)
@@ -238,7 +240,7 @@
 	assert.Equal(t, len(names), 2, "%v", names)
 }
 
-// TestFullDisk fills the disk: saves are refused, the saved version stays, and saves work again when space returns.
+// TestFullDisk fills the disk: saves fail, the saved version remains, and saves succeed again once there is space.
 func TestFullDisk(t *testing.T) {
 	simulated := simdisk.New()
 	saver, _, err := disk.Open(simulated)
@@ -251,28 +253,28 @@
 	names, err := simulated.List()
 	assert.NilError(t, err)
 	assert.Equal(t, len(names), 1, "%v", names)
-	assert.Equal(t, live(t, simulated, 2, 0).found, 1)
+	assert.Equal(t, runProcess(t, simulated, 2, 0).found, 1)
 
 	simulated.SetCapacity(0)
 	assert.NilError(t, saver.Save(contentOf(3)))
-	assert.Equal(t, live(t, simulated, 3, 0).found, 3)
+	assert.Equal(t, runProcess(t, simulated, 3, 0).found, 3)
 }
 
-// TestFolder saves in a folder of the machine, among files that are none of the package's.
-func TestFolder(t *testing.T) {
-	path := filepath.Join(t.TempDir(), "made", "on the way")
-	folder, err := disk.OpenFolder(path)
+// TestDirectory saves in a directory of the real file system that contains files of other origin.
+func TestDirectory(t *testing.T) {
+	path := filepath.Join(t.TempDir(), "missing", "parent")
+	directory, err := disk.OpenFolder(path)
 	assert.NilError(t, err)
-	rubbish := []string{
+	junk := []string{
 		"version-.state", "version-zz.state", "version-1.state", "version-ffffffffffffffffff.state", "lost+found",
 		"version-00000000000000FF.state", "version-ffffffffffffffff.state", "version-00000000000000ff.state",
 	}
-	for _, name := range rubbish {
-		assert.NilError(t, os.WriteFile(filepath.Join(path, name), []byte("rubbish"), 0o600))
+	for _, name := range junk {
+		assert.NilError(t, os.WriteFile(filepath.Join(path, name), []byte("junk"), 0o600))
 	}
-	assert.Equal(t, live(t, folder, 0, savesPerLife).saved, savesPerLife)
-	assert.Equal(t, live(t, folder, savesPerLife, 0).found, savesPerLife)
-	names, err := folder.List()
+	assert.Equal(t, runProcess(t, directory, 0, savesPerRun).saved, savesPerRun)
+	assert.Equal(t, runProcess(t, directory, savesPerRun, 0).found, savesPerRun)
+	names, err := directory.List()
 	assert.NilError(t, err)
 	own := 0
 	for _, name := range names {
@@ -283,17 +285,17 @@
 	assert.Equal(t, own, 2, "%v", names)
 }
 
-// TestDamagedVersion damages the newest version: the one before it wins.
+// TestDamagedVersion damages the newest version: Open returns the one before it.
 func TestDamagedVersion(t *testing.T) {
 	path := t.TempDir()
-	folder, err := disk.OpenFolder(path)
+	directory, err := disk.OpenFolder(path)
 	assert.NilError(t, err)
-	live(t, folder, 0, 3)
+	runProcess(t, directory, 0, 3)
 	newest := filepath.Join(path, "version-0000000000000003.state")
 	content, err := os.ReadFile(newest)
 	assert.NilError(t, err)
 	for _, damaged := range [][]byte{content[:len(content)-1], content[:10], {}, bytes.Replace(content, []byte("3"), []byte("4"), 1)} {
 		assert.NilError(t, os.WriteFile(newest, damaged, 0o600))
-		assert.Equal(t, live(t, folder, 3, 0).found, 2)
+		assert.Equal(t, runProcess(t, directory, 3, 0).found, 2)
 	}
 }
--- a/internal/router/disk/filesystem.go
+++ b/internal/router/disk/filesystem.go
@@ -8,46 +8,47 @@
 )
 
 const (
-	folderPermissions = 0o755
-	filePermissions   = 0o644
+	directoryPermissions = 0o755
+	filePermissions      = 0o644
 )
 
-// FileSystem is what the package asks of a folder. Names are plain file names in it.
+// FileSystem is the set of operations on one directory that the package needs. Names are file names without a path.
 type FileSystem interface {
 	List() ([]string, error)
 	Read(name string) ([]byte, error)
-	// Create makes or empties a file to be written.
+	// Create creates a file for writing, or truncates an existing one.
 	Create(name string) (File, error)
-	// Open opens a file that exists, to be synced.
+	// Open opens an existing file, to sync it.
 	Open(name string) (File, error)
 	Rename(from, to string) error
 	Remove(name string) error
-	SyncFolder() error
+	// SyncDirectory makes created, renamed and removed names durable.
+	SyncDirectory() error
 }
 
-// File is an open file.
+// File is an open file of a FileSystem.
 type File interface {
 	Write(content []byte) (int, error)
 	Sync() error
 	Close() error
 }
 
-// Folder is a folder of the machine.
-type Folder struct {
+// Directory is a directory of the operating system's file system. It implements FileSystem.
+type Directory struct {
 	path string
 }
 
-// OpenFolder returns the folder, which it makes if it is missing.
-func OpenFolder(path string) (*Folder, error) {
-	if err := os.MkdirAll(path, folderPermissions); err != nil {
+// OpenFolder returns the directory with the given path, which it creates if it does not exist.
+func OpenFolder(path string) (*Directory, error) {
+	if err := os.MkdirAll(path, directoryPermissions); err != nil {
 		return nil, errors.WithStack(err)
 	}
-	return &Folder{path: path}, nil
+	return &Directory{path: path}, nil
 }
 
-// List returns the names in the folder.
-func (folder *Folder) List() ([]string, error) {
-	entries, err := os.ReadDir(folder.path)
+// List returns the names in the directory.
+func (directory *Directory) List() ([]string, error) {
+	entries, err := os.ReadDir(directory.path)
 	if err != nil {
 		return nil, errors.WithStack(err)
 	}
@@ -59,23 +60,23 @@
 }
 
 // Read returns the content of a file.
-func (folder *Folder) Read(name string) ([]byte, error) {
-	content, err := os.ReadFile(folder.locate(name))
+func (directory *Directory) Read(name string) ([]byte, error) {
+	content, err := os.ReadFile(directory.pathOf(name))
 	return content, errors.WithStack(err)
 }
 
-// Create makes or empties a file to be written.
-func (folder *Folder) Create(name string) (File, error) {
-	return folder.open(name, os.O_CREATE|os.O_WRONLY|os.O_TRUNC)
+// Create creates a file for writing, or truncates an existing one.
+func (directory *Directory) Create(name string) (File, error) {
+	return directory.open(name, os.O_CREATE|os.O_WRONLY|os.O_TRUNC)
 }
 
-// Open opens a file that exists, to be synced.
-func (folder *Folder) Open(name string) (File, error) {
-	return folder.open(name, os.O_RDWR)
+// Open opens an existing file, to sync it.
+func (directory *Directory) Open(name string) (File, error) {
+	return directory.open(name, os.O_RDWR)
 }
 
-func (folder *Folder) open(name string, flags int) (File, error) {
-	file, err := os.OpenFile(folder.locate(name), flags, filePermissions)
+func (directory *Directory) open(name string, flags int) (File, error) {
+	file, err := os.OpenFile(directory.pathOf(name), flags, filePermissions)
 	if err != nil {
 		return nil, errors.WithStack(err)
 	}
@@ -83,25 +84,25 @@
 }
 
 // Rename renames a file.
-func (folder *Folder) Rename(from, to string) error {
-	return errors.WithStack(os.Rename(folder.locate(from), folder.locate(to)))
+func (directory *Directory) Rename(from, to string) error {
+	return errors.WithStack(os.Rename(directory.pathOf(from), directory.pathOf(to)))
 }
 
 // Remove removes a file.
-func (folder *Folder) Remove(name string) error {
-	return errors.WithStack(os.Remove(folder.locate(name)))
+func (directory *Directory) Remove(name string) error {
+	return errors.WithStack(os.Remove(directory.pathOf(name)))
 }
 
-// SyncFolder syncs the names of the folder.
-func (folder *Folder) SyncFolder() error {
-	file, err := os.Open(folder.path)
+// SyncDirectory makes created, renamed and removed names durable.
+func (directory *Directory) SyncDirectory() error {
+	file, err := os.Open(directory.path)
 	if err != nil {
 		return errors.WithStack(err)
 	}
 	return syncAndClose(file)
 }
 
-func (folder *Folder) locate(name string) string { return filepath.Join(folder.path, name) }
+func (directory *Directory) pathOf(name string) string { return filepath.Join(directory.path, name) }
 
 func syncAndClose(file File) error {
 	if err := file.Sync(); err != nil {
--- a/internal/router/disk/simdisk/simdisk.go
+++ b/internal/router/disk/simdisk/simdisk.go
@@ -1,6 +1,6 @@
-// Package simdisk is a simulated disk for tests, after the promises of a real one: a file holds what its last sync covered,
-// later writes are present, missing or torn after a loss of power; a new file lasts once it was synced itself; renamed and
-// removed names last once the folder was synced, and until then are kept or lost independently of each other.
+// Package simdisk is a simulated disk for tests, with the durability guarantees of a real one. After a loss of power, a file has
+// the content of its last sync; later writes are present, missing or torn. A new file is durable once it was synced itself.
+// Renames and removals are durable once the directory was synced, and until then each is retained or lost independently.
 package simdisk
 
 import (
@@ -14,56 +14,56 @@
 	"pewterrudder/internal/router/disk"
 )
 
-// sectorSize is the unit in which a write is torn.
+// sectorSize is the unit, in bytes, in which a write is torn.
 const sectorSize = 512
 
 // Errors of the simulated disk.
 var (
-	ErrNoPower = errors.New("simdisk: no power")
-	ErrFull    = errors.New("simdisk: no space left")
-	ErrMissing = errors.New("simdisk: no such file")
+	ErrNoPower  = errors.New("simdisk: no power")
+	ErrFull     = errors.New("simdisk: no space left")
+	ErrNotExist = errors.New("simdisk: no such file")
 )
 
-// Operation names what is about to be done.
+// Operation is the kind of an operation on the disk.
 type Operation string
 
 // The operations.
 const (
-	Create     Operation = "create"
-	Write      Operation = "write"
-	Sync       Operation = "sync"
-	Rename     Operation = "rename"
-	Remove     Operation = "remove"
-	SyncFolder Operation = "sync folder"
-	Read       Operation = "read"
+	Create        Operation = "create"
+	Write         Operation = "write"
+	Sync          Operation = "sync"
+	Rename        Operation = "rename"
+	Remove        Operation = "remove"
+	SyncDirectory Operation = "sync directory"
+	Read          Operation = "read"
 )
 
-// Disk is a simulated folder. It implements disk.FileSystem.
+// Disk is a simulated directory. It implements disk.FileSystem.
 type Disk struct {
-	mutex    sync.Mutex
-	before   func(operation Operation, name string) error
-	capacity int               // unlimited if zero
-	names    map[string]*inode // as the running system sees them
-	durable  map[string]*inode // as they are after the folder's last sync
-	changes  []change          // since then
-	noPower  bool
-	epoch    int // counts losses of power; files opened before the last one are dead
+	mutex      sync.Mutex
+	hook       func(operation Operation, name string) error
+	capacity   int               // unlimited if zero
+	names      map[string]*inode // as seen by the running system
+	durable    map[string]*inode // as of the last sync of the directory
+	changes    []change          // not yet durable
+	noPower    bool
+	powerCycle int // incremented by CutPower and PowerOn; files opened before the last increment return ErrNoPower
 }
 
-// inode is the content of a file.
+// inode holds the content of a file.
 type inode struct {
 	content []byte
 	synced  []byte
 	writes  []write // since the last sync
 }
 
-// write is an unsynced write. A nil content empties the file.
+// write is an unsynced write. A nil content truncates the file.
 type write struct {
 	offset  int
 	content []byte
 }
 
-// change is an unsynced change of a name.
+// change is an unsynced creation, rename or removal.
 type change struct {
 	operation Operation
 	from, to  string
@@ -75,54 +75,55 @@
 	return &Disk{names: make(map[string]*inode), durable: make(map[string]*inode)}
 }
 
-// Before has a function called before each operation, nil for none. Its error is the operation's, which then has no effect.
-// It may wait, as a hanging disk does, or cut the power.
+// Before sets a hook that is called before each operation; nil removes it. If the hook returns an error, the operation returns
+// it and has no effect. The hook may block, to simulate a hanging disk, or cut the power.
 func (simulated *Disk) Before(hook func(operation Operation, name string) error) {
 	simulated.mutex.Lock()
 	defer simulated.mutex.Unlock()
-	simulated.before = hook
+	simulated.hook = hook
 }
 
-// SetCapacity sets how many bytes fit, without limit if it is zero.
+// SetCapacity sets the capacity in bytes. Zero means no limit.
 func (simulated *Disk) SetCapacity(capacity int) {
 	simulated.mutex.Lock()
 	defer simulated.mutex.Unlock()
 	simulated.capacity = capacity
 }
 
-// CutPower has every operation fail from now on, until PowerOn.
+// CutPower makes every operation fail with ErrNoPower until PowerOn is called.
 func (simulated *Disk) CutPower() {
 	simulated.mutex.Lock()
 	defer simulated.mutex.Unlock()
 	simulated.noPower = true
-	simulated.epoch++
+	simulated.powerCycle++
 }
 
-// PowerOn decides what the loss of power left, and lets operations through again.
+// PowerOn decides at random which unsynced changes survived the loss of power, and allows operations again.
 func (simulated *Disk) PowerOn(random *rand.Rand) {
 	simulated.mutex.Lock()
 	defer simulated.mutex.Unlock()
-	keep := drawKeeping(random)
+	keep := drawRetention(random)
 	for _, pending := range simulated.changes {
 		if keep() {
 			pending.apply(simulated.durable)
 		}
 	}
 	simulated.changes = nil
-	settled := make(map[*inode]bool)
+	processed := make(map[*inode]bool)
 	for _, node := range simulated.durable {
-		if !settled[node] {
-			node.lose(random, keep)
-			settled[node] = true
+		if !processed[node] {
+			node.loseUnsynced(random, keep)
+			processed[node] = true
 		}
 	}
 	simulated.names = maps.Clone(simulated.durable)
 	simulated.noPower = false
-	simulated.epoch++
+	simulated.powerCycle++
 }
 
-// drawKeeping draws how unsynced things fare: all lost, all kept, or each by itself.
-func drawKeeping(random *rand.Rand) func() bool {
+// drawRetention returns a function that decides whether an unsynced change survives: none does, all do, or each is decided at
+// random.
+func drawRetention(random *rand.Rand) func() bool {
 	switch random.IntN(4) {
 	case 0:
 		return func() bool { return false }
@@ -133,7 +134,7 @@
 	}
 }
 
-// List returns the names.
+// List returns the names in the directory.
 func (simulated *Disk) List() ([]string, error) {
 	if err := simulated.begin(Read, ""); err != nil {
 		return nil, err
@@ -148,21 +149,21 @@
 		return nil, err
 	}
 	defer simulated.mutex.Unlock()
-	node, isThere := simulated.names[name]
-	if !isThere {
-		return nil, ErrMissing
+	node, exists := simulated.names[name]
+	if !exists {
+		return nil, ErrNotExist
 	}
 	return slices.Clone(node.content), nil
 }
 
-// Create makes or empties a file.
+// Create creates a file for writing, or truncates an existing one.
 func (simulated *Disk) Create(name string) (disk.File, error) {
 	if err := simulated.begin(Create, name); err != nil {
 		return nil, err
 	}
 	defer simulated.mutex.Unlock()
-	node, isThere := simulated.names[name]
-	if isThere {
+	node, exists := simulated.names[name]
+	if exists {
 		node.content = nil
 		node.writes = append(node.writes, write{})
 	} else {
@@ -170,20 +171,20 @@
 		simulated.names[name] = node
 		simulated.changes = append(simulated.changes, change{operation: Create, to: name, node: node})
 	}
-	return &file{disk: simulated, node: node, name: name, epoch: simulated.epoch}, nil
+	return &file{disk: simulated, node: node, name: name, powerCycle: simulated.powerCycle}, nil
 }
 
-// Open opens a file that exists.
+// Open opens an existing file.
 func (simulated *Disk) Open(name string) (disk.File, error) {
 	if err := simulated.begin(Read, name); err != nil {
 		return nil, err
 	}
 	defer simulated.mutex.Unlock()
-	node, isThere := simulated.names[name]
-	if !isThere {
-		return nil, ErrMissing
+	node, exists := simulated.names[name]
+	if !exists {
+		return nil, ErrNotExist
 	}
-	return &file{disk: simulated, node: node, name: name, epoch: simulated.epoch}, nil
+	return &file{disk: simulated, node: node, name: name, powerCycle: simulated.powerCycle}, nil
 }
 
 // Rename renames a file.
@@ -192,11 +193,11 @@
 		return err
 	}
 	defer simulated.mutex.Unlock()
-	node, isThere := simulated.names[from]
-	if !isThere {
-		return ErrMissing
+	node, exists := simulated.names[from]
+	if !exists {
+		return ErrNotExist
 	}
-	simulated.change(change{operation: Rename, from: from, to: to, node: node})
+	simulated.applyChange(change{operation: Rename, from: from, to: to, node: node})
 	return nil
 }
 
@@ -206,16 +207,16 @@
 		return err
 	}
 	defer simulated.mutex.Unlock()
-	if _, isThere := simulated.names[name]; !isThere {
-		return ErrMissing
+	if _, exists := simulated.names[name]; !exists {
+		return ErrNotExist
 	}
-	simulated.change(change{operation: Remove, from: name})
+	simulated.applyChange(change{operation: Remove, from: name})
 	return nil
 }
 
-// SyncFolder makes all changes of names last.
-func (simulated *Disk) SyncFolder() error {
-	if err := simulated.begin(SyncFolder, ""); err != nil {
+// SyncDirectory makes created, renamed and removed names durable.
+func (simulated *Disk) SyncDirectory() error {
+	if err := simulated.begin(SyncDirectory, ""); err != nil {
 		return err
 	}
 	defer simulated.mutex.Unlock()
@@ -224,10 +225,10 @@
 	return nil
 }
 
-// begin calls the hook and locks the disk, unless it returns an error.
+// begin calls the hook and locks the mutex. If it returns an error, the mutex is not locked.
 func (simulated *Disk) begin(operation Operation, name string) error {
 	simulated.mutex.Lock()
-	hook := simulated.before
+	hook := simulated.hook
 	simulated.mutex.Unlock()
 	if hook != nil {
 		if err := hook(operation, name); err != nil {
@@ -242,12 +243,12 @@
 	return nil
 }
 
-func (simulated *Disk) change(change change) {
+func (simulated *Disk) applyChange(change change) {
 	change.apply(simulated.names)
 	simulated.changes = append(simulated.changes, change)
 }
 
-func (simulated *Disk) used() int {
+func (simulated *Disk) usedBytes() int {
 	total := 0
 	for _, node := range simulated.names {
 		total += len(node.content)
@@ -255,8 +256,8 @@
 	return total
 }
 
-// syncCreation makes the creation of a synced file last.
-func (simulated *Disk) syncCreation(node *inode) {
+// persistCreation makes the creation of a synced file durable.
+func (simulated *Disk) persistCreation(node *inode) {
 	simulated.changes = slices.DeleteFunc(simulated.changes, func(pending change) bool {
 		if pending.operation != Create || pending.node != node {
 			return false
@@ -275,8 +276,8 @@
 	}
 }
 
-// lose leaves of the unsynced writes what keep and chance decide.
-func (node *inode) lose(random *rand.Rand, keep func() bool) {
+// loseUnsynced applies the unsynced writes for which keep returns true, possibly torn, and drops the others.
+func (node *inode) loseUnsynced(random *rand.Rand, keep func() bool) {
 	content := slices.Clone(node.synced)
 	for _, unsynced := range node.writes {
 		if !keep() {
@@ -293,7 +294,7 @@
 	node.writes = nil
 }
 
-// tear is the write with some of its sectors left as zeros, at times.
+// tear returns the write, at random either unchanged or with some sectors zeroed and possibly cut short.
 func (unsynced write) tear(random *rand.Rand) write {
 	if random.IntN(2) == 0 {
 		return unsynced
@@ -320,34 +321,34 @@
 	return content
 }
 
-// file is an open file.
+// file is an open file. It implements disk.File.
 type file struct {
-	disk  *Disk
-	node  *inode
-	name  string
-	epoch int
+	disk       *Disk
+	node       *inode
+	name       string
+	powerCycle int
 }
 
-// Write appends to the file. A full disk takes what fits.
+// Write appends to the file. If the disk becomes full, it writes the part that fits and returns ErrFull.
 func (file *file) Write(content []byte) (int, error) {
 	if err := file.begin(Write); err != nil {
 		return 0, err
 	}
 	defer file.disk.mutex.Unlock()
-	taken := len(content)
+	written := len(content)
 	if file.disk.capacity > 0 {
-		taken = max(0, min(taken, file.disk.capacity-file.disk.used()))
+		written = max(0, min(written, file.disk.capacity-file.disk.usedBytes()))
 	}
-	unsynced := write{offset: len(file.node.content), content: slices.Clone(content[:taken])}
+	unsynced := write{offset: len(file.node.content), content: slices.Clone(content[:written])}
 	file.node.content = unsynced.applyTo(file.node.content)
 	file.node.writes = append(file.node.writes, unsynced)
-	if taken < len(content) {
-		return taken, ErrFull
+	if written < len(content) {
+		return written, ErrFull
 	}
-	return taken, nil
+	return written, nil
 }
 
-// Sync makes the content last, and the file's creation.
+// Sync makes the content and the creation of the file durable.
 func (file *file) Sync() error {
 	if err := file.begin(Sync); err != nil {
 		return err
@@ -355,18 +356,18 @@
 	defer file.disk.mutex.Unlock()
 	file.node.synced = slices.Clone(file.node.content)
 	file.node.writes = nil
-	file.disk.syncCreation(file.node)
+	file.disk.persistCreation(file.node)
 	return nil
 }
 
-// Close closes the file.
+// Close does nothing and returns nil.
 func (file *file) Close() error { return nil }
 
 func (file *file) begin(operation Operation) error {
 	if err := file.disk.begin(operation, file.name); err != nil {
 		return err
 	}
-	if file.epoch != file.disk.epoch {
+	if file.powerCycle != file.disk.powerCycle {
 		file.disk.mutex.Unlock()
 		return ErrNoPower
 	}
