--- a/internal/router/relaytree/relaytree.go
+++ b/internal/router/relaytree/relaytree.go
@@ -1,9 +1,10 @@
-// Package relaytree says who relays a message to whom. A message goes from its origin to one member of each zone, the zone's head,
-// and in each zone down a tree of bounded degree, so that it crosses into each zone about once. The tree follows from the origin
-// and the view alone: each relay finds its own part of it.
+// Package relaytree computes the trees along which messages are relayed. A message goes from its origin to one member of each
+// zone, the zone's head, and from there down a tree of bounded degree within the zone, so that it enters each zone about once.
+// The tree depends only on the origin and the view, so each relay computes its own children.
 //
-// An origin uses one of a few trees, so that the load of heads and relays is shared while each router talks to few others. A tree's
-// order within a zone is the ring's, from the tree's place on, so that relays with different views never send in a circle.
+// Each origin is assigned to one of a few trees. This distributes the load of heads and relays, while each router sends to few
+// others. The order of a tree within a zone is the order of the ring, starting at the tree's root position, so that relays with
+// different views never form a cycle.
 package relaytree
 
 import (
@@ -13,30 +14,30 @@
 )
 
 const (
-	// Degree is the number of members of its own zone to which a relay sends.
-	Degree = 4
-	// Trees is the number of different trees.
-	Trees = 4
+	// Fanout is the maximum number of children that a member has in its own zone's tree.
+	Fanout = 4
+	// TreeCount is the number of different trees.
+	TreeCount = 4
 )
 
-// roots are the names whose places on the ring the trees begin at.
-var roots = [Trees]string{"tree-0", "tree-1", "tree-2", "tree-3"}
+// rootNames are the names whose ring positions are the root positions of the trees.
+var rootNames = [TreeCount]string{"tree-0", "tree-1", "tree-2", "tree-3"}
 
-// root names the origin's tree.
-func root(origin string) string { return roots[membership.RingPosition(origin)%Trees] }
+// rootOf returns the root name of the origin's tree.
+func rootOf(origin string) string { return rootNames[membership.RingPosition(origin)%TreeCount] }
 
-// Children lists the members to whom node relays a message of the origin. The origin also sends to the heads of all zones, its own
-// included: the tree's way down to the origin itself ends there.
+// Children returns the members to which node relays a message of the origin. The origin also sends to the heads of all zones,
+// including its own zone: the tree of that zone may lead back to the origin, which does not relay the message again.
 func Children(view *membership.View, origin, node string) []membership.Member {
 	member, ok := view.Get(node)
 	if !ok {
 		return nil
 	}
-	children := inZone(view, root(origin), member)
+	children := childrenInZone(view, rootOf(origin), member)
 	if node != origin {
 		return children
 	}
-	for _, head := range heads(view, root(origin)) {
+	for _, head := range heads(view, rootOf(origin)) {
 		known := slices.ContainsFunc(children, func(m membership.Member) bool { return m.Node == head.Node })
 		if head.Node != origin && !known {
 			children = append(children, head)
@@ -45,7 +46,7 @@
 	return children
 }
 
-// Head is the first member of a zone in the tree of the given name, and false where the zone has no members.
+// Head returns the first member of a zone in the tree with the given root name, and false if the zone has no members.
 func Head(view *membership.View, zone, root string) (membership.Member, bool) {
 	members := view.InZone(zone)
 	if len(members) == 0 {
@@ -55,16 +56,16 @@
 	return members[first], true
 }
 
-// Below lists the members to whom node relays in its zone's tree of the given name.
+// Below returns the children of node in its zone's tree with the given root name, nil if the node is not a live member.
 func Below(view *membership.View, root, node string) []membership.Member {
 	member, ok := view.Get(node)
 	if !ok {
 		return nil
 	}
-	return inZone(view, root, member)
+	return childrenInZone(view, root, member)
 }
 
-// heads lists the first member of each zone.
+// heads returns the head of each zone in the tree with the given root name.
 func heads(view *membership.View, root string) []membership.Member {
 	list := make([]membership.Member, 0, len(view.Zones()))
 	for _, zone := range view.Zones() {
@@ -75,14 +76,14 @@
 	return list
 }
 
-// inZone lists the member's children in its own zone's tree.
-func inZone(view *membership.View, root string, member membership.Member) []membership.Member {
+// childrenInZone returns the member's children in its own zone's tree with the given root name.
+func childrenInZone(view *membership.View, root string, member membership.Member) []membership.Member {
 	members := view.InZone(member.Zone)
 	first, _ := view.IndexInZone(member.Zone, root)
 	index, _ := view.IndexInZone(member.Zone, member.Node)
 	rank := (index - first + len(members)) % len(members)
 	var list []membership.Member
-	for child := rank*Degree + 1; child <= rank*Degree+Degree && child < len(members); child++ {
+	for child := rank*Fanout + 1; child <= rank*Fanout+Fanout && child < len(members); child++ {
 		list = append(list, members[(first+child)%len(members)])
 	}
 	return list
--- a/internal/router/relaytree/relaytree_test.go
+++ b/internal/router/relaytree/relaytree_test.go
@@ -13,7 +13,7 @@
 
 var start = time.Date(2026, 1, 1, 0, 0, 0, 0, time.UTC)
 
-// viewOf is the view of the first member.
+// viewOf returns the view of the first member, which knows all the others.
 func viewOf(members []membership.Member) *membership.View {
 	detector := membership.NewDetector(members[0], start)
 	for _, member := range members[1:] {
@@ -34,44 +34,44 @@
 	return members
 }
 
-// TestReachesAllOnce follows the tree: each member but the origin is reached once, each zone is entered once, and no relay sends to
-// many.
-func TestReachesAllOnce(t *testing.T) {
+// TestEveryMemberIsReachedOnce follows the tree: each member except the origin is reached once, each zone is entered once, and
+// the number of children within a zone is bounded.
+func TestEveryMemberIsReachedOnce(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		members := drawMembers(t)
 		view := viewOf(members)
 		origin := members[rapid.IntRange(0, len(members)-1).Draw(t, "origin")]
 		reached := make(map[string]int)
-		between := 0
+		betweenZones := 0
 		sent := map[string]bool{origin.Node: true}
 		for queue := []membership.Member{origin}; len(queue) > 0; queue = queue[1:] {
-			inside := 0
+			withinZone := 0
 			for _, child := range Children(view, origin.Node, queue[0].Node) {
 				reached[child.Node]++
 				if child.Zone == queue[0].Zone {
-					inside++
+					withinZone++
 				} else {
-					between++
+					betweenZones++
 				}
 				if !sent[child.Node] {
 					sent[child.Node] = true
 					queue = append(queue, child)
 				}
 			}
-			assert.Assert(t, inside <= Degree+1)
+			assert.Assert(t, withinZone <= Fanout+1)
 		}
 		assert.Assert(t, reached[origin.Node] <= 1)
 		delete(reached, origin.Node)
 		assert.Equal(t, len(reached), len(members)-1)
-		for node, times := range reached {
-			assert.Equal(t, times, 1, node)
+		for node, count := range reached {
+			assert.Equal(t, count, 1, node)
 		}
-		assert.Equal(t, between, len(view.Zones())-1)
+		assert.Equal(t, betweenZones, len(view.Zones())-1)
 	})
 }
 
-// TestFewPeers checks that a member sends to few others, whoever the origins are.
-func TestFewPeers(t *testing.T) {
+// TestNumberOfPeersIsBounded checks that the number of members to which a member sends is bounded over all origins.
+func TestNumberOfPeersIsBounded(t *testing.T) {
 	var members []membership.Member
 	for i := range 410 {
 		members = append(members, membership.Member{Node: fmt.Sprint("node-", i), Zone: fmt.Sprint("zone-", i%4)})
@@ -84,13 +84,13 @@
 				peers[child.Node] = true
 			}
 		}
-		assert.Assert(t, len(peers) <= Trees*Degree+len(view.Zones()))
+		assert.Assert(t, len(peers) <= TreeCount*Fanout+len(view.Zones()))
 	}
 }
 
-// TestNoCircle lets relays with different views pass a message on: it never comes back to a relay that had it. The origin, which may
-// be reached from its tree, doesn't pass it on again.
-func TestNoCircle(t *testing.T) {
+// TestDifferentViewsFormNoCycle relays a message between members with different views: it never returns to a member that has
+// relayed it. The origin, which its own tree may reach, doesn't relay it again.
+func TestDifferentViewsFormNoCycle(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		members := drawMembers(t)
 		origin := members[0]
@@ -106,7 +106,7 @@
 		}
 		depth := 0
 		for level := []string{origin.Node}; len(level) > 0; depth++ {
-			assert.Assert(t, depth <= len(members), "a message goes round")
+			assert.Assert(t, depth <= len(members), "the message is relayed in a cycle")
 			next := make(map[string]bool)
 			for _, node := range level {
 				for _, child := range Children(views[node], origin.Node, node) {
@@ -123,7 +123,7 @@
 	})
 }
 
-func TestUnknownMember(t *testing.T) {
+func TestUnknownNodeHasNoChildren(t *testing.T) {
 	view := viewOf([]membership.Member{{Node: "a", Zone: "z"}, {Node: "b", Zone: "z"}})
-	assert.Equal(t, len(Children(view, "a", "stranger")), 0)
+	assert.Equal(t, len(Children(view, "a", "unknown")), 0)
 }
