--- a/internal/router/disk/filesystem.go
+++ b/internal/router/disk/filesystem.go
@@ -13,6 +13,7 @@
 )
 
 // FileSystem is the set of operations on one directory that the package needs. Names are file names without a path.
+// SyncDirectory makes created, renamed and removed names durable.
 type FileSystem interface {
 	List() ([]string, error)
 	Read(name string) ([]byte, error)
@@ -22,7 +23,6 @@
 	Open(name string) (File, error)
 	Rename(from, to string) error
 	Remove(name string) error
-	// SyncDirectory makes created, renamed and removed names durable.
 	SyncDirectory() error
 }
 
