--- a/internal/router/membership/detector.go
+++ b/internal/router/membership/detector.go
@@ -2,95 +2,103 @@
 
 import "time"
 
-// Monitors is the number of members that watch over one.
+// Monitors is the number of members that monitor each member.
 const Monitors = 3
 
-// state is what this router knows of another member.
-type state struct {
-	place place
-	entry Entry
-	// heard is when the member or a proof of its life was last heard.
-	heard time.Time
-	// monitored says that this router is one of the member's monitors.
-	monitored bool
+// memberState is what this router knows of another member.
+type memberState struct {
+	ringKey ringKey
+	entry   Entry
+	// lastHeard is when the member was last heard from or reported as alive.
+	lastHeard time.Time
+	// isMonitored says that this router is one of the member's monitors.
+	isMonitored bool
 	// monitoredSince is when it became one.
 	monitoredSince time.Time
-	// probed is when the last probe of it was asked for.
-	probed time.Time
+	// lastProbed is when a probe of the member was last requested.
+	lastProbed time.Time
 	// suspectedAt is when this router learned of the suspicion.
 	suspectedAt time.Time
-	// suspectedBy is the node that published the suspicion first.
+	// suspectedBy is the node that published the suspicion first, empty once a second one has published it.
 	suspectedBy string
-	// heldUntil is the end of the delay of a failure that was published from outside; zero if none.
-	heldUntil time.Time
+	// failureDelayedUntil is when a failure that a non-live member published takes effect; zero if none is delayed.
+	failureDelayedUntil time.Time
 }
 
-// live tells whether the member counts as alive.
-func (s *state) live() bool { return s.entry.Status < Failed || !s.heldUntil.IsZero() }
+// isLive reports whether the member counts as alive: it has not failed or left, or its failure is delayed.
+func (s *memberState) isLive() bool {
+	return s.entry.Status < Failed || !s.failureDelayedUntil.IsZero()
+}
 
-// Detector is one router's part in the failure detection. It is not safe for use by several goroutines.
+// Detector is one router's failure detector. It is not safe for concurrent use.
 type Detector struct {
-	self     Member
-	members  map[string]*state
-	byName   []*state          // all members, by node name
-	byRing   []*state          // all members, by their places on the ring
-	watched  []*state          // the members that this router monitors
-	doubted  map[string]*state // the members that are not simply alive
-	view     *View
-	changed  bool
-	lastTick time.Time
-	doubt    time.Time // no suspicion is published until then
-	left     bool      // this router has left, and refutes nothing
+	self            Member
+	members         map[string]*memberState
+	byName          []*memberState          // all members, sorted by node name
+	byRing          []*memberState          // all members, sorted by ring key
+	monitored       []*memberState          // the members that this router monitors
+	notAlive        map[string]*memberState // the members with a status other than Alive
+	view            *View
+	viewOutdated    bool
+	lastTick        time.Time
+	unreliableUntil time.Time // own observations are unreliable, and no suspicion is published, until then
+	hasLeft         bool      // this router has left and no longer refutes
 }
 
-// Actions is what a step asks for.
+// Actions is what the caller has to do after a step.
 type Actions struct {
-	// Publish lists entries to spread through the fleet.
+	// Publish lists the entries to disseminate to the fleet.
 	Publish []Entry
-	// Probe lists members to be called, directly and through others.
+	// Probe lists the members to probe, directly and indirectly through other members.
 	Probe []Member
-	// Forget lists entries that are to be removed from the fleet's records.
+	// Forget lists the entries to remove from the fleet's records.
 	Forget []Entry
 }
 
 // NewDetector returns a detector that knows only its own member.
 func NewDetector(self Member, now time.Time) *Detector {
-	d := &Detector{self: self, members: make(map[string]*state), doubted: make(map[string]*state), lastTick: now, changed: true}
+	d := &Detector{
+		self:         self,
+		members:      make(map[string]*memberState),
+		notAlive:     make(map[string]*memberState),
+		lastTick:     now,
+		viewOutdated: true,
+	}
 	d.refresh(now)
 	return d
 }
 
-// Started says that ticks begin.
+// Started sets the time from which the delay of the first tick is measured.
 func (d *Detector) Started(now time.Time) { d.lastTick = now }
 
-// Self is the own entry, to be published at the start.
+// Self returns this router's own entry, to be published at the start.
 func (d *Detector) Self() Entry { return Entry{Member: d.self, Status: Alive, By: d.self.Node} }
 
-// UpdateSelf changes the own member and returns the entry to publish.
+// UpdateSelf changes this router's own member, increments its incarnation and returns the entry to publish.
 func (d *Detector) UpdateSelf(change func(*Member)) Entry {
 	incarnation := d.self.Incarnation
 	change(&d.self)
 	d.self.Incarnation = incarnation + 1
-	d.changed = true
+	d.viewOutdated = true
 	return d.Self()
 }
 
-// Leave returns the entry that says that this router has left.
+// Leave returns the entry with which this router announces that it has left. From then on it refutes nothing.
 func (d *Detector) Leave() Entry {
-	d.left = true
+	d.hasLeft = true
 	return Entry{Member: d.self, Status: Left, By: d.self.Node}
 }
 
-// Heard notes a proof of a member's life. It tells whether the fleet holds the member as suspect or worse, so that it should hear
-// of that.
-func (d *Detector) Heard(node string, incarnation uint64, now time.Time) (doubted bool) {
-	held := d.members[node]
-	if held == nil || incarnation < held.entry.Member.Incarnation {
-		return held != nil
+// Heard records that the member was alive in the given incarnation. It returns true if the member should be told its
+// entry: its status is not Alive, or the fleet knows a newer incarnation.
+func (d *Detector) Heard(node string, incarnation uint64, now time.Time) (shouldInform bool) {
+	state := d.members[node]
+	if state == nil || incarnation < state.entry.Member.Incarnation {
+		return state != nil
 	}
-	held.heard = now
-	return held.entry.Status != Alive && incarnation == held.entry.Member.Incarnation
+	state.lastHeard = now
+	return state.entry.Status != Alive && incarnation == state.entry.Member.Incarnation
 }
 
-// Knows tells whether the member has been heard of.
+// Knows reports whether the member is known, in any status. A router knows itself.
 func (d *Detector) Knows(node string) bool { return node == d.self.Node || d.members[node] != nil }
--- a/internal/router/membership/detector_test.go
+++ b/internal/router/membership/detector_test.go
@@ -9,228 +9,234 @@
 
 var start = time.Date(2026, 1, 1, 0, 0, 0, 0, time.UTC)
 
-// world is one detector with its clock.
-type world struct {
+// fixture is a detector with a simulated clock.
+type fixture struct {
 	t        *testing.T
 	detector *Detector
 	now      time.Time
 }
 
-// newWorld returns a detector "self" that knows the other nodes; of at most three others it monitors all.
-func newWorld(t *testing.T, others ...string) *world {
-	w := &world{t: t, detector: NewDetector(Member{Node: "self", Incarnation: 7}, start), now: start}
+// newFixture returns a detector of the node "self" that knows the other nodes. It monitors all of them if there are at
+// most three.
+func newFixture(t *testing.T, others ...string) *fixture {
+	f := &fixture{t: t, detector: NewDetector(Member{Node: "self", Incarnation: 7}, start), now: start}
 	for _, node := range others {
-		w.detector.Merge(alive(node, 1), w.now)
+		f.detector.Merge(aliveEntry(node, 1), f.now)
 	}
-	w.detector.Refresh(w.now)
-	return w
+	f.detector.Refresh(f.now)
+	return f
 }
 
-func alive(node string, incarnation uint64) Entry {
+func aliveEntry(node string, incarnation uint64) Entry {
 	return Entry{Member: Member{Node: node, Incarnation: incarnation}, By: node}
 }
 
-func with(entry Entry, status Status, by string) Entry {
+func withStatus(entry Entry, status Status, by string) Entry {
 	entry.Status, entry.By = status, by
 	return entry
 }
 
-// tick moves the clock on by one heartbeat; what is published is merged as well.
-func (w *world) tick() Actions {
-	w.now = w.now.Add(HeartbeatEvery)
-	actions := w.detector.Tick(w.now)
+// tick advances the clock by one heartbeat interval and merges the entries that the detector publishes.
+func (f *fixture) tick() Actions {
+	f.now = f.now.Add(HeartbeatEvery)
+	actions := f.detector.Tick(f.now)
 	for _, entry := range actions.Publish {
-		w.detector.Merge(entry, w.now)
+		f.detector.Merge(entry, f.now)
 	}
-	w.detector.Refresh(w.now)
+	f.detector.Refresh(f.now)
 	return actions
 }
 
-// ticksUntil counts the ticks until an entry with the status is published.
-func (w *world) ticksUntil(status Status) int {
+// ticksUntil returns the number of ticks until an entry with the status is published.
+func (f *fixture) ticksUntil(status Status) int {
 	for count := 1; count < 100; count++ {
-		for _, entry := range w.tick().Publish {
+		for _, entry := range f.tick().Publish {
 			if entry.Status == status {
 				return count
 			}
 		}
 	}
-	w.t.Fatalf("%v is never published", status)
+	f.t.Fatalf("no entry with status %v was published", status)
 	return 0
 }
 
-// quiet fails the test if anything is published in the time.
-func (w *world) quiet(duration time.Duration, heard ...string) {
-	w.t.Helper()
-	for end := w.now.Add(duration); w.now.Before(end); {
+// expectNoPublication fails the test if anything is published within the duration, while the given nodes send heartbeats.
+func (f *fixture) expectNoPublication(duration time.Duration, heard ...string) {
+	f.t.Helper()
+	for end := f.now.Add(duration); f.now.Before(end); {
 		for _, node := range heard {
-			w.detector.Heard(node, 1, w.now)
+			f.detector.Heard(node, 1, f.now)
 		}
-		assert.Equal(w.t, len(w.tick().Publish), 0)
+		assert.Equal(f.t, len(f.tick().Publish), 0)
 	}
 }
 
-func (w *world) isLive(node string) bool {
-	_, live := w.detector.View().Get(node)
+func (f *fixture) isLive(node string) bool {
+	_, live := f.detector.View().Get(node)
 	return live
 }
 
 func TestSilentMemberFails(t *testing.T) {
-	w := newWorld(t, "other")
-	suspected := w.ticksUntil(Suspect)
+	f := newFixture(t, "other")
+	suspected := f.ticksUntil(Suspect)
 	assert.Equal(t, time.Duration(suspected)*HeartbeatEvery, 1250*time.Millisecond)
-	assert.Assert(t, w.isLive("other"))
-	failed := w.ticksUntil(Failed)
+	assert.Assert(t, f.isLive("other"))
+	failed := f.ticksUntil(Failed)
 	assert.Equal(t, time.Duration(failed)*HeartbeatEvery, time.Second)
-	assert.Assert(t, !w.isLive("other"))
-	gone, _ := w.detector.View().GetFailed("other")
-	assert.Equal(t, gone.Silence(w.now), 2250*time.Millisecond)
+	assert.Assert(t, !f.isLive("other"))
+	failedMember, _ := f.detector.View().GetFailed("other")
+	assert.Equal(t, failedMember.Silence(f.now), 2250*time.Millisecond)
 }
 
 func TestHeartbeatsKeepMemberAlive(t *testing.T) {
-	w := newWorld(t, "other")
-	w.quiet(10*time.Second, "other")
+	f := newFixture(t, "other")
+	f.expectNoPublication(10*time.Second, "other")
 }
 
-// TestProbeComesBeforeSuspicion checks that a silent member is asked, and that an answer is as good as a heartbeat.
+// TestProbeComesBeforeSuspicion checks that a silent member is probed, and that a reply to the probe counts like a
+// heartbeat.
 func TestProbeComesBeforeSuspicion(t *testing.T) {
-	w := newWorld(t, "other")
+	f := newFixture(t, "other")
 	for range 40 {
-		actions := w.tick()
+		actions := f.tick()
 		assert.Equal(t, len(actions.Publish), 0)
 		for _, member := range actions.Probe {
-			w.detector.Heard(member.Node, 1, w.now)
+			f.detector.Heard(member.Node, 1, f.now)
 		}
 	}
 }
 
-func TestOldIncarnationIsNoSignOfLife(t *testing.T) {
-	w := newWorld(t)
-	w.detector.Merge(alive("other", 5), w.now)
-	w.detector.Refresh(w.now)
+func TestOldIncarnationIsIgnored(t *testing.T) {
+	f := newFixture(t)
+	f.detector.Merge(aliveEntry("other", 5), f.now)
+	f.detector.Refresh(f.now)
 	for range 3 {
-		w.tick()
-		w.detector.Heard("other", 4, w.now)
+		f.tick()
+		f.detector.Heard("other", 4, f.now)
 	}
-	w.ticksUntil(Suspect)
+	f.ticksUntil(Suspect)
 }
 
 func TestSecondMonitorFailsEarlier(t *testing.T) {
-	w := newWorld(t, "other", "monitor")
+	f := newFixture(t, "other", "monitor")
 	for range 4 {
-		w.tick()
-		w.detector.Heard("monitor", 1, w.now)
+		f.tick()
+		f.detector.Heard("monitor", 1, f.now)
 	}
-	w.detector.Merge(with(alive("other", 1), Suspect, "monitor"), w.now)
-	failed := w.ticksUntil(Failed)
-	assert.Assert(t, time.Duration(failed)*HeartbeatEvery < refuteTime)
+	f.detector.Merge(withStatus(aliveEntry("other", 1), Suspect, "monitor"), f.now)
+	failed := f.ticksUntil(Failed)
+	assert.Assert(t, time.Duration(failed)*HeartbeatEvery < refutationTimeout)
 }
 
-// TestMonitorThatHearsDoesNotFail checks that another's suspicion isn't enough.
-func TestMonitorThatHearsDoesNotFail(t *testing.T) {
-	w := newWorld(t, "other", "monitor")
-	w.quiet(time.Second, "other", "monitor")
-	w.detector.Merge(with(alive("other", 1), Suspect, "monitor"), w.now)
-	w.quiet(5*time.Second, "other", "monitor")
+// TestMonitorThatHearsMemberDoesNotFailIt checks that a monitor that receives heartbeats from a member does not fail it
+// because of another monitor's suspicion.
+func TestMonitorThatHearsMemberDoesNotFailIt(t *testing.T) {
+	f := newFixture(t, "other", "monitor")
+	f.expectNoPublication(time.Second, "other", "monitor")
+	f.detector.Merge(withStatus(aliveEntry("other", 1), Suspect, "monitor"), f.now)
+	f.expectNoPublication(5*time.Second, "other", "monitor")
 }
 
 func TestRefutation(t *testing.T) {
-	w := newWorld(t, "other")
+	f := newFixture(t, "other")
 	for _, status := range []Status{Suspect, Failed} {
-		entry := with(w.detector.Self(), status, "other")
-		actions := w.detector.Merge(entry, w.now)
+		entry := withStatus(f.detector.Self(), status, "other")
+		actions := f.detector.Merge(entry, f.now)
 		assert.Equal(t, len(actions.Publish), 1)
 		refutation := actions.Publish[0]
 		assert.Equal(t, refutation.Status, Alive)
-		assert.Assert(t, refutation.newer(entry))
+		assert.Assert(t, refutation.overrides(entry))
 	}
-	w.detector.Leave()
-	actions := w.detector.Merge(with(w.detector.Self(), Failed, "other"), w.now)
+	f.detector.Leave()
+	actions := f.detector.Merge(withStatus(f.detector.Self(), Failed, "other"), f.now)
 	assert.Equal(t, len(actions.Publish), 0)
 }
 
-// TestHigherIncarnationOfOwn checks that a router whose clock went back jumps above what the fleet holds of it.
-func TestHigherIncarnationOfOwn(t *testing.T) {
-	w := newWorld(t, "other")
-	actions := w.detector.Merge(alive("self", 100), w.now)
+// TestOwnIncarnationExceedsPublishedOne checks that a router whose clock went back continues with an incarnation above
+// the one that the fleet knows.
+func TestOwnIncarnationExceedsPublishedOne(t *testing.T) {
+	f := newFixture(t, "other")
+	actions := f.detector.Merge(aliveEntry("self", 100), f.now)
 	assert.Equal(t, actions.Publish[0].Member.Incarnation, uint64(101))
-	actions = w.detector.Merge(actions.Publish[0], w.now)
+	actions = f.detector.Merge(actions.Publish[0], f.now)
 	assert.Equal(t, len(actions.Publish), 0)
 }
 
 func TestRefutedMemberIsAlive(t *testing.T) {
-	w := newWorld(t, "other")
-	w.ticksUntil(Failed)
-	w.detector.Merge(alive("other", 2), w.now)
-	w.detector.Refresh(w.now)
-	assert.Assert(t, w.isLive("other"))
-	w.detector.Merge(with(alive("other", 1), Failed, "x"), w.now)
-	w.detector.Refresh(w.now)
-	assert.Assert(t, w.isLive("other"))
-}
-
-// TestDoubtsItself checks that a router that was held up waits before it blames others.
-func TestDoubtsItself(t *testing.T) {
-	w := newWorld(t, "other")
-	w.quiet(time.Second, "other")
-	w.now = w.now.Add(5 * time.Second)
-	w.quiet(suspectSilence)
-	w.ticksUntil(Suspect)
-}
-
-// TestFailureFromOutside checks that after a cut the other side's verdicts have no effect before their subjects can refute.
-func TestFailureFromOutside(t *testing.T) {
-	w := newWorld(t, "friend", "beyond")
-	w.detector.Merge(with(alive("beyond", 1), Failed, "self"), w.now)
-	w.detector.Merge(with(alive("friend", 1), Failed, "beyond"), w.now)
-	w.detector.Refresh(w.now)
-	assert.Assert(t, w.isLive("friend"))
-	for range outsideHold/HeartbeatEvery + 1 {
-		w.tick()
+	f := newFixture(t, "other")
+	f.ticksUntil(Failed)
+	f.detector.Merge(aliveEntry("other", 2), f.now)
+	f.detector.Refresh(f.now)
+	assert.Assert(t, f.isLive("other"))
+	f.detector.Merge(withStatus(aliveEntry("other", 1), Failed, "x"), f.now)
+	f.detector.Refresh(f.now)
+	assert.Assert(t, f.isLive("other"))
+}
+
+// TestLateTickDelaysSuspicion checks that a router that was itself delayed publishes no suspicion for some time.
+func TestLateTickDelaysSuspicion(t *testing.T) {
+	f := newFixture(t, "other")
+	f.expectNoPublication(time.Second, "other")
+	f.now = f.now.Add(5 * time.Second)
+	f.expectNoPublication(suspectSilence)
+	f.ticksUntil(Suspect)
+}
+
+// TestFailureByNonLiveMemberIsDelayed checks that after a network partition, failures published by the other side take
+// effect only after the members concerned had time to refute them.
+func TestFailureByNonLiveMemberIsDelayed(t *testing.T) {
+	f := newFixture(t, "near", "far")
+	f.detector.Merge(withStatus(aliveEntry("far", 1), Failed, "self"), f.now)
+	f.detector.Merge(withStatus(aliveEntry("near", 1), Failed, "far"), f.now)
+	f.detector.Refresh(f.now)
+	assert.Assert(t, f.isLive("near"))
+	for range nonLiveReporterDelay/HeartbeatEvery + 1 {
+		f.tick()
 	}
-	assert.Assert(t, !w.isLive("friend"))
+	assert.Assert(t, !f.isLive("near"))
 
-	w.detector.Merge(alive("friend", 2), w.now)
-	w.detector.Merge(alive("beyond", 2), w.now)
-	w.detector.Merge(with(alive("friend", 2), Failed, "beyond"), w.now)
-	w.detector.Refresh(w.now)
-	assert.Assert(t, !w.isLive("friend"))
+	f.detector.Merge(aliveEntry("near", 2), f.now)
+	f.detector.Merge(aliveEntry("far", 2), f.now)
+	f.detector.Merge(withStatus(aliveEntry("near", 2), Failed, "far"), f.now)
+	f.detector.Refresh(f.now)
+	assert.Assert(t, !f.isLive("near"))
 }
 
-func TestDoubtedMemberShouldHear(t *testing.T) {
-	w := newWorld(t, "other")
-	assert.Assert(t, !w.detector.Heard("other", 1, w.now))
-	w.ticksUntil(Failed)
-	assert.Assert(t, w.detector.Heard("other", 1, w.now))
+func TestHeardReportsMemberNotAlive(t *testing.T) {
+	f := newFixture(t, "other")
+	assert.Assert(t, !f.detector.Heard("other", 1, f.now))
+	f.ticksUntil(Failed)
+	assert.Assert(t, f.detector.Heard("other", 1, f.now))
 }
 
-// TestForget checks that a member that is gone for long is forgotten once, and by whoever comes next on the ring.
-func TestForget(t *testing.T) {
-	w := newWorld(t, "other")
-	w.ticksUntil(Failed)
-	w.now = w.now.Add(forgetAfter)
-	actions := w.tick()
+// TestExpiredMemberIsRemoved checks that the removal of a member that failed long ago is requested, by the next member
+// on the ring, and not again after the removal.
+func TestExpiredMemberIsRemoved(t *testing.T) {
+	f := newFixture(t, "other")
+	f.ticksUntil(Failed)
+	f.now = f.now.Add(failedRetention)
+	actions := f.tick()
 	assert.Equal(t, len(actions.Forget), 1)
-	w.detector.Remove("other")
-	assert.Equal(t, len(w.tick().Forget), 0)
-	assert.Assert(t, !w.detector.Knows("other"))
+	f.detector.Remove("other")
+	assert.Equal(t, len(f.tick().Forget), 0)
+	assert.Assert(t, !f.detector.Knows("other"))
 }
 
 func TestReconnect(t *testing.T) {
-	w := newWorld(t, "lost", "left")
-	w.detector.Merge(with(alive("lost", 1), Failed, "self"), w.now)
-	w.detector.Merge(with(alive("left", 1), Left, "left"), w.now)
-	w.detector.Refresh(w.now)
-	reconnect := w.detector.Reconnect()
+	f := newFixture(t, "lost", "left")
+	f.detector.Merge(withStatus(aliveEntry("lost", 1), Failed, "self"), f.now)
+	f.detector.Merge(withStatus(aliveEntry("left", 1), Left, "left"), f.now)
+	f.detector.Refresh(f.now)
+	reconnect := f.detector.Reconnect()
 	assert.Equal(t, len(reconnect), 1)
 	assert.Equal(t, reconnect[0].Node, "lost")
 }
 
 func TestUpdateSelf(t *testing.T) {
-	w := newWorld(t)
-	before := w.detector.Self()
-	after := w.detector.UpdateSelf(func(m *Member) { m.AcceptorID = "replica" })
-	assert.Assert(t, after.newer(before))
-	w.detector.Refresh(w.now)
-	assert.Equal(t, w.detector.View().Self().AcceptorID, "replica")
+	f := newFixture(t)
+	before := f.detector.Self()
+	after := f.detector.UpdateSelf(func(m *Member) { m.AcceptorID = "replica" })
+	assert.Assert(t, after.overrides(before))
+	f.detector.Refresh(f.now)
+	assert.Equal(t, f.detector.View().Self().AcceptorID, "replica")
 }
--- a/internal/router/membership/merge.go
+++ b/internal/router/membership/merge.go
@@ -6,123 +6,125 @@
 	"time"
 )
 
-// Merge takes in an entry that was published, by this router too. It returns a refutation where one is due.
+// Merge processes a published entry, including those of this router. The returned actions publish a refutation if one
+// is due.
 func (d *Detector) Merge(entry Entry, now time.Time) Actions {
 	if entry.Member.Node == d.self.Node {
-		return d.mergeOwn(entry)
+		return d.mergeSelf(entry)
 	}
-	held := d.members[entry.Member.Node]
-	if held == nil {
-		held = d.add(entry.Member.Node, now)
-		d.accept(held, entry, now)
-		held.heldUntil = time.Time{}
+	state := d.members[entry.Member.Node]
+	if state == nil {
+		state = d.addMember(entry.Member.Node, now)
+		d.applyEntry(state, entry, now)
+		state.failureDelayedUntil = time.Time{}
 		return Actions{}
 	}
-	if entry.newer(held.entry) {
-		d.accept(held, entry, now)
+	if entry.overrides(state.entry) {
+		d.applyEntry(state, entry, now)
 		return Actions{}
 	}
-	return d.secondSuspicion(held, entry)
+	return d.recordSecondSuspicion(state, entry)
 }
 
-// add makes room for a new member.
-func (d *Detector) add(node string, now time.Time) *state {
-	held := &state{place: placeOf(node), heard: now}
-	d.members[node] = held
+// addMember adds the state of a new member.
+func (d *Detector) addMember(node string, now time.Time) *memberState {
+	state := &memberState{ringKey: ringKeyOf(node), lastHeard: now}
+	d.members[node] = state
 	i, _ := findByName(d.byName, node)
-	d.byName = slices.Insert(d.byName, i, held)
-	i, _ = findByRing(d.byRing, held.place)
-	d.byRing = slices.Insert(d.byRing, i, held)
-	return held
+	d.byName = slices.Insert(d.byName, i, state)
+	i, _ = findByRing(d.byRing, state.ringKey)
+	d.byRing = slices.Insert(d.byRing, i, state)
+	return state
 }
 
-// Remove forgets a member whose record was removed.
+// Remove removes a member whose record was removed from the fleet's records.
 func (d *Detector) Remove(node string) {
-	held := d.members[node]
-	if held == nil {
+	state := d.members[node]
+	if state == nil {
 		return
 	}
 	delete(d.members, node)
-	delete(d.doubted, node)
+	delete(d.notAlive, node)
 	i, _ := findByName(d.byName, node)
 	d.byName = slices.Delete(d.byName, i, i+1)
-	i, _ = findByRing(d.byRing, held.place)
+	i, _ = findByRing(d.byRing, state.ringKey)
 	d.byRing = slices.Delete(d.byRing, i, i+1)
-	d.changed = true
+	d.viewOutdated = true
 }
 
-func findByName(list []*state, node string) (int, bool) {
-	return slices.BinarySearchFunc(list, node, func(s *state, node string) int { return strings.Compare(s.place.node, node) })
+func findByName(list []*memberState, node string) (int, bool) {
+	return slices.BinarySearchFunc(list, node, func(s *memberState, node string) int { return strings.Compare(s.ringKey.node, node) })
 }
 
-func findByRing(list []*state, at place) (int, bool) {
-	return slices.BinarySearchFunc(list, at, func(s *state, at place) int { return ringOrder(s.place, at) })
+func findByRing(list []*memberState, at ringKey) (int, bool) {
+	return slices.BinarySearchFunc(list, at, func(s *memberState, at ringKey) int { return compareRingKeys(s.ringKey, at) })
 }
 
-// mergeOwn answers what others say of this router.
-func (d *Detector) mergeOwn(entry Entry) Actions {
+// mergeSelf processes an entry about this router itself, and refutes it if it overrides or contradicts the own entry.
+func (d *Detector) mergeSelf(entry Entry) Actions {
 	own := d.Self()
-	if d.left {
+	if d.hasLeft {
 		return Actions{}
 	}
-	if !entry.newer(own) && (entry.Member == own.Member || entry.Member.Incarnation < d.self.Incarnation) {
+	if !entry.overrides(own) && (entry.Member == own.Member || entry.Member.Incarnation < d.self.Incarnation) {
 		return Actions{}
 	}
 	d.self.Incarnation = entry.Member.Incarnation + 1
-	d.changed = true
+	d.viewOutdated = true
 	return Actions{Publish: []Entry{d.Self()}}
 }
 
-// accept takes over a newer entry.
-func (d *Detector) accept(held *state, entry Entry, now time.Time) {
-	wasLive := held.live()
-	outside := !d.isLive(entry.By)
-	d.noteSilence(held, entry.Status, now)
-	held.entry = entry
-	held.heldUntil = time.Time{}
-	d.changed = true
+// applyEntry replaces the member's entry by a newer one.
+func (d *Detector) applyEntry(state *memberState, entry Entry, now time.Time) {
+	wasLive := state.isLive()
+	reporterNotLive := !d.isLive(entry.By)
+	d.backdateLastHeard(state, entry.Status, now)
+	state.entry = entry
+	state.failureDelayedUntil = time.Time{}
+	d.viewOutdated = true
 	switch entry.Status {
 	case Alive:
-		held.heard = now
-		held.suspectedAt, held.suspectedBy = time.Time{}, ""
+		state.lastHeard = now
+		state.suspectedAt, state.suspectedBy = time.Time{}, ""
 	case Suspect:
-		held.suspectedAt, held.suspectedBy = now, entry.By
+		state.suspectedAt, state.suspectedBy = now, entry.By
 	case Failed:
-		if wasLive && outside {
-			held.heldUntil = now.Add(outsideHold)
+		if wasLive && reporterNotLive {
+			state.failureDelayedUntil = now.Add(nonLiveReporterDelay)
 		}
 	}
-	d.sortOut(held)
+	d.updateNotAlive(state)
 }
 
-// noteSilence sets when a member that others monitor was last heard, which is known once they doubt it.
-func (d *Detector) noteSilence(held *state, status Status, now time.Time) {
-	if held.monitored || held.entry.Status != Alive {
+// backdateLastHeard estimates when a member that only others monitor was last heard from, once they suspect or fail it.
+func (d *Detector) backdateLastHeard(state *memberState, status Status, now time.Time) {
+	if state.isMonitored || state.entry.Status != Alive {
 		return
 	}
 	switch status {
 	case Suspect:
-		held.heard = later(held.heard, now.Add(-suspectSilence))
+		state.lastHeard = later(state.lastHeard, now.Add(-suspectSilence))
 	case Failed:
-		held.heard = later(held.heard, now.Add(-suspectSilence-refuteTime))
+		state.lastHeard = later(state.lastHeard, now.Add(-suspectSilence-refutationTimeout))
 	}
 }
 
-// sortOut keeps the list of the members that need a look at each tick besides those that this router monitors.
-func (d *Detector) sortOut(held *state) {
-	if held.entry.Status == Alive {
-		delete(d.doubted, held.place.node)
+// updateNotAlive adds the member to the members that are checked at each tick besides the monitored ones, or removes
+// it, as its status requires.
+func (d *Detector) updateNotAlive(state *memberState) {
+	if state.entry.Status == Alive {
+		delete(d.notAlive, state.ringKey.node)
 		return
 	}
-	d.doubted[held.place.node] = held
+	d.notAlive[state.ringKey.node] = state
 }
 
-// secondSuspicion notes that two monitors suspect one member.
-func (d *Detector) secondSuspicion(held *state, entry Entry) Actions {
-	second := entry.Status == Suspect && held.entry.Status == Suspect && entry.By != held.suspectedBy &&
-		entry.Member.Incarnation == held.entry.Member.Incarnation
+// recordSecondSuspicion records that a second monitor suspects a member.
+func (d *Detector) recordSecondSuspicion(state *memberState, entry Entry) Actions {
+	second := entry.Status == Suspect && state.entry.Status == Suspect && entry.By != state.suspectedBy &&
+		entry.Member.Incarnation == state.entry.Member.Incarnation
 	if second {
-		held.suspectedBy = ""
+		state.suspectedBy = ""
 	}
 	return Actions{}
 }
@@ -131,6 +133,6 @@
 	if node == d.self.Node {
 		return true
 	}
-	held := d.members[node]
-	return held != nil && held.live()
+	state := d.members[node]
+	return state != nil && state.isLive()
 }
--- a/internal/router/membership/refresh.go
+++ b/internal/router/membership/refresh.go
@@ -5,73 +5,73 @@
 	"time"
 )
 
-// Changed tells whether the view is out of date.
-func (d *Detector) Changed() bool { return d.changed }
+// Changed reports whether the view is out of date.
+func (d *Detector) Changed() bool { return d.viewOutdated }
 
-// Refresh makes the view anew if it is out of date.
+// Refresh rebuilds the view if it is out of date.
 func (d *Detector) Refresh(now time.Time) { d.refresh(now) }
 
 func (d *Detector) refresh(now time.Time) {
-	if !d.changed {
+	if !d.viewOutdated {
 		return
 	}
-	d.changed = false
-	d.view = d.makeView()
-	d.monitor(now)
+	d.viewOutdated = false
+	d.view = d.buildView()
+	d.updateMonitored(now)
 }
 
-func (d *Detector) makeView() *View {
+func (d *Detector) buildView() *View {
 	live := make([]Member, 0, len(d.byName)+1)
 	var failed []FailedMember
 	own, _ := findByName(d.byName, d.self.Node)
-	for i, held := range d.byName {
+	for i, state := range d.byName {
 		if i == own {
 			live = append(live, d.self)
 		}
-		if held.live() {
-			live = append(live, held.entry.Member)
+		if state.isLive() {
+			live = append(live, state.entry.Member)
 			continue
 		}
-		failed = append(failed, FailedMember{Member: held.entry.Member, Status: held.entry.Status, Since: held.heard})
+		failed = append(failed, FailedMember{Member: state.entry.Member, Status: state.entry.Status, Since: state.lastHeard})
 	}
 	if own == len(d.byName) {
 		live = append(live, d.self)
 	}
-	return newView(d.self, live, failed, d.makeRing())
+	return newView(d.self, live, failed, d.buildRing())
 }
 
-func (d *Detector) makeRing() *ring {
+func (d *Detector) buildRing() *ring {
 	r := newRing(len(d.byRing) + 1)
-	selfPlace := placeOf(d.self.Node)
-	own, _ := findByRing(d.byRing, selfPlace)
-	for i, held := range d.byRing {
+	selfKey := ringKeyOf(d.self.Node)
+	own, _ := findByRing(d.byRing, selfKey)
+	for i, state := range d.byRing {
 		if i == own {
-			r.add(d.self, selfPlace)
+			r.add(d.self, selfKey)
 		}
-		if held.live() {
-			r.add(held.entry.Member, held.place)
+		if state.isLive() {
+			r.add(state.entry.Member, state.ringKey)
 		}
 	}
 	if own == len(d.byRing) {
-		r.add(d.self, selfPlace)
+		r.add(d.self, selfKey)
 	}
 	return r
 }
 
-// monitor finds out anew whom this router monitors.
-func (d *Detector) monitor(now time.Time) {
-	before := d.watched
-	d.watched = nil
-	for _, held := range before {
-		held.monitored = false
+// updateMonitored determines which members this router monitors in the current view.
+func (d *Detector) updateMonitored(now time.Time) {
+	before := d.monitored
+	d.monitored = nil
+	for _, state := range before {
+		state.isMonitored = false
 	}
 	for _, member := range d.view.Predecessors(d.self.Node, Monitors) {
-		held := d.members[member.Node]
-		held.monitored = true
-		d.watched = append(d.watched, held)
-		if !slices.Contains(before, held) {
-			held.monitoredSince = now
-			held.heard = later(held.heard, now.Add(-takeoverCredit))
+		state := d.members[member.Node]
+		state.isMonitored = true
+		d.monitored = append(d.monitored, state)
+		if !slices.Contains(before, state) {
+			state.monitoredSince = now
+			state.lastHeard = later(state.lastHeard, now.Add(-takeoverSilence))
 		}
 	}
 }
@@ -83,5 +83,5 @@
 	return b
 }
 
-// View is the current snapshot.
+// View returns the view as of the last Refresh or Tick.
 func (d *Detector) View() *View { return d.view }
--- a/internal/router/membership/view.go
+++ b/internal/router/membership/view.go
@@ -7,18 +7,18 @@
 	"time"
 )
 
-// FailedMember is a member that doesn't count as alive.
+// FailedMember is a member that failed or left.
 type FailedMember struct {
 	Member Member
 	Status Status
-	// Since is when it was last heard of, as far as this router knows.
+	// Since is when the member was last heard from, as far as this router knows.
 	Since time.Time
 }
 
-// Silence is how long nothing has been heard of the member.
+// Silence returns the time since the member was last heard from.
 func (f FailedMember) Silence(now time.Time) time.Duration { return now.Sub(f.Since) }
 
-// View is an immutable snapshot of the fleet as this router sees it.
+// View is an immutable snapshot of the membership as known to this router.
 type View struct {
 	self   Member
 	live   []Member
@@ -28,7 +28,7 @@
 	failed []FailedMember
 }
 
-// newView takes lists that are in order.
+// newView returns a view of the given lists, which must be sorted by node name, and of the ring of the live members.
 func newView(self Member, live []Member, failed []FailedMember, members *ring) *View {
 	v := &View{self: self, live: live, failed: failed, ring: members, byZone: make(map[string]*ring)}
 	for i, member := range v.ring.members {
@@ -38,61 +38,62 @@
 			v.byZone[member.Zone] = zone
 			v.zones = append(v.zones, member.Zone)
 		}
-		zone.add(member, v.ring.places[i])
+		zone.add(member, v.ring.keys[i])
 	}
 	slices.Sort(v.zones)
 	return v
 }
 
-// ringOrder compares two nodes by their places on the ring.
-func ringOrder(a, b place) int {
+// compareRingKeys orders nodes by their positions on the ring, and nodes with the same position by name.
+func compareRingKeys(a, b ringKey) int {
 	if a.position != b.position {
 		return cmp.Compare(a.position, b.position)
 	}
 	return strings.Compare(a.node, b.node)
 }
 
-// place is where a node is on the ring.
-type place struct {
+// ringKey is the sort key of a node on the ring.
+type ringKey struct {
 	position uint64
 	node     string
 }
 
-func placeOf(node string) place { return place{position: RingPosition(node), node: node} }
+func ringKeyOf(node string) ringKey { return ringKey{position: RingPosition(node), node: node} }
 
-// ring is a list of members by their places on the ring; they are added in order.
+// ring is a list of members sorted by ring key. Members must be added in that order.
 type ring struct {
 	members []Member
-	places  []place
+	keys    []ringKey
 }
 
 func newRing(size int) *ring {
-	return &ring{members: make([]Member, 0, size), places: make([]place, 0, size)}
+	return &ring{members: make([]Member, 0, size), keys: make([]ringKey, 0, size)}
 }
 
-func (r *ring) add(member Member, at place) {
+func (r *ring) add(member Member, at ringKey) {
 	r.members = append(r.members, member)
-	r.places = append(r.places, at)
+	r.keys = append(r.keys, at)
 }
 
-// index is that of the first member at or after the node's place, found or not. It is the list's length if there is none.
+// index returns the index of the node, or else of the first member after its position, which is the length of the list
+// if there is none, and whether the node was found.
 func (r *ring) index(node string) (int, bool) {
-	return slices.BinarySearchFunc(r.places, placeOf(node), ringOrder)
+	return slices.BinarySearchFunc(r.keys, ringKeyOf(node), compareRingKeys)
 }
 
-// Self is this router's own member.
+// Self returns this router's own member.
 func (v *View) Self() Member { return v.self }
 
-// Live lists the members that count as alive, this router included, by node name. The list must not be changed.
+// Live returns the live members, including this router, sorted by node name. The list must not be modified.
 func (v *View) Live() []Member { return v.live }
 
-// Ring lists the live members by their place on the ring. The list must not be changed.
+// Ring returns the live members, sorted by their position on the ring. The list must not be modified.
 func (v *View) Ring() []Member { return v.ring.members }
 
-// Zones lists the zones with live members, by name. The list must not be changed.
+// Zones returns the sorted names of the zones with live members. The list must not be modified.
 func (v *View) Zones() []string { return v.zones }
 
-// InZone lists the live members of a zone by their place on the ring. The list must not be changed.
+// InZone returns the live members of a zone, sorted by their position on the ring. The list must not be modified.
 func (v *View) InZone(zone string) []Member {
 	if members := v.byZone[zone]; members != nil {
 		return members.members
@@ -100,7 +101,8 @@
 	return nil
 }
 
-// IndexInZone returns the index in InZone of the node, or else of the first member after its place on the ring.
+// IndexInZone returns the index of the node in InZone, or else of the next member after its position on the ring, and
+// whether the node was found.
 func (v *View) IndexInZone(zone, node string) (index int, found bool) {
 	members := v.byZone[zone]
 	if members == nil {
@@ -110,10 +112,11 @@
 	return index % len(members.members), found
 }
 
-// Failed lists the members that failed or left and are not yet forgotten, by node name. The list must not be changed.
+// Failed returns the members that failed or left and were not yet removed, sorted by node name. The list must not be
+// modified.
 func (v *View) Failed() []FailedMember { return v.failed }
 
-// Get returns the live member of that name.
+// Get returns the live member with that node name, and whether there is one.
 func (v *View) Get(node string) (Member, bool) {
 	i, found := slices.BinarySearchFunc(v.live, node, func(m Member, node string) int { return strings.Compare(m.Node, node) })
 	if !found {
@@ -122,7 +125,7 @@
 	return v.live[i], true
 }
 
-// GetFailed returns the failed or departed member of that name.
+// GetFailed returns the member with that node name that failed or left, and whether there is one.
 func (v *View) GetFailed(node string) (FailedMember, bool) {
 	i, found := slices.BinarySearchFunc(v.failed, node, func(f FailedMember, node string) int {
 		return strings.Compare(f.Member.Node, node)
@@ -133,7 +136,7 @@
 	return v.failed[i], true
 }
 
-// Successors lists the next live members on the ring after the node, at most count, the node itself left out.
+// Successors returns the next live members on the ring after the node, at most count, without the node itself.
 func (v *View) Successors(node string, count int) []Member {
 	start, _ := v.ring.index(node)
 	members := v.ring.members
@@ -151,7 +154,8 @@
 	return list
 }
 
-// Predecessors lists the live members that have the node among their successors, at most count.
+// Predecessors returns the live members before the node on the ring, the nearest first, at most count, without the node
+// itself. These are the members that have the node among their first count successors.
 func (v *View) Predecessors(node string, count int) []Member {
 	start, _ := v.ring.index(node)
 	members := v.ring.members
--- a/internal/router/membership/view_test.go
+++ b/internal/router/membership/view_test.go
@@ -10,8 +10,8 @@
 	"pgregory.net/rapid"
 )
 
-// drawWorld draws a detector and what a plain model holds of it: the status of each node.
-func drawWorld(t *rapid.T) (*Detector, map[string]Entry) {
+// drawDetector draws a detector and a model of its state: the entry of each node.
+func drawDetector(t *rapid.T) (*Detector, map[string]Entry) {
 	self := Member{Node: fmt.Sprint("node-", rapid.IntRange(0, 19).Draw(t, "self")), Zone: "zone-0", Incarnation: 1}
 	detector := NewDetector(self, start)
 	model := make(map[string]Entry)
@@ -35,7 +35,7 @@
 			By:     self.Node,
 		}
 		detector.Merge(entry, start)
-		if held, known := model[node]; !known || entry.newer(held) {
+		if current, known := model[node]; !known || entry.overrides(current) {
 			model[node] = entry
 		}
 	}
@@ -43,10 +43,10 @@
 	return detector, model
 }
 
-// TestViewAgreesWithModel compares the view's lists with plain ones.
+// TestViewAgreesWithModel compares the lists of the view with lists computed from the model.
 func TestViewAgreesWithModel(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		detector, model := drawWorld(t)
+		detector, model := drawDetector(t)
 		view := detector.View()
 		live := []Member{detector.self}
 		failed := 0
@@ -56,9 +56,9 @@
 				continue
 			}
 			failed++
-			gone, known := view.GetFailed(node)
+			failedMember, known := view.GetFailed(node)
 			assert.Assert(t, known)
-			assert.Equal(t, gone.Status, entry.Status)
+			assert.Equal(t, failedMember.Status, entry.Status)
 		}
 		slices.SortFunc(live, func(a, b Member) int { return strings.Compare(a.Node, b.Node) })
 		assert.Assert(t, slices.Equal(view.Live(), live))
@@ -72,10 +72,10 @@
 	})
 }
 
-// checkRing compares the ring, its zones and neighbours with plain ones.
+// checkRing compares the ring, its zones, successors and predecessors with lists computed from the live members.
 func checkRing(t *rapid.T, view *View, live []Member) {
 	ring := slices.Clone(live)
-	slices.SortFunc(ring, func(a, b Member) int { return ringOrder(placeOf(a.Node), placeOf(b.Node)) })
+	slices.SortFunc(ring, func(a, b Member) int { return compareRingKeys(ringKeyOf(a.Node), ringKeyOf(b.Node)) })
 	assert.Assert(t, slices.Equal(view.Ring(), ring))
 	inZones := 0
 	for _, zone := range view.Zones() {
@@ -95,16 +95,16 @@
 	}
 }
 
-// TestMonitorsKnowWhomTheyMonitor checks that a member's heartbeats go to just those who wait for them.
-func TestMonitorsKnowWhomTheyMonitor(t *testing.T) {
+// TestHeartbeatsGoToMonitors checks that a member sends heartbeats to exactly those members that monitor it.
+func TestHeartbeatsGoToMonitors(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		detector, _ := drawWorld(t)
+		detector, _ := drawDetector(t)
 		view := detector.View()
 		for _, member := range view.Live() {
 			sends := slices.ContainsFunc(view.Successors(member.Node, Monitors), func(m Member) bool {
 				return m.Node == detector.self.Node
 			})
-			waits := slices.ContainsFunc(detector.watched, func(s *state) bool { return s.place.node == member.Node })
+			waits := slices.ContainsFunc(detector.monitored, func(s *memberState) bool { return s.ringKey.node == member.Node })
 			assert.Equal(t, sends, waits, member.Node)
 		}
 	})
