--- a/internal/router/casregister/acceptor.go
+++ b/internal/router/casregister/acceptor.go
@@ -45,7 +45,8 @@
 	machine.dirty = false
 }
 
-// Discard reports to the machine that the pending record could not be written. Replies that depend on it must not be sent.
+// Discard reports to the machine that the pending record could not be written. Replies that depend on it must not be
+// sent.
 func (machine *AcceptorMachine) Discard() {
 	machine.pending = machine.durable
 	machine.dirty = false
@@ -75,8 +76,8 @@
 	return Output{NeedsSync: machine.dirty, Reply: reply}
 }
 
-// prepare promises the ballot if it is higher than every promised one, or repeats the promise if it is the promised ballot
-// and nothing was accepted under it yet.
+// prepare promises the ballot if it is higher than every promised one, or repeats the promise if it is the promised
+// ballot and nothing was accepted under it yet.
 func (machine *AcceptorMachine) prepare(request Request) Reply {
 	record := &machine.pending
 	isRepeated := request.Ballot == record.Promised && record.Accepted.Ballot.Less(request.Ballot)
--- a/internal/router/casregister/ballot.go
+++ b/internal/router/casregister/ballot.go
@@ -31,8 +31,8 @@
 	return Ballot{Counter: ballot.Counter + 1, Proposer: proposer}
 }
 
-// recoveryBallotGap is the distance of a recovery's ballot from the highest known one. It is so large that no proposal that
-// began without knowledge of the recovery reaches its ballots.
+// recoveryBallotGap is the distance of a recovery's ballot from the highest known one. It is so large that no proposal
+// that began without knowledge of the recovery reaches its ballots.
 const recoveryBallotGap = 1 << 32
 
 // NextRecovery returns a ballot of proposer for a recovery, recoveryBallotGap above this one.
--- a/internal/router/casregister/client_test.go
+++ b/internal/router/casregister/client_test.go
@@ -16,8 +16,8 @@
 	changeSet
 )
 
-// operation is one operation as its client observed it. isDefinite says that the client learned its outcome; otherwise the
-// operation counts as one that never returned.
+// operation is one operation as its client observed it. isDefinite says that the client learned its outcome; otherwise
+// the operation counts as one that never returned.
 type operation struct {
 	kind       operationKind
 	client     int
--- a/internal/router/casregister/collector.go
+++ b/internal/router/casregister/collector.go
@@ -71,8 +71,8 @@
 	return true
 }
 
-// isComplete reports whether a quorum of the newest value's own set has replied. If no value was found, the register counts
-// as empty only if the starting set is the initial one.
+// isComplete reports whether a quorum of the newest value's own set has replied. If no value was found, the register
+// counts as empty only if the starting set is the initial one.
 func (collector *quorumCollector) isComplete() bool {
 	if collector.newest == nil && collector.start.Epoch != 0 {
 		return false
@@ -91,9 +91,9 @@
 	return *collector.newest
 }
 
-// isChosen reports whether the base is known to be chosen: it is the initial value, or was known to be chosen before, or a
-// quorum of its own set has accepted it. The quorum of a recovery is not enough here: an acceptance by all remaining members
-// leaves no promise, so a proposal from before the recovery may still be accepted after it.
+// isChosen reports whether the base is known to be chosen: it is the initial value, or was known to be chosen before,
+// or a quorum of its own set has accepted it. The quorum of a recovery is not enough here: an acceptance by all
+// remaining members leaves no promise, so a proposal from before the recovery may still be accepted after it.
 func (collector *quorumCollector) isChosen() bool {
 	base := collector.base()
 	if base.Ballot.IsZero() {
--- a/internal/router/casregister/ended.go
+++ b/internal/router/casregister/ended.go
@@ -4,8 +4,8 @@
 // never reply again.
 type Ended map[AcceptorID]bool
 
-// HasQuorumWithout is HasQuorum for a recovery. If the members of a list that have not ended are no majority of it, the quorum
-// of that list is all of these remaining members, of which there must be at least one.
+// HasQuorumWithout is HasQuorum for a recovery. If the members of a list that have not ended are no majority of it, the
+// quorum of that list is all of these remaining members, of which there must be at least one.
 func (set Set) HasQuorumWithout(ended Ended, contains func(AcceptorID) bool) bool {
 	if set.IsZero() || !hasQuorumWithout(set.Voters, ended, contains) {
 		return false
@@ -13,8 +13,8 @@
 	return !set.IsJoint() || hasQuorumWithout(set.Previous, ended, contains)
 }
 
-// NeedsRecovery reports whether some list of the set can no longer reach a majority while each list still has a member that
-// has not ended.
+// NeedsRecovery reports whether some list of the set can no longer reach a majority while each list still has a member
+// that has not ended.
 func (set Set) NeedsRecovery(ended Ended) bool {
 	isLeft := func(id AcceptorID) bool { return !ended[id] }
 	return !set.HasQuorum(isLeft) && set.HasQuorumWithout(ended, isLeft)
--- a/internal/router/casregister/ended_test.go
+++ b/internal/router/casregister/ended_test.go
@@ -63,8 +63,8 @@
 	assert.DeepEqual(t, string(result.State.Value.Payload), "12")
 }
 
-// TestReadDoesNotUseRecoveryQuorum guards against a read that takes all remaining acceptors for a quorum: a read leaves no
-// promise, so the state that it finds is not known to be chosen before a recovery.
+// TestReadDoesNotUseRecoveryQuorum guards against a read that takes all remaining acceptors for a quorum: a read leaves
+// no promise, so the state that it finds is not known to be chosen before a recovery.
 func TestReadDoesNotUseRecoveryQuorum(t *testing.T) {
 	acceptors := newCluster("c")
 	acceptors.force(t, "c", ballotOf(1), Value{Set: plainSet("abc"), Payload: []byte{1}})
--- a/internal/router/casregister/explore_test.go
+++ b/internal/router/casregister/explore_test.go
@@ -56,8 +56,8 @@
 	return result, nil
 }
 
-// TestModelCheck explores the message orderings of small models that run the real state machines, with at most one crash: all
-// orderings where the state space is small enough, else a part of them.
+// TestModelCheck explores the message orderings of small models that run the real state machines, with at most one
+// crash: all orderings where the state space is small enough, else a part of them.
 func TestModelCheck(t *testing.T) {
 	worlds := map[string]*modelState{
 		"two appends":             newModelState("abc", "abc", 3, 1, appendPlan("p", 1, 1), appendPlan("q", 2, 1)),
--- a/internal/router/casregister/history_test.go
+++ b/internal/router/casregister/history_test.go
@@ -23,8 +23,8 @@
 	definite, indefinite, refused, joint, plain, wipes atomic.Int64
 }
 
-// TestRandomHistories simulates random histories and checks each in two ways: the values that quorums have accepted form one
-// chain, and the operations that the clients observed are linearizable.
+// TestRandomHistories simulates random histories and checks each in two ways: the values that quorums have accepted
+// form one chain, and the operations that the clients observed are linearizable.
 func TestRandomHistories(t *testing.T) {
 	var totals historyTotals
 	var seeds atomic.Uint64
@@ -124,8 +124,8 @@
 	return nil
 }
 
-// checkChain returns an error unless each state's payload extends that of the one before, and its set is the same or has a
-// higher epoch.
+// checkChain returns an error unless each state's payload extends that of the one before, and its set is the same or
+// has a higher epoch.
 func checkChain(chosen []State) error {
 	for index := 1; index < len(chosen); index++ {
 		before, after := chosen[index-1].Value, chosen[index].Value
@@ -158,9 +158,10 @@
 	Equal: func(left, right any) bool { return left == right },
 }
 
-// porcupineOperations returns the operations with an effect or a definite outcome. An indefinite one may take effect at any
-// time after its call; it returns at the end of time, so that taking effect last amounts to no effect. An append may take
-// effect some time before its client reads the result, so a definite append is modelled as an append and a read.
+// porcupineOperations returns the operations with an effect or a definite outcome. An indefinite one may take effect at
+// any time after its call; it returns at the end of time, so that taking effect last amounts to no effect. An append
+// may take effect some time before its client reads the result, so a definite append is modelled as an append and a
+// read.
 func (sim *simulation) porcupineOperations() []porcupine.Operation {
 	var operations []porcupine.Operation
 	pending := slices.Clone(sim.history)
--- a/internal/router/casregister/message.go
+++ b/internal/router/casregister/message.go
@@ -67,8 +67,8 @@
 	Accepted Ballot `msgpack:"a"`
 	// Value is the value of that state, nil if the sender already has it.
 	Value *Value `msgpack:"v,omitempty"`
-	// IsVolatile says that the replying acceptor has no disk. With OtherIdentity, it implies that no earlier acceptor at the
-	// same address has kept its record.
+	// IsVolatile says that the replying acceptor has no disk. With OtherIdentity, it implies that no earlier acceptor
+	// at the same address has kept its record.
 	IsVolatile bool `msgpack:"l,omitempty"`
 }
 
--- a/internal/router/casregister/model_test.go
+++ b/internal/router/casregister/model_test.go
@@ -8,8 +8,8 @@
 	"strconv"
 )
 
-// plan lists the proposals that an actor makes one after another. A preempted proposal is retried under the next ballot until
-// no ballot is left.
+// plan lists the proposals that an actor makes one after another. A preempted proposal is retried under the next ballot
+// until no ballot is left.
 type plan struct {
 	name    string
 	ballots []uint64
@@ -62,8 +62,8 @@
 
 // modelState is one state of a model: the acceptors, the proposers and the requests in flight.
 type modelState struct {
-	// interchangeable is how many acceptors, from the first on, have the same role, so that swapping them gives an equivalent
-	// state.
+	// interchangeable is how many acceptors, from the first on, have the same role, so that swapping them gives an
+	// equivalent state.
 	interchangeable int
 	// first is the initial set.
 	first       Set
@@ -102,8 +102,14 @@
 	key     string
 }
 
-func newModelState(names, voters string, alike, crashes int, plans ...plan) *modelState {
-	model := &modelState{first: plainSet(voters), interchangeable: alike, crashesLeft: crashes, ended: Ended{}, acceptedValues: make(map[Ballot]*acceptedValue)}
+func newModelState(names, voters string, interchangeable, crashes int, plans ...plan) *modelState {
+	model := &modelState{
+		first:           plainSet(voters),
+		interchangeable: interchangeable,
+		crashesLeft:     crashes,
+		ended:           Ended{},
+		acceptedValues:  make(map[Ballot]*acceptedValue),
+	}
 	for _, acceptor := range acceptorsNamed(names) {
 		model.acceptors = append(model.acceptors, NewAcceptorMachine(Record{ID: acceptor.ID}))
 	}
@@ -151,13 +157,13 @@
 	}
 }
 
-// successors returns the states one step later. A step delivers an in-flight request, and its reply reaches the proposer
-// immediately or never; or an acceptor ends, or a recovery starts.
+// successors returns the states one step later. A step delivers an in-flight request, and its reply reaches the
+// proposer immediately or never; or an acceptor ends, or a recovery starts.
 //
 // This also covers delayed replies: a proposer's only reaction to a reply is to send requests, which may be delayed
-// themselves, and a reply that arrives after the proposer has continued without it has no effect. A crash that loses unsynced
-// changes is equivalent to a lost request, and a crash after the sync to a lost reply, as long as the reply waits for the
-// sync. If it does not, the acceptor may crash between reply and sync, at most crashesLeft times.
+// themselves, and a reply that arrives after the proposer has continued without it has no effect. A crash that loses
+// unsynced changes is equivalent to a lost request, and a crash after the sync to a lost reply, as long as the reply
+// waits for the sync. If it does not, the acceptor may crash between reply and sync, at most crashesLeft times.
 func (model *modelState) successors() []*modelState {
 	var successors []*modelState
 	for _, machine := range model.acceptors {
@@ -215,8 +221,8 @@
 	return next
 }
 
-// deliverEndNotice returns the states after the sender of a request learns that the acceptor has ended: it continues to wait,
-// or starts a recovery if it needs one.
+// deliverEndNotice returns the states after the sender of a request learns that the acceptor has ended: it continues to
+// wait, or starts a recovery if it needs one.
 func (model *modelState) deliverEndNotice(index int) []*modelState {
 	waiting := model.withEndNotice(index)
 	successors := []*modelState{waiting}
@@ -238,8 +244,8 @@
 	return next
 }
 
-// deliverRequest delivers a request to its acceptor, which syncs the change or loses it in a crash; its reply is delivered or
-// lost. It returns nil if the acceptor can't have replied before the crash.
+// deliverRequest delivers a request to its acceptor, which syncs the change or loses it in a crash; its reply is
+// delivered or lost. It returns nil if the acceptor can't have replied before the crash.
 func (model *modelState) deliverRequest(index int, syncs, replies bool) *modelState {
 	next := model.clone(index)
 	packet := model.requests[index]
@@ -305,7 +311,8 @@
 	model.acceptedValues[state.Ballot] = merged
 }
 
-// clone copies the state except for the request with the given index; with the number of requests as index, it copies all.
+// clone copies the state except for the request with the given index; with the number of requests as index, it copies
+// all.
 func (model *modelState) clone(without int) *modelState {
 	copied := &modelState{
 		first:           model.first,
@@ -344,8 +351,8 @@
 	return &clone
 }
 
-// fingerprint returns a hash that is equal for equivalent states. All data about one acceptor form one key, and the keys of
-// interchangeable acceptors are sorted, so that states which differ only by swapping these acceptors are equal.
+// fingerprint returns a hash that is equal for equivalent states. All data about one acceptor form one key, and the
+// keys of interchangeable acceptors are sorted, so that states which differ only by swapping these acceptors are equal.
 func (model *modelState) fingerprint(seed maphash.Seed) uint64 {
 	var hash maphash.Hash
 	hash.SetSeed(seed)
@@ -364,8 +371,8 @@
 	return hash.Sum64()
 }
 
-// appendAcceptor appends all data about an acceptor: its record, every state that it ever accepted, the in-flight requests to
-// it, and what the proposers have received from it.
+// appendAcceptor appends all data about an acceptor: its record, every state that it ever accepted, the in-flight
+// requests to it, and what the proposers have received from it.
 func (model *modelState) appendAcceptor(text []byte, machine *AcceptorMachine) []byte {
 	record := machine.Durable()
 	text = appendState(appendBallot(text, record.Promised), record.Accepted)
--- a/internal/router/casregister/proposer.go
+++ b/internal/router/casregister/proposer.go
@@ -49,11 +49,11 @@
 	// Known is the newest state known to be chosen, or nil.
 	Known  *State
 	Change Change
-	// Ended makes the proposal a recovery if it is not empty. Ballot must then come from NextRecovery, and Ended must contain
-	// only acceptors that were proven to have ended before that ballot was generated.
+	// Ended makes the proposal a recovery if it is not empty. Ballot must then come from NextRecovery, and Ended must
+	// contain only acceptors that were proven to have ended before that ballot was generated.
 	Ended Ended
-	// Rewrites makes the proposer run the accept round for an unchanged base even if it is known to be chosen, so that all
-	// voters accept it.
+	// Rewrites makes the proposer run the accept round for an unchanged base even if it is known to be chosen, so that
+	// all voters accept it.
 	Rewrites bool
 }
 
@@ -155,7 +155,8 @@
 	}
 }
 
-// applyChange applies the change function to the base and starts the accept round, unless the base is chosen and unchanged.
+// applyChange applies the change function to the base and starts the accept round, unless the base is chosen and
+// unchanged.
 func (proposer *Proposer) applyChange() {
 	base := proposer.collector.base()
 	isChosen := proposer.collector.isChosen()
@@ -281,8 +282,8 @@
 	return proposer.collector.base().Value.Set.HasQuorumWithout(proposer.proposal.Ended, mayAnswer)
 }
 
-// hasQuorum reports whether the acceptors for which contains returns true are a quorum for the accept round: of the base's
-// set and of the proposed value's set.
+// hasQuorum reports whether the acceptors for which contains returns true are a quorum for the accept round: of the
+// base's set and of the proposed value's set.
 func (proposer *Proposer) hasQuorum(contains func(AcceptorID) bool) bool {
 	ended := proposer.proposal.Ended
 	return proposer.baseSet.HasQuorumWithout(ended, contains) && proposer.proposed.Value.Set.HasQuorumWithout(ended, contains)
--- a/internal/router/casregister/proposer_test.go
+++ b/internal/router/casregister/proposer_test.go
@@ -194,8 +194,8 @@
 	assert.Assert(t, isChosen)
 }
 
-// TestSpread checks the reported spread of a chosen value beyond its quorum, and that a rewrite reaches the acceptor that had
-// promised a higher ballot.
+// TestSpread checks the reported spread of a chosen value beyond its quorum, and that a rewrite reaches the acceptor
+// that had promised a higher ballot.
 func TestSpread(t *testing.T) {
 	acceptors := newCluster("abc")
 	set := plainSet("abc")
--- a/internal/router/casregister/set_test.go
+++ b/internal/router/casregister/set_test.go
@@ -71,8 +71,8 @@
 	return set.Enter(voters)
 }
 
-// TestQuorumsOfAdjacentSetsIntersect checks the lemma of the safety argument: any two sets at most one step away from the same
-// set have intersecting quorums.
+// TestQuorumsOfAdjacentSetsIntersect checks the lemma of the safety argument: any two sets at most one step away from
+// the same set have intersecting quorums.
 func TestQuorumsOfAdjacentSetsIntersect(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		voters := rapid.SampledFrom([]string{"a", "ab", "abc", "abcd", "abcde"}).Draw(t, "first")
--- a/internal/router/casregister/simulation_test.go
+++ b/internal/router/casregister/simulation_test.go
@@ -18,7 +18,8 @@
 	maxWipes             = 2
 )
 
-// simulation runs a random history: acceptors with disks, a network that loses, duplicates and delays messages, and clients.
+// simulation runs a random history: acceptors with disks, a network that loses, duplicates and delays messages, and
+// clients.
 type simulation struct {
 	random     *rand.Rand
 	hosts      []*host
@@ -223,8 +224,8 @@
 	sim.acceptedValues[state.Ballot].by[id] = true
 }
 
-// readWithoutFaults stops the faults: a new client that knows only the initial set reads until it has a result, or until a
-// limit of 4 * simulatedSteps steps is reached.
+// readWithoutFaults stops the faults: a new client that knows only the initial set reads until it has a result, or
+// until a limit of 4 * simulatedSteps steps is reached.
 func (sim *simulation) readWithoutFaults() {
 	reader := &client{simulation: sim, index: len(sim.clients), start: sim.first, isFinal: true}
 	sim.clients = append(sim.clients, reader)
@@ -241,8 +242,8 @@
 	}
 }
 
-// randomVoters returns the voters of the next set: a voter whose disk was wiped is replaced first; otherwise one member is
-// added, replaced or removed at random.
+// randomVoters returns the voters of the next set: a voter whose disk was wiped is replaced first; otherwise one member
+// is added, replaced or removed at random.
 func (sim *simulation) randomVoters(voters []Acceptor) []Acceptor {
 	next := slices.Clone(voters)
 	for index, voter := range voters {
--- a/internal/router/disk/disk.go
+++ b/internal/router/disk/disk.go
@@ -96,7 +96,8 @@
 	return nil
 }
 
-// syncExisting syncs a version found by Open, and the directory: the process that wrote it may have ended before its sync.
+// syncExisting syncs a version found by Open, and the directory: the process that wrote it may have ended before its
+// sync.
 func (disk *Disk) syncExisting(name string) error {
 	file, err := disk.files.Open(name)
 	if err != nil {
@@ -108,8 +109,8 @@
 	return disk.files.SyncDirectory()
 }
 
-// readNewest returns the content of the newest valid version, nil if there is none. A version that cannot be read is an error
-// unless a newer one is valid.
+// readNewest returns the content of the newest valid version, nil if there is none. A version that cannot be read is an
+// error unless a newer one is valid.
 func (disk *Disk) readNewest(names []string) ([]byte, error) {
 	for _, version := range listVersions(names) {
 		file, err := disk.files.Read(versionName(version))
@@ -126,8 +127,8 @@
 	return nil, nil
 }
 
-// removeObsolete removes temporary files and all versions except the newest two. A file that cannot be removed now is removed
-// after a later save.
+// removeObsolete removes temporary files and all versions except the newest two. A file that cannot be removed now is
+// removed after a later save.
 func (disk *Disk) removeObsolete() {
 	names, err := disk.files.List()
 	if err != nil {
--- a/internal/router/disk/disk_test.go
+++ b/internal/router/disk/disk_test.go
@@ -72,8 +72,8 @@
 	return run
 }
 
-// cutPowerAt makes the disk lose power before its operation with the given index, counted from now. The result is set to true
-// once that has happened.
+// cutPowerAt makes the disk lose power before its operation with the given index, counted from now. The result is set
+// to true once that has happened.
 func cutPowerAt(simulated *simdisk.Disk, operation int) *bool {
 	count := 0
 	powerWasCut := new(bool)
@@ -88,8 +88,8 @@
 	return powerWasCut
 }
 
-// killProcessAt makes the disk fail all operations from the one with the given index on, as seen by a process that is killed
-// there. The result is set to true once that has happened.
+// killProcessAt makes the disk fail all operations from the one with the given index on, as seen by a process that is
+// killed there. The result is set to true once that has happened.
 func killProcessAt(simulated *simdisk.Disk, operation int) *bool {
 	count := 0
 	wasKilled := new(bool)
@@ -104,8 +104,9 @@
 	return wasKilled
 }
 
-// TestPowerLossAtEachOperation cuts the power before each operation of a process and then once more, at random, during the
-// next process. The first operation of that next process stands for the point after the last operation of the first one.
+// TestPowerLossAtEachOperation cuts the power before each operation of a process and then once more, at random, during
+// the next process. The first operation of that next process stands for the point after the last operation of the first
+// one.
 func TestPowerLossAtEachOperation(t *testing.T) {
 	cuts := 0
 	for first := 0; ; first++ {
@@ -149,8 +150,8 @@
 	assert.Assert(t, cuts > 7*savesPerRun, "only %d points were cut", cuts)
 }
 
-// TestKillThenPowerLoss kills the process at each operation. The version that the next process reads must survive a loss of
-// power, although that process saves nothing: Open syncs the version that it finds.
+// TestKillThenPowerLoss kills the process at each operation. The version that the next process reads must survive a
+// loss of power, although that process saves nothing: Open syncs the version that it finds.
 func TestKillThenPowerLoss(t *testing.T) {
 	for operation := 0; ; operation++ {
 		wasKilled := false
@@ -174,8 +175,8 @@
 	}
 }
 
-// TestFailureOfEachStep makes each step of a save fail repeatedly: the saved version remains current, files don't accumulate,
-// and the next save succeeds.
+// TestFailureOfEachStep makes each step of a save fail repeatedly: the saved version remains current, files don't
+// accumulate, and the next save succeeds.
 func TestFailureOfEachStep(t *testing.T) {
 	steps := map[simdisk.Operation]disk.Step{
 		simdisk.Create:        disk.StepCreateTemporary,
--- a/internal/router/disk/encoding.go
+++ b/internal/router/disk/encoding.go
@@ -9,8 +9,8 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// A file consists of a header and the content. The header has four big-endian 8-byte fields: the magic number, the version,
-// the length of the content, and the checksum of these three and the content.
+// A file consists of a header and the content. The header has four big-endian 8-byte fields: the magic number, the
+// version, the length of the content, and the checksum of these three and the content.
 const (
 	fileMagic      uint64 = 0x70776472_73746131
 	magicOffset           = 0
--- a/internal/router/disk/simdisk/simdisk.go
+++ b/internal/router/disk/simdisk/simdisk.go
@@ -1,6 +1,7 @@
-// Package simdisk is a simulated disk for tests, with the durability guarantees of a real one. After a loss of power, a file has
-// the content of its last sync; later writes are present, missing or torn. A new file is durable once it was synced itself.
-// Renames and removals are durable once the directory was synced, and until then each is retained or lost independently.
+// Package simdisk is a simulated disk for tests, with the durability guarantees of a real one. After a loss of power, a
+// file has the content of its last sync; later writes are present, missing or torn. A new file is durable once it was
+// synced itself. Renames and removals are durable once the directory was synced, and until then each is retained or
+// lost independently.
 package simdisk
 
 import (
@@ -75,8 +76,8 @@
 	return &Disk{names: make(map[string]*inode), durable: make(map[string]*inode)}
 }
 
-// Before sets a hook that is called before each operation; nil removes it. If the hook returns an error, the operation returns
-// it and has no effect. The hook may block, to simulate a hanging disk, or cut the power.
+// Before sets a hook that is called before each operation; nil removes it. If the hook returns an error, the operation
+// returns it and has no effect. The hook may block, to simulate a hanging disk, or cut the power.
 func (simulated *Disk) Before(hook func(operation Operation, name string) error) {
 	simulated.mutex.Lock()
 	defer simulated.mutex.Unlock()
@@ -121,8 +122,8 @@
 	simulated.powerCycle++
 }
 
-// drawRetention returns a function that decides whether an unsynced change survives: none does, all do, or each is decided at
-// random.
+// drawRetention returns a function that decides whether an unsynced change survives: none does, all do, or each is
+// decided at random.
 func drawRetention(random *rand.Rand) func() bool {
 	switch random.IntN(4) {
 	case 0:
--- a/internal/router/relaytree/relaytree.go
+++ b/internal/router/relaytree/relaytree.go
@@ -1,10 +1,10 @@
-// Package relaytree computes the trees along which messages are relayed. A message goes from its origin to one member of each
-// zone, the zone's head, and from there down a tree of bounded degree within the zone, so that it enters each zone about once.
-// The tree depends only on the origin and the view, so each relay computes its own children.
+// Package relaytree computes the trees along which messages are relayed. A message goes from its origin to one member
+// of each zone, the zone's head, and from there down a tree of bounded degree within the zone, so that it enters each
+// zone about once. The tree depends only on the origin and the view, so each relay computes its own children.
 //
-// Each origin is assigned to one of a few trees. This distributes the load of heads and relays, while each router sends to few
-// others. The order of a tree within a zone is the order of the ring, starting at the tree's root position, so that relays with
-// different views never form a cycle.
+// Each origin is assigned to one of a few trees. This distributes the load of heads and relays, while each router sends
+// to few others. The order of a tree within a zone is the order of the ring, starting at the tree's root position, so
+// that relays with different views never form a cycle.
 package relaytree
 
 import (
@@ -26,8 +26,9 @@
 // rootOf returns the root name of the origin's tree.
 func rootOf(origin string) string { return rootNames[membership.RingPosition(origin)%TreeCount] }
 
-// Children returns the members to which node relays a message of the origin. The origin also sends to the heads of all zones,
-// including its own zone: the tree of that zone may lead back to the origin, which does not relay the message again.
+// Children returns the members to which node relays a message of the origin. The origin also sends to the heads of all
+// zones, including its own zone: the tree of that zone may lead back to the origin, which does not relay the message
+// again.
 func Children(view *membership.View, origin, node string) []membership.Member {
 	member, ok := view.Get(node)
 	if !ok {
--- a/internal/router/relaytree/relaytree_test.go
+++ b/internal/router/relaytree/relaytree_test.go
@@ -34,8 +34,8 @@
 	return members
 }
 
-// TestEveryMemberIsReachedOnce follows the tree: each member except the origin is reached once, each zone is entered once, and
-// the number of children within a zone is bounded.
+// TestEveryMemberIsReachedOnce follows the tree: each member except the origin is reached once, each zone is entered
+// once, and the number of children within a zone is bounded.
 func TestEveryMemberIsReachedOnce(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		members := drawMembers(t)
@@ -88,8 +88,8 @@
 	}
 }
 
-// TestDifferentViewsFormNoCycle relays a message between members with different views: it never returns to a member that has
-// relayed it. The origin, which its own tree may reach, doesn't relay it again.
+// TestDifferentViewsFormNoCycle relays a message between members with different views: it never returns to a member
+// that has relayed it. The origin, which its own tree may reach, doesn't relay it again.
 func TestDifferentViewsFormNoCycle(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		members := drawMembers(t)
