--- a/internal/router/casregister/client_test.go
+++ b/internal/router/casregister/client_test.go
@@ -186,9 +186,9 @@
 }
 
 // finishOperation adds the operation to the history. state is the chosen state that it saw, nil if it was abandoned.
-func (client *client) finishOperation(isClear bool, state *State) {
+func (client *client) finishOperation(isDefinite bool, state *State) {
 	ended := *client.current
-	ended.isDefinite = isClear
+	ended.isDefinite = isDefinite
 	ended.returnedAt = client.simulation.clock
 	if state != nil {
 		client.recordChosen(*state)
--- a/internal/router/casregister/collector.go
+++ b/internal/router/casregister/collector.go
@@ -78,8 +78,8 @@
 		return false
 	}
 	return collector.base().Value.Set.HasQuorumWithout(collector.ended, func(id AcceptorID) bool {
-		_, answered := collector.acceptedBallots[id]
-		return answered
+		_, replied := collector.acceptedBallots[id]
+		return replied
 	})
 }
 
--- a/internal/router/casregister/ended.go
+++ b/internal/router/casregister/ended.go
@@ -16,22 +16,22 @@
 // NeedsRecovery reports whether some list of the set can no longer reach a majority while each list still has a member
 // that has not ended.
 func (set Set) NeedsRecovery(ended Ended) bool {
-	isLeft := func(id AcceptorID) bool { return !ended[id] }
-	return !set.HasQuorum(isLeft) && set.HasQuorumWithout(ended, isLeft)
+	isRemaining := func(id AcceptorID) bool { return !ended[id] }
+	return !set.HasQuorum(isRemaining) && set.HasQuorumWithout(ended, isRemaining)
 }
 
 func hasQuorumWithout(acceptors []Acceptor, ended Ended, contains func(AcceptorID) bool) bool {
-	left := 0
+	remaining := 0
 	isMissing := false
 	for _, acceptor := range acceptors {
 		if ended[acceptor.ID] {
 			continue
 		}
-		left++
+		remaining++
 		isMissing = isMissing || !contains(acceptor.ID)
 	}
-	if left > len(acceptors)/2 {
+	if remaining > len(acceptors)/2 {
 		return hasMajority(acceptors, contains)
 	}
-	return left > 0 && !isMissing
+	return remaining > 0 && !isMissing
 }
--- a/internal/router/casregister/history_test.go
+++ b/internal/router/casregister/history_test.go
@@ -96,13 +96,13 @@
 
 // chosenStates returns, in the order of their ballots, the states that a quorum has durably accepted, and those that were
 // reported as chosen after a recovery quorum had durably accepted them.
-func (facts *acceptanceRecord) chosenStates() []State {
+func (record *acceptanceRecord) chosenStates() []State {
 	var chosen []State
-	for ballot, accepted := range facts.acceptedValues {
+	for ballot, accepted := range record.acceptedValues {
 		state := State{Ballot: ballot, Value: accepted.value}
 		hasAccepted := func(id AcceptorID) bool { return accepted.by[id] }
-		isClaimed := slices.ContainsFunc(facts.reportedChosen, func(claim State) bool { return claim.Ballot == ballot })
-		if accepted.value.Set.HasQuorum(hasAccepted) || isClaimed && accepted.value.Set.HasQuorumWithout(facts.ended, hasAccepted) {
+		isReported := slices.ContainsFunc(record.reportedChosen, func(reported State) bool { return reported.Ballot == ballot })
+		if accepted.value.Set.HasQuorum(hasAccepted) || isReported && accepted.value.Set.HasQuorumWithout(record.ended, hasAccepted) {
 			chosen = append(chosen, state)
 		}
 	}
@@ -111,14 +111,14 @@
 }
 
 // checkReportedChosen returns an error if a state that was reported as chosen is not chosen.
-func (facts *acceptanceRecord) checkReportedChosen() error {
-	chosen := facts.chosenStates()
-	for _, claim := range facts.reportedChosen {
+func (record *acceptanceRecord) checkReportedChosen() error {
+	chosen := record.chosenStates()
+	for _, reported := range record.reportedChosen {
 		isChosen := slices.ContainsFunc(chosen, func(state State) bool {
-			return state.Ballot == claim.Ballot && state.Value.Equal(claim.Value)
+			return state.Ballot == reported.Ballot && state.Value.Equal(reported.Value)
 		})
-		if !isChosen && !claim.Ballot.IsZero() {
-			return errors.Errorf("reported as chosen, but is not: %v %v", claim.Ballot, claim.Value)
+		if !isChosen && !reported.Ballot.IsZero() {
+			return errors.Errorf("reported as chosen, but is not: %v %v", reported.Ballot, reported.Value)
 		}
 	}
 	return nil
--- a/internal/router/casregister/model_test.go
+++ b/internal/router/casregister/model_test.go
@@ -226,21 +226,21 @@
 func (model *modelState) deliverEndNotice(index int) []*modelState {
 	waiting := model.withEndNotice(index)
 	successors := []*modelState{waiting}
-	number := model.requests[index].actor
-	actor := waiting.actors[number]
+	actorIndex := model.requests[index].actor
+	actor := waiting.actors[actorIndex]
 	if actor.proposer == nil || !actor.proposer.proposal.Start.NeedsRecovery(actor.ended) {
 		return successors
 	}
 	recovering := model.withEndNotice(index)
-	recovering.propose(number, actor.proposer.proposal.Start)
+	recovering.propose(actorIndex, actor.proposer.proposal.Start)
 	return append(successors, recovering)
 }
 
 func (model *modelState) withEndNotice(index int) *modelState {
 	next := model.clone(index)
-	packet := model.requests[index]
-	next.actors[packet.actor].ended[packet.request.To] = true
-	next.deliverReply(packet.actor, Reply{Verdict: OtherIdentity, From: packet.request.To, IsVolatile: true})
+	inFlight := model.requests[index]
+	next.actors[inFlight.actor].ended[inFlight.request.To] = true
+	next.deliverReply(inFlight.actor, Reply{Verdict: OtherIdentity, From: inFlight.request.To, IsVolatile: true})
 	return next
 }
 
@@ -248,9 +248,9 @@
 // delivered or lost. It returns nil if the acceptor can't have replied before the crash.
 func (model *modelState) deliverRequest(index int, syncs, replies bool) *modelState {
 	next := model.clone(index)
-	packet := model.requests[index]
-	machine := next.acceptorOf(packet.request.To)
-	output, err := machine.Step(packet.request)
+	inFlight := model.requests[index]
+	machine := next.acceptorOf(inFlight.request.To)
+	output, err := machine.Step(inFlight.request)
 	if err != nil {
 		panic(err)
 	}
@@ -260,14 +260,14 @@
 	if syncs {
 		machine.Synced()
 		if output.Reply.Verdict == Accepted {
-			next.recordAccepted(packet.request.To, State{Ballot: packet.request.Ballot, Value: *packet.request.Value})
+			next.recordAccepted(inFlight.request.To, State{Ballot: inFlight.request.Ballot, Value: *inFlight.request.Value})
 		}
 	} else {
 		machine.Discard()
 		next.crashesLeft--
 	}
 	if replies {
-		next.deliverReply(packet.actor, output.Reply)
+		next.deliverReply(inFlight.actor, output.Reply)
 	}
 	return next
 }
@@ -388,9 +388,9 @@
 		text = appendState(text, State{Ballot: ballot, Value: model.acceptedValues[ballot].value})
 	}
 	var inFlight []string
-	for _, packet := range model.requests {
-		if packet.request.To == record.ID {
-			inFlight = append(inFlight, packet.key)
+	for _, sent := range model.requests {
+		if sent.request.To == record.ID {
+			inFlight = append(inFlight, sent.key)
 		}
 	}
 	slices.Sort(inFlight)
@@ -414,7 +414,7 @@
 	text = strconv.AppendBool(text, proposer.proposal.Ended[id])
 	text = strconv.AppendBool(text, proposer.accepted[id])
 	text = strconv.AppendBool(text, proposer.collector.queried[id])
-	if held, answered := proposer.collector.acceptedBallots[id]; answered && proposer.proposed == nil {
+	if held, replied := proposer.collector.acceptedBallots[id]; replied && proposer.proposed == nil {
 		text = appendBallot(text, held)
 	}
 	return text
--- a/internal/router/casregister/proposer.go
+++ b/internal/router/casregister/proposer.go
@@ -15,7 +15,7 @@
 	Refused
 	// BaseChosen: the base is now known to be chosen, and the set change may be proposed on it.
 	BaseChosen
-	// Preempted: too many acceptors have promised a higher ballot.
+	// Preempted: no quorum can be reached any more, and an acceptor has promised a higher ballot.
 	Preempted
 )
 
@@ -108,7 +108,8 @@
 // IsAccepting reports whether the accept round has begun.
 func (proposer *Proposer) IsAccepting() bool { return proposer.proposed != nil }
 
-// Receive processes an acceptor's reply. After the end of the proposal, replies only update Spread and Higher.
+// Receive processes an acceptor's reply. After the end of the proposal, replies update only Spread,
+// Higher and HasVolatile.
 func (proposer *Proposer) Receive(reply Reply) {
 	proposer.hasVolatile = proposer.hasVolatile || reply.IsVolatile
 	if proposer.result.Outcome != Pending {
@@ -275,11 +276,11 @@
 }
 
 func (proposer *Proposer) canReachQuorum() bool {
-	mayAnswer := func(id AcceptorID) bool { return !proposer.rejected[id] || proposer.accepted[id] }
+	mayReply := func(id AcceptorID) bool { return !proposer.rejected[id] || proposer.accepted[id] }
 	if proposer.IsAccepting() {
-		return proposer.hasQuorum(mayAnswer)
+		return proposer.hasQuorum(mayReply)
 	}
-	return proposer.collector.base().Value.Set.HasQuorumWithout(proposer.proposal.Ended, mayAnswer)
+	return proposer.collector.base().Value.Set.HasQuorumWithout(proposer.proposal.Ended, mayReply)
 }
 
 // hasQuorum reports whether the acceptors for which contains returns true are a quorum for the accept round: of the
--- a/internal/router/casregister/simulation_test.go
+++ b/internal/router/casregister/simulation_test.go
@@ -254,13 +254,13 @@
 			}
 		}
 	}
-	newcomer := sim.randomHost().acceptor()
+	candidate := sim.randomHost().acceptor()
 	index := sim.random.IntN(len(voters))
 	switch {
-	case !containsID(voters, newcomer.ID) && len(voters) < 5 && sim.chance(50):
-		return append(next, newcomer)
-	case !containsID(voters, newcomer.ID):
-		next[index] = newcomer
+	case !containsID(voters, candidate.ID) && len(voters) < 5 && sim.chance(50):
+		return append(next, candidate)
+	case !containsID(voters, candidate.ID):
+		next[index] = candidate
 		return next
 	case len(voters) > 2:
 		return slices.Delete(next, index, index+1)
--- a/internal/router/membership/merge.go
+++ b/internal/router/membership/merge.go
@@ -56,8 +56,8 @@
 	return slices.BinarySearchFunc(list, node, func(s *memberState, node string) int { return strings.Compare(s.ringKey.node, node) })
 }
 
-func findByRing(list []*memberState, at ringKey) (int, bool) {
-	return slices.BinarySearchFunc(list, at, func(s *memberState, at ringKey) int { return compareRingKeys(s.ringKey, at) })
+func findByRing(list []*memberState, key ringKey) (int, bool) {
+	return slices.BinarySearchFunc(list, key, func(s *memberState, key ringKey) int { return compareRingKeys(s.ringKey, key) })
 }
 
 // mergeSelf processes an entry about this router itself, and refutes it if it overrides or contradicts the own entry.
--- a/internal/router/membership/view.go
+++ b/internal/router/membership/view.go
@@ -70,9 +70,9 @@
 	return &ring{members: make([]Member, 0, size), keys: make([]ringKey, 0, size)}
 }
 
-func (r *ring) add(member Member, at ringKey) {
+func (r *ring) add(member Member, key ringKey) {
 	r.members = append(r.members, member)
-	r.keys = append(r.keys, at)
+	r.keys = append(r.keys, key)
 }
 
 // index returns the index of the node, or else of the first member after its position, which is the length of the list
