--- a/internal/patience/patience.go
+++ b/internal/patience/patience.go
@@ -1,11 +1,11 @@
-// Package patience decides how long the rest of an answer is waited for once its head is there. It learns from the
-// longest pause inside answers that came whole. It must never read a clock: pauses are handed in, in the order of
-// their answers.
+// Package patience estimates the read timeout for the rest of an answer once its head has arrived. It learns from the
+// longest pause between reads inside answers that arrived complete. It never reads a clock: pauses are passed in, in
+// the order of their answers.
 //
-// The estimate is that of TCP for its resends (RFC 6298): a smoothed pause and its smoothed deviation, the wait being
-// the one and four times the other. As there, a wait that ran out says nothing on how long it would have taken, so it
-// doubles the next (section 5.5), until an answer comes whole again: otherwise a wait that was once too short could
-// never learn that it is.
+// The estimate follows TCP's retransmission timeout (RFC 6298): a smoothed mean of the pauses plus four times their
+// smoothed mean deviation. As there, a timeout that expired does not tell how long the pause would have been, so it
+// doubles the next one (section 5.5) until an answer arrives complete again: otherwise a timeout that was once too
+// short could never learn that it is.
 package patience
 
 import (
@@ -14,48 +14,49 @@
 )
 
 const (
-	gainMean = 0.125 // RFC 6298, 2.3: alpha
-	gainDev  = 0.25  // and beta
-	devs     = 4     // and K
-	doublest = 6     // doublings in a row at the most, as a wait of 64 times is the ceiling's business
+	meanGain        = 0.125 // alpha of RFC 6298, section 2.3
+	deviationGain   = 0.25  // beta of RFC 6298
+	deviationFactor = 4     // K of RFC 6298
+	maxDoublings    = 6     // doublings in a row; beyond 64 times the estimate only the upper limit matters
 )
 
-// Estimator learns one wait. The zero value is of no use; make it with New.
+// Estimator learns one read timeout. The zero value is not usable; use New or Fixed.
 type Estimator struct {
-	floor, ceiling time.Duration
-	fixed          time.Duration // a wait that was set, in place of the learned one
-	mean, dev      float64       // in nanoseconds: as whole ones a pause of a few could never be reached
-	seen           bool
-	doublings      int
+	minTimeout, maxTimeout time.Duration
+	fixed                  time.Duration // configured timeout in place of the learned one; 0 means to learn
+	mean, deviation        float64       // nanoseconds, as floats: integer rounding would never converge on pauses of a few
+	hasSample              bool
+	doublings              int
 }
 
-// New makes an estimator that waits first until it has learned, and never less than floor or more than ceiling.
-func New(first, floor, ceiling time.Duration) *Estimator {
-	return &Estimator{floor: floor, ceiling: ceiling, mean: float64(first) / 3, dev: float64(first) / 6}
+// New returns an estimator whose timeout is initial until it has learned, and always from minTimeout to maxTimeout.
+func New(initial, minTimeout, maxTimeout time.Duration) *Estimator {
+	return &Estimator{minTimeout: minTimeout, maxTimeout: maxTimeout, mean: float64(initial) / 3, deviation: float64(initial) / 6}
 }
 
-// Fixed makes one that learns nothing.
+// Fixed returns an estimator whose timeout is constant.
 func Fixed(wait time.Duration) *Estimator { return &Estimator{fixed: wait} }
 
-// Wait is how long the next bytes of an answer are waited for.
+// Wait returns the timeout for the next bytes of an answer.
 func (e *Estimator) Wait() time.Duration {
 	if e.fixed > 0 {
 		return e.fixed
 	}
-	return min(max(time.Duration(math.Ceil(e.mean+devs*e.dev)), e.floor)<<e.doublings, e.ceiling)
+	return min(max(time.Duration(math.Ceil(e.mean+deviationFactor*e.deviation)), e.minTimeout)<<e.doublings, e.maxTimeout)
 }
 
-// Whole enters the longest pause of an answer that came whole after it had to be waited for.
+// Whole records the longest pause of an answer that arrived complete and resets the doubling. Answers that needed no
+// waiting are not recorded.
 func (e *Estimator) Whole(pause time.Duration) {
 	e.doublings = 0
-	if !e.seen {
-		e.seen, e.mean, e.dev = true, float64(pause), float64(pause)/2 // RFC 6298, 2.2
+	if !e.hasSample {
+		e.hasSample, e.mean, e.deviation = true, float64(pause), float64(pause)/2 // RFC 6298, section 2.2
 		return
 	}
-	off := float64(pause) - e.mean
-	e.dev += gainDev * (math.Abs(off) - e.dev)
-	e.mean += gainMean * off
+	difference := float64(pause) - e.mean
+	e.deviation += deviationGain * (math.Abs(difference) - e.deviation)
+	e.mean += meanGain * difference
 }
 
-// RanOut enters a wait that ended without a byte.
-func (e *Estimator) RanOut() { e.doublings = min(e.doublings+1, doublest) }
+// RanOut records that the timeout expired without a byte, and doubles the next one.
+func (e *Estimator) RanOut() { e.doublings = min(e.doublings+1, maxDoublings) }
--- a/internal/patience/patience_test.go
+++ b/internal/patience/patience_test.go
@@ -12,41 +12,42 @@
 
 const ms = time.Millisecond
 
-// It starts with what it is told, comes down to what answers really take, and up again when they take longer.
-func TestItLearns(t *testing.T) {
+// The timeout starts at the initial value, falls to what answers take, and rises again when they take longer.
+func TestTimeoutFollowsPauses(t *testing.T) {
 	e := New(75*ms, 15*ms, 300*ms)
 	if w := e.Wait(); w < 74*ms || w > 76*ms {
-		t.Errorf("first %v", w)
+		t.Errorf("initial timeout %v, want about 75 ms", w)
 	}
 	for range 50 {
 		e.Whole(20 * ms)
 	}
 	if w := e.Wait(); w < 20*ms || w > 25*ms {
-		t.Errorf("%v where every answer pauses for 20 ms", w)
+		t.Errorf("timeout %v where every answer pauses for 20 ms", w)
 	}
 	for range 50 {
 		e.Whole(time.Microsecond)
 	}
 	if w := e.Wait(); w != 15*ms {
-		t.Errorf("%v, under the floor", w)
+		t.Errorf("timeout %v, want the minimum of 15 ms", w)
 	}
 	for i := range 50 {
 		e.Whole(time.Duration(20+i%3*10) * ms)
 	}
 	if w := e.Wait(); w < 40*ms || w > 120*ms {
-		t.Errorf("%v where answers pause for 20 to 40 ms", w)
+		t.Errorf("timeout %v where answers pause for 20 to 40 ms", w)
 	}
 }
 
-// Waits that run out tell nothing of the pause, so a wait that is too short must grow until an answer comes whole.
-func TestAWaitThatIsTooShortGrows(t *testing.T) {
+// An expired timeout does not tell the length of the pause, so a timeout that is too short must grow until an answer
+// arrives complete.
+func TestExpiredTimeoutsDouble(t *testing.T) {
 	e := New(75*ms, 15*ms, 300*ms)
 	for range 50 {
 		e.Whole(ms)
 	}
-	for tries := 0; e.Wait() < 120*ms; tries++ {
-		if tries > 6 {
-			t.Fatalf("%v after %d waits that ran out", e.Wait(), tries)
+	for attempts := 0; e.Wait() < 120*ms; attempts++ {
+		if attempts > 6 {
+			t.Fatalf("timeout %v after %d that expired", e.Wait(), attempts)
 		}
 		e.RanOut()
 	}
@@ -54,43 +55,43 @@
 		e.RanOut()
 	}
 	if e.Wait() != 300*ms {
-		t.Errorf("%v, over the ceiling", e.Wait())
+		t.Errorf("timeout %v, want the maximum of 300 ms", e.Wait())
 	}
 	if e.Whole(120 * ms); e.Wait() <= 15*ms || e.Wait() >= 300*ms {
-		t.Errorf("%v after an answer that came", e.Wait())
+		t.Errorf("timeout %v after a complete answer", e.Wait())
 	}
 }
 
-func TestASetWaitStays(t *testing.T) {
+func TestFixedTimeout(t *testing.T) {
 	e := Fixed(40 * ms)
 	e.Whole(time.Second)
 	if e.RanOut(); e.Wait() != 40*ms {
-		t.Error(e.Wait())
+		t.Error("fixed timeout changed to", e.Wait())
 	}
 }
 
-// Whatever it hears, it waits between floor and ceiling, and for steady pauses at least as long as they are.
-func TestItStaysInItsBounds(t *testing.T) {
+// The timeout stays between its minimum and maximum for any input, and covers pauses of constant length.
+func TestTimeoutStaysInBounds(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		floor := time.Duration(rapid.Int64Range(1, 1e9).Draw(t, "floor"))
-		ceiling := floor + time.Duration(rapid.Int64Range(0, 1e10).Draw(t, "above"))
-		e := New(time.Duration(rapid.Int64Range(0, 2e10).Draw(t, "first")), floor, ceiling)
+		minTimeout := time.Duration(rapid.Int64Range(1, 1e9).Draw(t, "min timeout"))
+		maxTimeout := minTimeout + time.Duration(rapid.Int64Range(0, 1e10).Draw(t, "range"))
+		e := New(time.Duration(rapid.Int64Range(0, 2e10).Draw(t, "initial")), minTimeout, maxTimeout)
 		for range rapid.IntRange(0, 60).Draw(t, "events") {
-			if rapid.Bool().Draw(t, "ran out") {
+			if rapid.Bool().Draw(t, "expired") {
 				e.RanOut()
 			} else {
 				e.Whole(time.Duration(rapid.Int64Range(1, 1e11).Draw(t, "pause")))
 			}
-			if w := e.Wait(); w < floor || w > ceiling {
-				t.Fatalf("%v outside %v to %v", w, floor, ceiling)
+			if w := e.Wait(); w < minTimeout || w > maxTimeout {
+				t.Fatalf("timeout %v is not from %v to %v", w, minTimeout, maxTimeout)
 			}
 		}
-		steady := time.Duration(rapid.Int64Range(1, int64(ceiling)).Draw(t, "steady"))
+		steady := time.Duration(rapid.Int64Range(1, int64(maxTimeout)).Draw(t, "steady"))
 		for range 100 {
 			e.Whole(steady)
 		}
 		if w := e.Wait(); w < steady {
-			t.Fatalf("%v for pauses of %v", w, steady)
+			t.Fatalf("timeout %v for pauses of %v", w, steady)
 		}
 	})
 }
