--- a/internal/delegation/delegation.go
+++ b/internal/delegation/delegation.go
@@ -1,11 +1,11 @@
-// Package delegation owns the sockets to app nodes and performs what the reducer asks of them: dial, write a
-// call, read the answer, close. It carries one call at a time on a connection and says how each ended. It must
-// never send anything twice, open a connection by itself, or decide what an outcome leads to: that is why it
-// does not stand on http.Transport, which resends what it holds to be repeatable and dials ahead.
+// Package delegation owns the sockets to app nodes and carries out the reducer's commands on them: dial, write a call,
+// read the answer, close. It carries one call at a time on a connection and reports the result of each. It must never
+// send anything twice, open a connection on its own, or decide what follows from a result. It therefore does not use
+// http.Transport, which retries requests that it considers replayable and dials ahead of demand.
 //
-// An answer that is larger than what is held is offered to the reducer (Flowing), and then lent to the client's side as
-// a flow.Flow, which reads what remains off the socket; the socket's own reader waits for its end. write.go sends
-// calls, read.go takes answers, report.go reads load reports.
+// An answer too large to be buffered is offered to the reducer (reducer.Flowing) and then lent to the acceptor as a
+// flow.Flow, which reads the rest from the socket while the connection's read loop waits for the flow to end. write.go
+// sends calls, read.go reads answers, report.go parses load reports.
 package delegation
 
 import (
@@ -23,69 +23,72 @@
 	"pewterrudder/internal/socket"
 )
 
-// MaxBody is the largest body that is held whole.
+// MaxBody is the largest body that is buffered in full, in bytes.
 const MaxBody = flow.Hold
 
-// Bounds of the answers that flow.
+// Bounds limits answers, and the memory of those that are too large to be buffered in full.
 type Bounds struct {
-	Largest int64         // the longest answer that is passed, in bytes
-	Room    *flow.Room    // memory for answers that are larger than what is held
-	Wait    time.Duration // for that memory, where there is none
+	Largest int64         // longest answer body that is forwarded, in bytes
+	Room    *flow.Room    // memory for answers larger than flow.Hold
+	Wait    time.Duration // how long an answer waits for that memory
 }
 
-// Connections is the set of sockets. Its methods are called by the goroutine that drives the reducer alone.
+// Connections is the set of connections to app nodes. Dial, Exchange and Close may be called only by the goroutine that
+// drives the reducer.
 type Connections struct {
-	post    func(reducer.Event)
-	columns atomic.Pointer[[]string] // of a load report, as the settings name them
-	bounds  Bounds
-	conns   map[uint64]*conn
-	written atomic.Uint64
+	post         func(reducer.Event)
+	columns      atomic.Pointer[[]string] // columns of a load report, by their names in the settings
+	bounds       Bounds
+	byID         map[uint64]*conn
+	writtenCalls atomic.Uint64
 }
 
-// Written is how many calls have been written whole to app nodes since the start.
-func (c *Connections) Written() uint64 { return c.written.Load() }
+// Written returns how many calls have been written in full to app nodes since the start.
+func (c *Connections) Written() uint64 { return c.writtenCalls.Load() }
 
-// New makes an empty set; post takes the events, columns are the settings' names of a report's values.
+// New returns an empty set. post receives the events; columns are the names that the settings give the values of a load
+// report.
 func New(post func(reducer.Event), columns []string, bounds Bounds) *Connections {
-	c := &Connections{post: post, bounds: bounds, conns: map[uint64]*conn{}}
+	c := &Connections{post: post, bounds: bounds, byID: map[uint64]*conn{}}
 	c.Retune(columns)
 	return c
 }
 
-// Retune has load reports read by other columns from now on.
+// Retune replaces the columns of load reports.
 func (c *Connections) Retune(columns []string) { c.columns.Store(&columns) }
 
-// conn is one socket. nc is set before Dialed is posted and never after.
+// conn is one connection. nc is set before Dialed is posted and never after.
 type conn struct {
-	id  uint64
-	set *Connections
-	nc  net.Conn
-	src *source
-	br  *bufio.Reader // on src; the reader's, but for the time that a flow is lent
-	req http.Request  // what the reader of an answer wants to know of its request: the method
+	id          uint64
+	connections *Connections
+	nc          net.Conn
+	in          *boundedReader
+	br          *bufio.Reader // buffers in; used by the read loop, and by the acceptor while a flow is lent
+	request     http.Request  // for http.ReadResponse, which needs the method
 
-	mu   sync.Mutex
-	dead bool // the reader has ended: nothing may be written any more
-	job  *exchange
-	gone chan struct{} // closed by Close
-	flow *flow.Flow    // lent
+	mu         sync.Mutex
+	readerDone bool          // the read loop has ended: nothing may be written any more
+	current    *exchange     // nil: the connection is idle
+	closed     chan struct{} // closed by Close
+	flow       *flow.Flow    // lent to the acceptor; nil: none
 }
 
+// exchange is one call on a connection and its answer.
 type exchange struct {
-	call      *message.Call
-	stall     time.Duration // for the next bytes, inside the answer
-	flowStall time.Duration // the same once it flows
-	begun     bool          // the writer has found the connection quiet, and the client there; under the connection's lock
-	left      bool          // the client was not; valid once written is closed
-	written   chan struct{} // closed when the writer has ended
-	whole     bool          // valid once written is closed
-	feed      *feed         // of an upload
+	call            *message.Call
+	readTimeout     time.Duration // for the next bytes of an answer
+	flowReadTimeout time.Duration // the same once the answer is streamed
+	sending         bool          // the writer found the connection quiet and the client connected; guarded by conn.mu
+	clientLeft      bool          // the writer found the client disconnected; valid once writerDone is closed
+	writerDone      chan struct{} // closed when the writer ends
+	complete        bool          // the call was written in full; valid once writerDone is closed
+	upload          *uploadReader // nil: the body is buffered or empty
 }
 
-// Dial opens a connection in the background.
+// Dial opens a connection in the background; reducer.Dialed reports the result.
 func (c *Connections) Dial(e reducer.Dial) {
-	k := &conn{id: e.Conn, set: c, gone: make(chan struct{})}
-	c.conns[e.Conn] = k
+	k := &conn{id: e.Conn, connections: c, closed: make(chan struct{})}
+	c.byID[e.Conn] = k
 	go func() {
 		ctx, cancel := context.WithTimeout(context.Background(), e.Timeout)
 		defer cancel()
@@ -95,28 +98,29 @@
 			return
 		}
 		k.nc = nc
-		k.src = &source{nc: nc}
-		k.br = bufio.NewReader(k.src)
+		k.in = &boundedReader{nc: nc}
+		k.br = bufio.NewReader(k.in)
 		c.post(reducer.Dialed{Conn: e.Conn})
-		k.read()
+		k.readLoop()
 	}()
 }
 
-// Close is the one place where a socket is given back. Its reader and writer end with it, and what it had lent.
+// Close closes a connection; no other code does. This also ends its read loop, its writer and a flow that it has lent.
 func (c *Connections) Close(e reducer.Close) {
-	k := c.conns[e.Conn]
+	k := c.byID[e.Conn]
 	if k == nil {
 		return
 	}
-	delete(c.conns, e.Conn)
+	delete(c.byID, e.Conn)
 	k.mu.Lock()
-	close(k.gone)
-	lent, job := k.flow, k.job
+	close(k.closed)
+	lent, ex := k.flow, k.current
 	k.mu.Unlock()
 	if k.nc != nil {
-		if job != nil {
-			// A call that is given up must not arrive later: what the kernel has not got through, as in a cut that is mended,
-			// would be sent on after a close, and run when its copies elsewhere are forgotten. A reset drops it.
+		if ex != nil {
+			// An abandoned call must not arrive later. After a plain close the kernel would still deliver what it has
+			// queued, for example once a network partition heals, and the call would run when its attempts on other app
+			// nodes are already forgotten. A reset drops the queued bytes.
 			socket.Reset(k.nc)
 		} else {
 			k.nc.Close()
@@ -125,7 +129,7 @@
 	if lent != nil {
 		lent.Break(net.ErrClosed)
 	}
-	if job != nil {
-		job.feed.stop() // its writer may be waiting for the client
+	if ex != nil {
+		ex.upload.stop() // the writer may be waiting for the client
 	}
 }
--- a/internal/delegation/delegation_test.go
+++ b/internal/delegation/delegation_test.go
@@ -15,10 +15,10 @@
 	"pewterrudder/internal/reducer"
 )
 
-// The app nodes write the settings' words, the protocol's example the short ones. Reports in the first form
-// were passed over once, which left the decisions without any load figure and showed in no error.
-func TestReportsAreReadInEitherWording(t *testing.T) {
-	c := New(nil, []string{"utilization", "backlog"}, Bounds{})
+// App nodes send the settings' column names, the protocol's example has short ones. Reports in the first form were once
+// ignored, which left decisions without load figures and caused no error.
+func TestParseReportAcceptsAliases(t *testing.T) {
+	connections := New(nil, []string{"utilization", "backlog"}, Bounds{})
 	for text, want := range map[string][]float64{
 		"utilization=0.878,backlog=5.063": {0.878, 5.063},
 		"inflight=7,queue=2,util=0.61":    {0.61, 2},
@@ -29,90 +29,92 @@
 		"utilization=,backlog":            nil,
 		"":                                nil,
 	} {
-		if got := c.report(text); !slices.Equal(got, want) {
+		if got := connections.parseReport(text); !slices.Equal(got, want) {
 			t.Errorf("%q: %v, want %v", text, got, want)
 		}
 	}
 }
 
-// link is one connection to an app node that the test plays.
-type link struct {
-	t      *testing.T
-	set    *Connections
-	events chan reducer.Event
-	room   *flow.Room // for one flow
-	node   net.Conn
-	read   *bufio.Reader
+// testConn is one connection to an app node whose side the test plays.
+type testConn struct {
+	t           *testing.T
+	connections *Connections
+	events      chan reducer.Event
+	room        *flow.Room // for one body
+	nodeConn    net.Conn
+	nodeReader  *bufio.Reader
 
-	stall, flowStall time.Duration
+	readTimeout, flowReadTimeout time.Duration
 }
 
-func newLink(t *testing.T) *link {
+func newTestConn(t *testing.T) *testConn {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer l.Close()
-	k := &link{t: t, stall: time.Hour, flowStall: time.Hour, events: make(chan reducer.Event, 10)}
+	k := &testConn{t: t, readTimeout: time.Hour, flowReadTimeout: time.Hour, events: make(chan reducer.Event, 10)}
 	k.room = flow.NewRoom(1)
-	k.set = New(func(e reducer.Event) { k.events <- e }, []string{"utilization", "backlog"},
+	k.connections = New(func(e reducer.Event) { k.events <- e }, []string{"utilization", "backlog"},
 		Bounds{Largest: 1 << 20, Room: k.room, Wait: 20 * time.Second})
-	k.set.Dial(reducer.Dial{Conn: 1, Address: l.Addr().String(), Timeout: 10 * time.Second})
-	if k.node, err = l.Accept(); err != nil {
+	k.connections.Dial(reducer.Dial{Conn: 1, Address: l.Addr().String(), Timeout: 10 * time.Second})
+	if k.nodeConn, err = l.Accept(); err != nil {
 		t.Fatal(err)
 	}
-	k.node.SetDeadline(time.Now().Add(20 * time.Second)) // a hang is a failure
-	k.read = bufio.NewReader(k.node)
+	k.nodeConn.SetDeadline(time.Now().Add(20 * time.Second)) // a hang is a failure
+	k.nodeReader = bufio.NewReader(k.nodeConn)
 	if d := (<-k.events).(reducer.Dialed); d.Err != nil {
 		t.Fatal(d.Err)
 	}
-	t.Cleanup(func() { k.set.Close(reducer.Close{Conn: 1}); k.node.Close() })
+	t.Cleanup(func() { k.connections.Close(reducer.Close{Conn: 1}); k.nodeConn.Close() })
 	return k
 }
 
-func (k *link) send(body []byte) {
-	k.sendAs(&message.Call{Body: body})
+func (k *testConn) send(body []byte) {
+	k.sendCall(&message.Call{Body: body})
 }
 
-func (k *link) sendAs(call *message.Call) {
+func (k *testConn) sendCall(call *message.Call) {
 	call.Request = &http.Request{Method: "POST", Host: "origin.svc", RequestURI: "/booking//a%2Fb?q=1;2&x=%zz",
 		Header: http.Header{"X-Request-Id": {"9b1f"}, "Idempotency-Key": {"5c"}, "Expect": {"100-continue"}}}
-	k.set.Exchange(reducer.Exchange{Conn: 1, Wait: 300 * time.Millisecond, Stall: k.stall, FlowStall: k.flowStall,
+	k.connections.Exchange(reducer.Exchange{Conn: 1, Wait: 300 * time.Millisecond, Stall: k.readTimeout, FlowStall: k.flowReadTimeout,
 		Call: &reducer.Call{Message: call}})
 }
 
-func (k *link) ended() reducer.Exchanged {
+// waitExchanged returns the result of the exchange, and fails the test if there is none within 20 s.
+func (k *testConn) waitExchanged() reducer.Exchanged {
 	k.t.Helper()
 	select {
 	case ev := <-k.events:
 		return ev.(reducer.Exchanged)
 	case <-time.After(20 * time.Second):
-		k.t.Fatal("the exchange has no end")
+		k.t.Fatal("no Exchanged event within 20 s")
 	}
 	return reducer.Exchanged{}
 }
 
-// exchange sends a call, lets the app node say something, and returns how it ended.
-func (k *link) exchange(says string) reducer.Exchanged {
+// exchange sends a call, writes the app node's response, and returns the result. Without a Content-Length in the
+// response the app node closes the connection behind it.
+func (k *testConn) exchange(response string) reducer.Exchanged {
 	k.t.Helper()
 	k.send([]byte("skip"))
-	if _, err := http.ReadRequest(k.read); err != nil {
+	if _, err := http.ReadRequest(k.nodeReader); err != nil {
 		k.t.Fatal(err)
 	}
-	io.CopyN(io.Discard, k.read, 4)
-	io.WriteString(k.node, says)
-	if !strings.Contains(says, "Content-Length") {
-		k.node.Close()
+	io.CopyN(io.Discard, k.nodeReader, 4)
+	io.WriteString(k.nodeConn, response)
+	if !strings.Contains(response, "Content-Length") {
+		k.nodeConn.Close()
 	}
-	return k.ended()
+	return k.waitExchanged()
 }
 
-func TestACallIsWrittenAsItCame(t *testing.T) {
-	k := newLink(t)
+func TestRequestIsForwardedUnchanged(t *testing.T) {
+	k := newTestConn(t)
 	k.send([]byte("skip"))
 	var got []string
 	for {
-		line, err := k.read.ReadString('\n')
+		line, err := k.nodeReader.ReadString('\n')
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -124,14 +126,14 @@
 	want := []string{"POST /booking//a%2Fb?q=1;2&x=%zz HTTP/1.1", "Host: origin.svc", "Content-Length: 4",
 		"Idempotency-Key: 5c", "X-Deadline: 300000u", "X-Request-Id: 9b1f"}
 	if !slices.Equal(got, want) {
-		t.Errorf("%q", got)
+		t.Errorf("request %q", got)
 	}
 }
 
-// Each way in which an answer can come or fail to. What is garbled is an outcome, never a panic or a hang.
-func TestHowAnExchangeEnds(t *testing.T) {
+// The result of every kind of answer, complete or not. A malformed answer has a result and neither panics nor hangs.
+func TestExchangeResults(t *testing.T) {
 	for _, c := range []struct {
-		says        string
+		response    string
 		status      int // 0: no answer
 		shed, reuse bool
 		report      []float64
@@ -149,7 +151,7 @@
 		{"HTTP/1.1 500 Oops\r\nContent-Length: 70000\r\n\r\n" + strings.Repeat("x", 70000), 500, false, false, nil},
 		{"HTTP/1.1 500 Oops\r\nTransfer-Encoding: chunked\r\nX-No: Content-Length\r\n\r\n2\r\nno\r\n0\r\n\r\n", 500, false, true, nil},
 		{"HTTP/1.1 200 OK\r\nContent-Length: 1048577\r\n\r\nx", 0, false, false, nil},
-		{"HTTP/1.1 200 OK\r\nContent-Length: 3000000000\r\n\r\nx", 0, false, false, nil}, // it keeps coming
+		{"HTTP/1.1 200 OK\r\nContent-Length: 3000000000\r\n\r\nx", 0, false, false, nil}, // a body over the limit is not read
 		{"HTTP/1.1 200 OK\r\nContent-Length: 3\r\nContent-Length: 9\r\n\r\nskipskips", 0, false, false, nil},
 		{"HTTP/1.1 200 OK\r\nContent-Length: -9\r\n\r\nskipskips", 0, false, false, nil},
 		{"HTTP/1.1 2x0 OK\r\nContent-Length: 4\r\n\r\nskip", 0, false, false, nil},
@@ -161,9 +163,9 @@
 		{strings.Repeat("HTTP/1.1 100 Continue\r\n\r\n", 9), 0, false, false, nil},
 		{"", 0, false, false, nil},
 	} {
-		k := newLink(t)
-		e := k.exchange(c.says)
-		k.lentNothing()
+		k := newTestConn(t)
+		e := k.exchange(c.response)
+		k.checkNothingLent()
 		status, want := 0, reducer.Broke
 		if e.Err == nil {
 			switch c.status {
@@ -179,75 +181,76 @@
 		}
 		if a, ok := e.Message.(*message.Answer); ok {
 			if status = a.Status; a.Header.Get("X-Load") != "" {
-				t.Errorf("%.60q: the load report goes on to the client", c.says)
+				t.Errorf("%.60q: the load report was forwarded to the client", c.response)
 			}
 		}
 		if status != c.status || e.Result != want || e.Reuse != c.reuse || !slices.Equal(e.Report, c.report) ||
 			e.Written != reducer.Whole {
-			t.Errorf("%.60q: %d %+v", c.says, status, e)
+			t.Errorf("%.60q: status %d, result %+v", c.response, status, e)
 		}
 	}
 }
 
-// A connection that breaks before the last byte is written proves that the request never ran.
-func TestABreakWhileWritingIsToldApart(t *testing.T) {
-	k := newLink(t)
-	k.send(make([]byte, 64<<20)) // more than the buffers between hold
-	if _, err := k.read.ReadByte(); err != nil {
+// A connection that breaks before the last byte is written proves that the request cannot have run.
+func TestConnectionBreaksWhileWriting(t *testing.T) {
+	k := newTestConn(t)
+	k.send(make([]byte, 64<<20)) // more than the socket buffers hold
+	if _, err := k.nodeReader.ReadByte(); err != nil {
 		t.Fatal(err)
 	}
-	k.node.Close()
-	if e := k.ended(); e.Written != reducer.Partly || e.Result != reducer.Broke {
+	k.nodeConn.Close()
+	if e := k.waitExchanged(); e.Written != reducer.Partly || e.Result != reducer.Broke {
 		t.Errorf("%+v", e)
 	}
 }
 
-// An app node that answers before it has read everything must neither hang the exchange nor leave a connection
-// with half a request on it in the pool.
-func TestAnAnswerBeforeTheLastByte(t *testing.T) {
-	k := newLink(t)
+// An app node that answers before it has read the whole request must neither hang the exchange nor leave the connection,
+// with half a request on it, in the pool.
+func TestEarlyAnswer(t *testing.T) {
+	k := newTestConn(t)
 	k.send(make([]byte, 64<<20))
-	if _, err := k.read.ReadByte(); err != nil {
+	if _, err := k.nodeReader.ReadByte(); err != nil {
 		t.Fatal(err)
 	}
-	io.WriteString(k.node, "HTTP/1.1 503 Full\r\nContent-Length: 0\r\nX-Not-Run: 1\r\n\r\n")
-	if e := k.ended(); e.Result != reducer.Shed || e.Reuse || e.Written != reducer.Partly {
+	io.WriteString(k.nodeConn, "HTTP/1.1 503 Full\r\nContent-Length: 0\r\nX-Not-Run: 1\r\n\r\n")
+	if e := k.waitExchanged(); e.Result != reducer.Shed || e.Reuse || e.Written != reducer.Partly {
 		t.Errorf("%+v", e)
 	}
 }
 
-// An idle connection that the app node closes, or speaks on out of turn, is told of; and if a call was on its way to it
-// at that moment, then that call was not written at all.
-func TestALostIdleConnection(t *testing.T) {
-	for _, says := range []string{"", "HTTP/1.1 408 Slow\r\n\r\n"} {
-		k := newLink(t)
-		io.WriteString(k.node, says)
-		if says == "" {
-			k.node.Close()
+// An idle connection that the app node closes or sends unsolicited bytes on is reported as lost. A call sent to it
+// afterwards is reported as not written.
+func TestIdleConnectionLost(t *testing.T) {
+	for _, bytes := range []string{"", "HTTP/1.1 408 Slow\r\n\r\n"} {
+		k := newTestConn(t)
+		io.WriteString(k.nodeConn, bytes)
+		if bytes == "" {
+			k.nodeConn.Close()
 		}
 		if lost, ok := (<-k.events).(reducer.Lost); !ok || lost.Conn != 1 {
-			t.Fatalf("%+v", lost)
+			t.Fatalf("no Lost event for connection 1: %+v", lost)
 		}
 		k.send(nil)
-		if e := k.ended(); e.Written != reducer.Nothing {
+		if e := k.waitExchanged(); e.Written != reducer.Nothing {
 			t.Errorf("%+v", e)
 		}
 	}
 }
 
-// An answer does not name its call. What an app node sends behind a good one, a copy of it or noise, may come when
-// the next call is already on its way to that connection, and must not become its answer: that call was not written.
-func TestWhatComesBetweenCallsIsNoAnswer(t *testing.T) {
-	const last = "HTTP/1.1 200 OK\r\nContent-Length: 4\r\n\r\nlast"
-	k := newLink(t)
-	c := k.set.conns[1]
-	job := &exchange{call: &message.Call{}, written: make(chan struct{})}
+// An HTTP/1.1 answer does not identify its request. What an app node sends after a complete answer, a duplicate or
+// garbage, may arrive when the next call is already assigned to the connection. It must not become the answer to that
+// call, which is reported as not written.
+func TestUnsolicitedBytesAreNotAnAnswer(t *testing.T) {
+	const previous = "HTTP/1.1 200 OK\r\nContent-Length: 4\r\n\r\nlast"
+	k := newTestConn(t)
+	c := k.connections.byID[1]
+	ex := &exchange{call: &message.Call{}, writerDone: make(chan struct{})}
 	c.mu.Lock()
-	c.job = job // the reducer has picked the connection, the writer has yet to start
+	c.current = ex // the reducer has picked the connection, the writer has not started
 	c.mu.Unlock()
-	io.WriteString(k.node, last)
-	close(job.written)
-	if e := k.ended(); e.Err == nil || e.Written != reducer.Nothing {
+	io.WriteString(k.nodeConn, previous)
+	close(ex.writerDone)
+	if e := k.waitExchanged(); e.Err == nil || e.Written != reducer.Nothing {
 		t.Errorf("%+v", e)
 	}
 	l, err := net.Listen("tcp", "127.0.0.1:0")
@@ -264,20 +267,20 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	unread := &conn{nc: near}
-	if !unread.quiet() {
-		t.Error("nothing has come yet")
+	idle := &conn{nc: near}
+	if !idle.quiet() {
+		t.Error("connection not quiet before anything was sent")
 	}
-	io.WriteString(far, last)
+	io.WriteString(far, previous)
 	far.Close()
-	for until := time.Now().Add(20 * time.Second); unread.quiet(); time.Sleep(time.Millisecond) {
+	for until := time.Now().Add(20 * time.Second); idle.quiet(); time.Sleep(time.Millisecond) {
 		if time.Now().After(until) {
-			t.Fatal("what has come is not seen")
+			t.Fatal("connection still quiet 20 s after an answer was sent")
 		}
 	}
 }
 
-func TestARefusedDialIsTold(t *testing.T) {
+func TestRefusedDialIsReported(t *testing.T) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
@@ -291,27 +294,27 @@
 	}
 }
 
-// Before the first byte of a call goes out, its client is looked for once more. For one that has left nothing is written, and
-// the connection ends.
-func TestNothingIsWrittenForAClientThatHasLeft(t *testing.T) {
+// Before the first byte of a call is written, its client is checked once more. If it has disconnected, nothing is
+// written and the connection is closed.
+func TestNothingIsWrittenAfterClientLeft(t *testing.T) {
 	for _, upload := range []bool{false, true} {
-		k := newLink(t)
+		k := newTestConn(t)
 		call := &message.Call{Left: func() bool { return true }}
 		if upload {
 			call.Upload = flow.NewUpload(strings.NewReader("skip"), 4, 10, time.Hour, time.Now, func(time.Time) {}, func(time.Time) {})
 		}
-		k.sendAs(call)
-		if e := k.ended(); e.Written != reducer.Nothing || e.Result != reducer.Left || e.Reuse || e.Spent {
+		k.sendCall(call)
+		if e := k.waitExchanged(); e.Written != reducer.Nothing || e.Result != reducer.Left || e.Reuse || e.Spent {
 			t.Errorf("%+v", e)
 		}
-		k.set.Close(reducer.Close{Conn: 1})
-		if all, _ := io.ReadAll(k.read); len(all) > 0 { // the end may be a reset
-			t.Errorf("the app node got %q", all)
+		k.connections.Close(reducer.Close{Conn: 1})
+		if received, _ := io.ReadAll(k.nodeReader); len(received) > 0 { // the error may be a reset
+			t.Errorf("the app node received %q", received)
 		}
 	}
-	k := newLink(t)
-	k.sendAs(&message.Call{Left: func() bool { return false }})
-	if _, err := http.ReadRequest(k.read); err != nil {
+	k := newTestConn(t)
+	k.sendCall(&message.Call{Left: func() bool { return false }})
+	if _, err := http.ReadRequest(k.nodeReader); err != nil {
 		t.Error(err)
 	}
 }
--- a/internal/delegation/flow_test.go
+++ b/internal/delegation/flow_test.go
@@ -17,27 +17,27 @@
 	"pewterrudder/internal/reducer"
 )
 
-// noise is a body of which no part is like another.
-func noise(n int) string {
+// randomBody returns a pseudorandom body of n bytes, the same for the same n, in which no part repeats.
+func randomBody(n int) string {
 	b := make([]byte, n)
 	rand.NewChaCha8([32]byte{byte(n), byte(n >> 8)}).Read(b)
 	return string(b)
 }
 
-// asked reads the request that the app node gets.
-func (k *link) asked() {
+// readRequest reads a whole request on the app node's side.
+func (k *testConn) readRequest() {
 	k.t.Helper()
-	r, err := http.ReadRequest(k.read)
+	r, err := http.ReadRequest(k.nodeReader)
 	if err != nil {
 		k.t.Fatal(err)
 	}
 	io.Copy(io.Discard, r.Body)
 }
 
-// bodyBegins waits for a request's first byte of body.
-func (k *link) bodyBegins() {
+// readBodyStart reads a request on the app node's side up to the first byte of its body.
+func (k *testConn) readBodyStart() {
 	k.t.Helper()
-	r, err := http.ReadRequest(k.read)
+	r, err := http.ReadRequest(k.nodeReader)
 	if err == nil {
 		_, err = r.Body.Read(make([]byte, 1))
 	}
@@ -46,8 +46,9 @@
 	}
 }
 
-// commit waits until an answer asks to be committed, and gives the test the client's side of it.
-func (k *link) commit() *message.Answer {
+// waitCommit waits until an answer is offered to the reducer, opens its flow and returns the answer, which the test
+// reads as the acceptor does.
+func (k *testConn) waitCommit() *message.Answer {
 	k.t.Helper()
 	select {
 	case ev := <-k.events:
@@ -59,28 +60,30 @@
 		a.Flow.Open()
 		return a
 	case <-time.After(20 * time.Second):
-		k.t.Fatal("no commit")
+		k.t.Fatal("no Flowing event within 20 s")
 	}
 	return nil
 }
 
-func (k *link) lentNothing() {
+// checkNothingLent fails the test if memory is still lent.
+func (k *testConn) checkNothingLent() {
 	k.t.Helper()
 	if now, _ := k.room.Lent(); now != 0 {
 		k.t.Errorf("%d bytes still lent", now)
 	}
 }
 
-// says has the app node write in the background: much of it waits for the client's side.
-func (k *link) says(text string, close bool) {
+// respond writes on the app node's side in the background, because most of a large answer waits until it is read.
+func (k *testConn) respond(text string, close bool) {
 	go func() {
-		io.WriteString(k.node, text)
+		io.WriteString(k.nodeConn, text)
 		if close {
-			k.node.Close()
+			k.nodeConn.Close()
 		}
 	}()
 }
 
+// chunked returns an answer in chunks of various sizes. Each line of trailer ends in CRLF.
 func chunked(body string, trailer string) string {
 	var b strings.Builder
 	b.WriteString("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\nTrailer: X-Sum\r\n\r\n")
@@ -93,11 +96,11 @@
 	return b.String()
 }
 
-// Whatever the framing, and on either side of what is held: the client's side gets each byte, the trailers, and a
-// connection goes on only after an end that is proven.
-func TestAnswersOfEverySizeAndFraming(t *testing.T) {
-	for _, n := range []int{0, 1, guess - 1, guess + 1, flow.Hold - 1, flow.Hold, flow.Hold + 1, 300 << 10, 1 << 20} {
-		body := noise(n)
+// For every framing, and for sizes around each buffer limit, the client receives every byte and the trailers, and a
+// connection is reused only if the framing proves the end of the body.
+func TestAnswerSizesAndFramings(t *testing.T) {
+	for _, n := range []int{0, 1, unknownLengthBuffer - 1, unknownLengthBuffer + 1, flow.Hold - 1, flow.Hold, flow.Hold + 1, 300 << 10, 1 << 20} {
+		body := randomBody(n)
 		for name, c := range map[string]struct {
 			text  string
 			close bool
@@ -107,22 +110,22 @@
 			"close":   {"HTTP/1.1 200 OK\r\n\r\n" + body, true},
 			"interim": {"HTTP/1.1 103 Early\r\n\r\n" + fmt.Sprintf("HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s", n, body), false},
 		} {
-			k := newLink(t)
+			k := newTestConn(t)
 			k.send([]byte("skip"))
-			k.asked()
-			k.says(c.text, c.close)
+			k.readRequest()
+			k.respond(c.text, c.close)
 			var a *message.Answer
 			var got []byte
-			flows := n > flow.Hold || n > guess && name != "length" && name != "interim"
+			flows := n > flow.Hold || n > unknownLengthBuffer && name != "length" && name != "interim"
 			if flows {
-				a = k.commit()
+				a = k.waitCommit()
 				var err error
 				if got, err = io.ReadAll(a.Flow); err != nil {
 					t.Errorf("%s, %d: %v", name, n, err)
 				}
 				a.Flow.Close()
 			}
-			e := k.ended()
+			e := k.waitExchanged()
 			if !flows && e.Err == nil {
 				a = e.Message.(*message.Answer)
 				got = a.Body
@@ -133,69 +136,70 @@
 			if name == "chunked" && (a.Trailer.Get("X-Sum") != "5" || a.Trailer.Get("X-Other") != "6") {
 				t.Errorf("%s, %d: trailer %v", name, n, a.Trailer)
 			}
-			k.lentNothing()
+			k.checkNothingLent()
 		}
 	}
 }
 
-// Each way in which a large answer can fail, before its commit and after. Before it there is no word of a commit, so
-// that another app node can still be asked; after it the client's side never sees an end that looks whole.
-func TestHowALargeAnswerFails(t *testing.T) {
-	body := noise(300 << 10)
+// Every way in which a large answer can fail, before it is committed to the client and after. Before that it is not
+// offered to the reducer, so that another app node can still be tried. Afterwards the acceptor never reads an end that
+// looks complete.
+func TestLargeAnswerFailures(t *testing.T) {
+	body := randomBody(300 << 10)
 	length := fmt.Sprintf("HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n", len(body))
 	part := chunked(body, "")[:200<<10]
 	for name, c := range map[string]struct {
-		says   string
-		close  bool
-		commit bool
-		want   reducer.Result
+		response string
+		close    bool
+		commit   bool
+		want     reducer.Result
 	}{
-		"cut after the head":     {length, true, false, reducer.Broke},
-		"cut at the commit":      {length + body[:1], true, true, reducer.Broke},
-		"cut after it":           {length + body[:200<<10], true, true, reducer.Broke},
-		"cut at the last byte":   {length + body[:len(body)-1], true, true, reducer.Broke},
-		"chunks, cut early":      {part[:guess/2], true, false, reducer.Broke},
-		"chunks, cut late":       {part, true, true, reducer.Broke},
-		"chunks, no last one":    {chunked(body, "")[:len(chunked(body, ""))-5], true, true, reducer.Broke},
-		"chunks without end":     {chunked(strings.Repeat(body, 5), ""), false, true, reducer.Broke}, // over the 1 MiB passed
-		"stops before it":        {part[:guess/2], false, false, reducer.Stalled},
-		"stops after it":         {length + body[:200<<10], false, true, reducer.Stalled},
-		"chunks, stops after it": {part, false, true, reducer.Stalled},
+		"cut after the head":             {length, true, false, reducer.Broke},
+		"cut at the commit":              {length + body[:1], true, true, reducer.Broke},
+		"cut after the commit":           {length + body[:200<<10], true, true, reducer.Broke},
+		"cut at the last byte":           {length + body[:len(body)-1], true, true, reducer.Broke},
+		"chunks, cut early":              {part[:unknownLengthBuffer/2], true, false, reducer.Broke},
+		"chunks, cut late":               {part, true, true, reducer.Broke},
+		"chunks, no last chunk":          {chunked(body, "")[:len(chunked(body, ""))-5], true, true, reducer.Broke},
+		"chunks over the limit":          {chunked(strings.Repeat(body, 5), ""), false, true, reducer.Broke}, // over the limit of 1 MiB
+		"stalls before the commit":       {part[:unknownLengthBuffer/2], false, false, reducer.Stalled},
+		"stalls after the commit":        {length + body[:200<<10], false, true, reducer.Stalled},
+		"chunks, stall after the commit": {part, false, true, reducer.Stalled},
 	} {
 		t.Run(name, func(t *testing.T) {
-			k := newLink(t)
+			k := newTestConn(t)
 			if c.want == reducer.Stalled {
-				if k.stall = 40 * time.Millisecond; c.commit {
-					k.stall, k.flowStall = k.flowStall, k.stall
+				if k.readTimeout = 40 * time.Millisecond; c.commit {
+					k.readTimeout, k.flowReadTimeout = k.flowReadTimeout, k.readTimeout
 				}
 			}
 			k.send([]byte("skip"))
-			k.asked()
-			k.says(c.says, c.close)
+			k.readRequest()
+			k.respond(c.response, c.close)
 			if c.commit {
-				a := k.commit()
+				a := k.waitCommit()
 				if got, err := io.ReadAll(a.Flow); err == nil || len(got) >= len(body) && !strings.Contains(name, "chunks") {
 					t.Errorf("%d bytes, %v", len(got), err)
 				}
 				a.Flow.Close()
 			}
-			if e := k.ended(); e.Result != c.want || e.Err == nil || e.Reuse || e.Written != reducer.Whole {
+			if e := k.waitExchanged(); e.Result != c.want || e.Err == nil || e.Reuse || e.Written != reducer.Whole {
 				t.Errorf("%+v", e)
 			}
-			k.lentNothing()
+			k.checkNothingLent()
 		})
 	}
 }
 
-// A client's side that gives up, and a reducer that closes, end a flow that waits for the app node, and give its memory
-// back; the first is told as such, and is no fault of the app node's.
-func TestAFlowIsCalledOff(t *testing.T) {
+// A flow that waits for the app node ends when the acceptor closes it or the reducer closes the connection, and its
+// memory is returned. The first is reported as the client's departure and not as a failure of the app node.
+func TestFlowIsCancelled(t *testing.T) {
 	for _, byClient := range []bool{true, false} {
-		k := newLink(t)
+		k := newTestConn(t)
 		k.send([]byte("skip"))
-		k.asked()
-		k.says(fmt.Sprintf("HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s", 300<<10, noise(200<<10)), false)
-		a := k.commit()
+		k.readRequest()
+		k.respond(fmt.Sprintf("HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s", 300<<10, randomBody(200<<10)), false)
+		a := k.waitCommit()
 		read := make(chan error)
 		go func() {
 			_, err := io.Copy(io.Discard, a.Flow)
@@ -203,177 +207,180 @@
 		}()
 		if byClient {
 			a.Flow.Close()
-			if e := k.ended(); e.Result != reducer.Left || e.Reuse {
+			if e := k.waitExchanged(); e.Result != reducer.Left || e.Reuse {
 				t.Errorf("%+v", e)
 			}
 		}
-		k.set.Close(reducer.Close{Conn: 1})
+		k.connections.Close(reducer.Close{Conn: 1})
 		if err := <-read; err == nil {
-			t.Error("an end where there is none")
+			t.Error("a cancelled flow ended like a complete one")
 		}
 		a.Flow.Close()
-		k.lentNothing()
-		if _, err := k.read.ReadByte(); err == nil {
-			t.Error("the app node's connection goes on")
+		k.checkNothingLent()
+		if _, err := k.nodeReader.ReadByte(); err == nil {
+			t.Error("the app node's connection is still open")
 		}
 	}
 }
 
-// A flow that nobody reads, since its client's side waits for the client or has never come for it, ends with the close.
-func TestAFlowThatNobodyReadsIsCalledOff(t *testing.T) {
-	k := newLink(t)
+// A flow that nobody reads, because the acceptor waits for the client or has never opened it, ends with the connection.
+func TestUnreadFlowIsCancelled(t *testing.T) {
+	k := newTestConn(t)
 	k.send([]byte("skip"))
-	k.asked()
-	k.says(fmt.Sprintf("HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s", 300<<10, noise(200<<10)), false)
-	f := (<-k.events).(reducer.Flowing).Message.(*message.Answer).Flow
-	k.set.Close(reducer.Close{Conn: 1})
-	<-f.Ended()
-	k.lentNothing()
+	k.readRequest()
+	k.respond(fmt.Sprintf("HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s", 300<<10, randomBody(200<<10)), false)
+	unread := (<-k.events).(reducer.Flowing).Message.(*message.Answer).Flow
+	k.connections.Close(reducer.Close{Conn: 1})
+	<-unread.Ended()
+	k.checkNothingLent()
 }
 
-// With all memory lent, a large answer waits, is let in when some comes back, and else told of as what it is.
-func TestALargeAnswerWithoutRoom(t *testing.T) {
-	for _, comesBack := range []bool{true, false} {
-		k := newLink(t)
+// While all memory is lent, a large answer waits for it. It is streamed once memory is returned, and otherwise reported
+// as NoRoom.
+func TestLargeAnswerWithoutMemory(t *testing.T) {
+	for _, released := range []bool{true, false} {
+		k := newTestConn(t)
 		other, err := k.room.Take(nil, time.Second)
 		if err != nil {
 			t.Fatal(err)
 		}
-		if !comesBack {
-			k.set.bounds.Wait = 30 * time.Millisecond
+		if !released {
+			k.connections.bounds.Wait = 30 * time.Millisecond
 		}
 		k.send([]byte("skip"))
-		k.asked()
-		k.says(fmt.Sprintf("HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s", 100<<10, noise(100<<10)), false)
-		if !comesBack {
-			if e := k.ended(); e.Result != reducer.NoRoom || e.Reuse {
+		k.readRequest()
+		k.respond(fmt.Sprintf("HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s", 100<<10, randomBody(100<<10)), false)
+		if !released {
+			if e := k.waitExchanged(); e.Result != reducer.NoRoom || e.Reuse {
 				t.Errorf("%+v", e)
 			}
 			other.Release()
-			k.lentNothing()
+			k.checkNothingLent()
 			continue
 		}
 		other.Release()
-		a := k.commit()
+		a := k.waitCommit()
 		got, err := io.ReadAll(a.Flow)
 		a.Flow.Close()
-		if e := k.ended(); string(got) != noise(100<<10) || err != nil || e.Result != reducer.Good {
+		if e := k.waitExchanged(); string(got) != randomBody(100<<10) || err != nil || e.Result != reducer.Good {
 			t.Errorf("%d bytes, %v, %+v", len(got), err, e)
 		}
 	}
 }
 
-// upload is a client's body; the client stops where said is at its end, until it is interrupted.
-type upload struct {
+// stallingUpload is an upload whose client sends what it has been given and then nothing, until the upload is
+// interrupted.
+type stallingUpload struct {
 	*flow.Upload
-	stop chan struct{}
+	interrupted chan struct{}
 }
 
-func newUpload(said io.Reader, length int64) *upload {
-	u := &upload{stop: make(chan struct{})}
-	u.Upload = flow.NewUpload(io.MultiReader(said, u), length, 1<<30, time.Hour, time.Now, func(at time.Time) {
+func newStallingUpload(sent io.Reader, length int64) *stallingUpload {
+	u := &stallingUpload{interrupted: make(chan struct{})}
+	u.Upload = flow.NewUpload(io.MultiReader(sent, u), length, 1<<30, time.Hour, time.Now, func(at time.Time) {
 		if at.Equal(time.Unix(1, 0)) {
-			close(u.stop)
+			close(u.interrupted)
 		}
 	}, func(time.Time) {})
 	return u
 }
 
-func (u *upload) Read([]byte) (int, error) {
-	<-u.stop
+func (u *stallingUpload) Read([]byte) (int, error) {
+	<-u.interrupted
 	return 0, errors.New("interrupted")
 }
 
-// An upload goes out as it comes, and once. What ends it in its middle ends its writer, whoever that waits for, and the
-// end says that the body is spent, and whose fault it was.
+// An upload is forwarded as it arrives, and only once. Whatever ends it midway also ends its writer, whether that waits
+// for the client or the app node. The result says that the body is spent and which side failed.
 func TestUploads(t *testing.T) {
-	body := noise(300 << 10)
-	k := newLink(t)
+	body := randomBody(300 << 10)
+	k := newTestConn(t)
 	whole := flow.NewUpload(strings.NewReader(body), int64(len(body)), 1<<30, time.Hour, time.Now, func(time.Time) {}, func(time.Time) {})
-	k.sendAs(&message.Call{Upload: whole})
-	r, err := http.ReadRequest(k.read)
+	k.sendCall(&message.Call{Upload: whole})
+	r, err := http.ReadRequest(k.nodeReader)
 	if err != nil {
 		t.Fatal(err)
 	}
 	got, err := io.ReadAll(r.Body)
-	k.says("HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n", false)
-	if e := k.ended(); string(got) != body || err != nil || e.Result != reducer.Good || !e.Reuse || !e.Spent || e.Written != reducer.Whole {
+	k.respond("HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n", false)
+	if e := k.waitExchanged(); string(got) != body || err != nil || e.Result != reducer.Good || !e.Reuse || !e.Spent || e.Written != reducer.Whole {
 		t.Errorf("%d bytes, %v, %+v", len(got), err, e)
 	}
 
-	k = newLink(t) // an early answer
-	half := newUpload(strings.NewReader(body[:100<<10]), int64(len(body)))
-	k.sendAs(&message.Call{Upload: half.Upload})
-	k.bodyBegins()
-	k.says("HTTP/1.1 409 Booked\r\nContent-Length: 0\r\n\r\n", false)
-	if e := k.ended(); e.Result != reducer.Unusable || e.Reuse || !e.Spent || e.Written != reducer.Partly {
+	k = newTestConn(t) // an early answer
+	half := newStallingUpload(strings.NewReader(body[:100<<10]), int64(len(body)))
+	k.sendCall(&message.Call{Upload: half.Upload})
+	k.readBodyStart()
+	k.respond("HTTP/1.1 409 Booked\r\nContent-Length: 0\r\n\r\n", false)
+	if e := k.waitExchanged(); e.Result != reducer.Unusable || e.Reuse || !e.Spent || e.Written != reducer.Partly {
 		t.Errorf("early answer: %+v", e)
 	}
-	<-half.stop
+	<-half.interrupted
 
-	k = newLink(t) // the app node goes
-	half = newUpload(strings.NewReader(body[:100<<10]), int64(len(body)))
-	k.sendAs(&message.Call{Upload: half.Upload})
-	k.bodyBegins()
-	k.node.Close()
-	if e := k.ended(); e.Result != reducer.Broke || !e.Spent || e.Written != reducer.Partly {
-		t.Errorf("the app node goes: %+v", e)
+	k = newTestConn(t) // the app node closes the connection
+	half = newStallingUpload(strings.NewReader(body[:100<<10]), int64(len(body)))
+	k.sendCall(&message.Call{Upload: half.Upload})
+	k.readBodyStart()
+	k.nodeConn.Close()
+	if e := k.waitExchanged(); e.Result != reducer.Broke || !e.Spent || e.Written != reducer.Partly {
+		t.Errorf("the app node closes: %+v", e)
 	}
 
-	k = newLink(t) // the client says too little
+	k = newTestConn(t) // the client sends less than it declared
 	short := flow.NewUpload(strings.NewReader(body[:100<<10]), int64(len(body)), 1<<30, time.Hour, time.Now, func(time.Time) {}, func(time.Time) {})
-	k.sendAs(&message.Call{Upload: short})
-	if e := k.ended(); e.Result != reducer.Left || !e.Spent || e.Written != reducer.Partly {
-		t.Errorf("the client says too little: %+v", e)
+	k.sendCall(&message.Call{Upload: short})
+	if e := k.waitExchanged(); e.Result != reducer.Left || !e.Spent || e.Written != reducer.Partly {
+		t.Errorf("short upload: %+v", e)
 	}
 
-	k = newLink(t) // the reducer closes while the writer waits for the client
-	half = newUpload(strings.NewReader(""), 9)
-	k.sendAs(&message.Call{Upload: half.Upload})
+	k = newTestConn(t) // the reducer closes while the writer waits for the client
+	half = newStallingUpload(strings.NewReader(""), 9)
+	k.sendCall(&message.Call{Upload: half.Upload})
 	for until := time.Now().Add(20 * time.Second); !half.Touched(); time.Sleep(time.Millisecond) {
 		if time.Now().After(until) {
-			t.Fatal("the body is not asked for")
+			t.Fatal("the body was not read within 20 s")
 		}
 	}
-	k.set.Close(reducer.Close{Conn: 1})
+	k.connections.Close(reducer.Close{Conn: 1})
 	select {
-	case <-half.stop:
+	case <-half.interrupted:
 	case <-time.After(20 * time.Second):
-		t.Fatal("the writer still waits for the client")
+		t.Fatal("the upload was not interrupted within 20 s")
 	}
 }
 
-// A call that is given up is reset, so that no part of it is sent on later; a connection at rest is closed in peace.
-func TestACallThatIsGivenUpIsReset(t *testing.T) {
+// Closing a connection with a call in progress resets it, so that no part of the call is delivered later. An idle
+// connection is closed normally.
+func TestCloseResetsBusyConnection(t *testing.T) {
 	for _, busy := range []bool{true, false} {
-		k := newLink(t)
+		k := newTestConn(t)
 		if busy {
 			k.send([]byte("skip"))
-			k.asked()
+			k.readRequest()
 		}
-		k.set.Close(reducer.Close{Conn: 1})
-		if _, err := k.read.ReadByte(); errors.Is(err, syscall.ECONNRESET) != busy {
+		k.connections.Close(reducer.Close{Conn: 1})
+		if _, err := k.nodeReader.ReadByte(); errors.Is(err, syscall.ECONNRESET) != busy {
 			t.Errorf("busy %v: %v", busy, err)
 		}
 	}
 }
 
-// An app node that has the last byte may answer before our writer has come to its end. Such a call may have run, and must
-// never count as one that cannot have.
-func TestAnAnswerThatOvertakesItsWriter(t *testing.T) {
-	body := noise(100 << 10)
-	k := newLink(t)
-	up := newUpload(strings.NewReader(body), int64(len(body))) // whose end is never seen
-	k.sendAs(&message.Call{Upload: up.Upload})
-	r, err := http.ReadRequest(k.read)
+// An app node that has received the last byte may answer before the writer ends. Such a call may have run and must never
+// count as one that cannot have run.
+func TestAnswerBeforeWriterEnds(t *testing.T) {
+	body := randomBody(100 << 10)
+	k := newTestConn(t)
+	up := newStallingUpload(strings.NewReader(body), int64(len(body))) // whose end is never read
+	k.sendCall(&message.Call{Upload: up.Upload})
+	r, err := http.ReadRequest(k.nodeReader)
 	if err != nil {
 		t.Fatal(err)
 	}
 	if got, err := io.ReadAll(r.Body); string(got) != body || err != nil {
 		t.Fatalf("%d bytes, %v", len(got), err)
 	}
-	k.says("HTTP/1.1 500 Internal Server Error\r\nContent-Length: 0\r\n\r\n", false)
-	if e := k.ended(); e.Written != reducer.Whole || e.Result != reducer.Errored || !e.Spent {
+	k.respond("HTTP/1.1 500 Internal Server Error\r\nContent-Length: 0\r\n\r\n", false)
+	if e := k.waitExchanged(); e.Written != reducer.Whole || e.Result != reducer.Errored || !e.Spent {
 		t.Errorf("%+v", e)
 	}
 }
--- a/internal/delegation/read.go
+++ b/internal/delegation/read.go
@@ -16,193 +16,200 @@
 )
 
 const (
-	// maxHead bounds the status line and header of an answer; an app node that sends more is broken.
-	maxHead = 16 << 10
-	// maxInterim bounds the 1xx answers in front of one.
-	maxInterim = 4
-	// guess is the buffer for a body that does not say how long it is, and goes on to be committed once it is full: of a long
-	// answer the first bytes are what counts, and one whose app node writes slowly may take seconds over what is held of
-	// others.
-	guess = 2 << 10
+	// maxHeadBytes bounds the status line and header of an answer; an app node that sends more is faulty.
+	maxHeadBytes = 16 << 10
+	// maxInterimAnswers bounds the 1xx answers before the final one.
+	maxInterimAnswers = 4
+	// unknownLengthBuffer is how much of a body without a declared length is buffered before the answer is streamed, in
+	// bytes. It is smaller than flow.Hold because the client of a long answer waits for its first bytes, and an app node
+	// that writes slowly may take seconds to fill flow.Hold.
+	unknownLengthBuffer = 2 << 10
 )
 
 var (
-	errHead    = errors.New("delegation: the head of an answer is over the limit")
-	errInterim = errors.New("delegation: interim answers without end")
-	errTurn    = errors.New("delegation: bytes out of turn")
+	errHeadTooLarge      = errors.New("delegation: status line and header of the answer exceed the limit")
+	errUnexpectedInterim = errors.New("delegation: unexpected 1xx answer")
+	errNotWritten        = errors.New("delegation: call not written: connection closed or not idle, or client disconnected")
 )
 
-// source is the socket with the bounds in force while an answer is read.
-type source struct {
-	nc    net.Conn
-	left  int64         // that may come before the head is whole
-	stall time.Duration // for the next bytes; 0: as long as it takes
-	pause time.Duration // the longest so far
+// boundedReader reads from a connection and enforces the limits on size and time that apply to the current part of an
+// answer.
+type boundedReader struct {
+	nc           net.Conn
+	headLeft     int64         // bytes that may still arrive before the head is complete
+	timeout      time.Duration // for the next bytes; 0: none
+	longestPause time.Duration // of the reads with a timeout, since startHead
 }
 
-func (s *source) Read(p []byte) (int, error) {
-	if s.left <= 0 {
-		return 0, errHead
+func (s *boundedReader) Read(p []byte) (int, error) {
+	if s.headLeft <= 0 {
+		return 0, errHeadTooLarge
 	}
-	p = p[:min(int64(len(p)), s.left)]
-	if s.stall <= 0 {
+	p = p[:min(int64(len(p)), s.headLeft)]
+	if s.timeout <= 0 {
 		n, err := s.nc.Read(p)
-		s.left -= int64(n)
+		s.headLeft -= int64(n)
 		return n, err
 	}
 	began := time.Now()
-	s.nc.SetReadDeadline(began.Add(s.stall))
+	s.nc.SetReadDeadline(began.Add(s.timeout))
 	n, err := s.nc.Read(p)
-	s.pause = max(s.pause, time.Since(began))
+	s.longestPause = max(s.longestPause, time.Since(began))
 	return n, err
 }
 
-// head bounds what comes next as the head of an answer, which is waited for as long as its call lasts.
-func (s *source) head() {
-	s.left, s.pause = maxHead, 0
-	if s.stall > 0 {
-		s.stall = 0
+// startHead limits the size of what follows as the head of an answer. There is no read timeout, because the head may
+// arrive at any time until the call ends.
+func (s *boundedReader) startHead() {
+	s.headLeft, s.longestPause = maxHeadBytes, 0
+	if s.timeout > 0 {
+		s.timeout = 0
 		s.nc.SetReadDeadline(time.Time{})
 	}
 }
 
-// body lifts the bound on bytes, since the reader of a body counts its own, and sets the wait.
-func (s *source) body(stall time.Duration) { s.left, s.stall = math.MaxInt64, stall }
+// startBody sets the read timeout and lifts the limit on the size, which the reader of the body enforces itself.
+func (s *boundedReader) startBody(timeout time.Duration) {
+	s.headLeft, s.timeout = math.MaxInt64, timeout
+}
 
-// read waits for what comes on the connection, until it ends: answers to exchanges, or the app node's close.
-func (k *conn) read() {
+// readLoop reads the answers to exchanges until the connection is closed or cannot be reused.
+func (k *conn) readLoop() {
 	for {
-		k.src.head()
+		k.in.startHead()
 		_, err := k.br.Peek(1)
 		k.mu.Lock()
-		job := k.job
-		if job == nil || !job.begun { // closed, or it speaks out of turn
-			k.dead, k.job = true, nil
+		ex := k.current
+		if ex == nil || !ex.sending { // closed, or unsolicited bytes
+			k.readerDone, k.current = true, nil
 			k.mu.Unlock()
-			if job == nil {
-				k.set.post(reducer.Lost{Conn: k.id})
+			if ex == nil {
+				k.connections.post(reducer.Lost{Conn: k.id})
 				return
 			}
-			<-job.written // with nothing written
-			e := reducer.Exchanged{Conn: k.id, Written: reducer.Nothing, Err: errTurn}
-			if job.left {
+			<-ex.writerDone // the writer has written nothing
+			e := reducer.Exchanged{Conn: k.id, Written: reducer.Nothing, Err: errNotWritten}
+			if ex.clientLeft {
 				e.Result = reducer.Left
 			}
-			k.set.post(e)
+			k.connections.post(e)
 			return
 		}
 		k.mu.Unlock()
 		e := reducer.Exchanged{Conn: k.id, Err: err}
 		if err == nil {
-			k.answer(job, &e)
+			k.readAnswer(ex, &e)
 		}
 		if e.Err != nil {
-			k.nc.SetDeadline(time.Unix(1, 0)) // a writer that still pushes against a dead peer has to end
-			k.stopWriter(job)
+			k.nc.SetDeadline(time.Unix(1, 0)) // ends a writer that is blocked on a peer that no longer reads
+			k.stopWriter(ex)
 		} else {
 			select {
-			case <-job.written:
+			case <-ex.writerDone:
 			default:
-				// Either the writer has only not come to say so yet, or the app node answered before the last
-				// byte and reads no more: this ends the second, and the connection is then of no use.
+				// Either the writer has written everything and is about to end, or the app node answered before the last
+				// byte and has stopped reading. The deadline ends the writer in the second case, after which the connection
+				// cannot be reused.
 				k.nc.SetWriteDeadline(time.Unix(1, 0))
-				k.stopWriter(job)
+				k.stopWriter(ex)
 				k.nc.SetWriteDeadline(time.Time{})
 			}
 		}
-		// An answer can overtake the moment at which our writer sees its last byte go: what may have run must not count as never run.
-		e.Spent = job.feed.spent()
+		// An answer can arrive before the writer has noted its last byte. A call that may have run must not count as one
+		// that cannot have run.
+		e.Spent = ex.upload.hasStarted()
 		e.Written = reducer.Partly
-		if job.whole || e.Spent && job.call.Upload.Gone() {
+		if ex.complete || e.Spent && ex.call.Upload.Gone() {
 			e.Written = reducer.Whole
 		}
-		if e.Err != nil && e.Spent && job.call.Upload.Failed() {
-			e.Result = reducer.Left // the app node has no part in it
+		if e.Err != nil && e.Spent && ex.call.Upload.Failed() {
+			e.Result = reducer.Left // the client failed, not the app node
 		}
 		k.mu.Lock()
-		e.Reuse = e.Reuse && job.whole
-		k.job, k.flow, k.dead = nil, nil, !e.Reuse
+		e.Reuse = e.Reuse && ex.complete
+		k.current, k.flow, k.readerDone = nil, nil, !e.Reuse
 		k.mu.Unlock()
-		k.set.post(e)
+		k.connections.post(e)
 		if !e.Reuse {
 			return
 		}
 	}
 }
 
-// stopWriter waits for the writer, whose socket takes nothing any more, and which may be waiting for the client.
-func (k *conn) stopWriter(job *exchange) {
+// stopWriter waits until the writer ends. Writes must already have been ended by a deadline; the upload is stopped here,
+// because the writer may be waiting for the client.
+func (k *conn) stopWriter(ex *exchange) {
 	select {
-	case <-job.written:
+	case <-ex.writerDone:
 	default:
-		job.feed.stop()
-		<-job.written
+		ex.upload.stop()
+		<-ex.writerDone
 	}
 }
 
-// answer reads one answer into e. One that is broken off, too long or not HTTP is none, as with a reset: the call may
-// have run, and its outcome is known at once. One that is larger than what is held is offered to the reducer and, once
-// it is the client's, passes by here.
-func (k *conn) answer(job *exchange, e *reducer.Exchanged) {
-	resp, err := k.readHead(job)
+// readAnswer reads one answer into e. An answer that is cut off, too long or not HTTP is an error, as a reset is: the
+// call may have run, and its result is known at once. An answer too large to be buffered is offered to the reducer and
+// then streamed to the client.
+func (k *conn) readAnswer(ex *exchange, e *reducer.Exchanged) {
+	resp, err := k.readHead(ex)
 	if err != nil {
 		e.Err = err
 		return
 	}
-	for _, text := range resp.Header.Values("X-Load") { // one that can't be read may stand before a good one
-		if e.Report = k.set.report(text); e.Report != nil {
+	for _, text := range resp.Header.Values("X-Load") { // a malformed report may precede a valid one
+		if e.Report = k.connections.parseReport(text); e.Report != nil {
 			break
 		}
 	}
-	resp.Header.Del("X-Load") // between app nodes and balancers alone
+	resp.Header.Del("X-Load") // not meant for clients
 	result := classify(resp)
-	k.src.body(job.stall)
-	held, lease, err := k.hold(resp)
-	e.Pause = k.src.pause
+	k.in.startBody(ex.readTimeout)
+	held, lease, err := k.readHeld(resp)
+	e.Pause = k.in.longestPause
 	a := &message.Answer{Status: resp.StatusCode, Header: resp.Header, Trailer: &resp.Trailer, Body: held}
 	switch {
 	case err == flow.ErrFull:
 		e.Result = reducer.NoRoom
 	case errors.Is(err, os.ErrDeadlineExceeded):
-		e.Result, e.Err = reducer.Stalled, fmt.Errorf("delegation: nothing more for %v", job.stall)
+		e.Result, e.Err = reducer.Stalled, fmt.Errorf("delegation: no more of the answer for %v", ex.readTimeout)
 	case err != nil:
 		e.Err = err
 	case lease == nil:
 		e.Result, e.Message = result, a
-		// The body is not closed: that would read on to its end, however far off, and it holds nothing of its own.
+		// The body is not closed: Close would read to its end, however long it is, and it holds no resources.
 		e.Reuse = !resp.Close && k.br.Buffered() == 0
-	case result != reducer.Good && result != reducer.Unusable: // nobody reads on
+	case result != reducer.Good && result != reducer.Unusable: // the rest is not wanted
 		lease.Release()
 		e.Result = result
 	default:
 		a.Body = nil
-		a.Flow = flow.New(lease, held, resp.Body, k.set.bounds.Largest-int64(len(held)))
-		k.pass(job, result, a, e)
+		a.Flow = flow.New(lease, held, resp.Body, k.connections.bounds.Largest-int64(len(held)))
+		k.stream(ex, result, a, e)
 		e.Reuse = e.Result == reducer.Good && !resp.Close && k.br.Buffered() == 0
 	}
 }
 
-// readHead reads the head of an answer, past those of 1xx.
-func (k *conn) readHead(job *exchange) (*http.Response, error) {
-	k.req.Method = job.call.Request.Method
-	for range maxInterim + 1 {
-		resp, err := http.ReadResponse(k.br, &k.req)
+// readHead reads the head of the final answer and skips up to maxInterimAnswers of 1xx.
+func (k *conn) readHead(ex *exchange) (*http.Response, error) {
+	k.request.Method = ex.call.Request.Method
+	for range maxInterimAnswers + 1 {
+		resp, err := http.ReadResponse(k.br, &k.request)
 		switch {
 		case err != nil:
 			return nil, err
 		case resp.StatusCode == http.StatusSwitchingProtocols:
-			return nil, errInterim // nothing of ours asked for it
+			return nil, errUnexpectedInterim // no request of ours asks for an upgrade
 		case resp.StatusCode < 200:
-		case resp.ContentLength > k.set.bounds.Largest && resp.Body != http.NoBody: // the rest would be read for nothing
+		case resp.ContentLength > k.connections.bounds.Largest && resp.Body != http.NoBody: // fail before reading a body that can't be forwarded
 			return nil, flow.ErrTooLong
 		default:
 			return resp, nil
 		}
 	}
-	return nil, errInterim
+	return nil, errUnexpectedInterim
 }
 
-// classify says what an answer means to the call.
+// classify returns the result of an attempt by the head of its answer.
 func classify(resp *http.Response) reducer.Result {
 	switch s := resp.StatusCode; {
 	case s < 400:
@@ -210,13 +217,14 @@
 	case (s == http.StatusServiceUnavailable || s == http.StatusGatewayTimeout) && resp.Header.Get("X-Not-Run") == "1":
 		return reducer.Shed
 	case s < 500 && s != http.StatusRequestTimeout && s != http.StatusTooManyRequests:
-		return reducer.Unusable // no other app node would do better
+		return reducer.Unusable // another app node would give the same answer
 	}
 	return reducer.Errored
 }
 
-// hold reads a body as far as it is held. One that goes on comes with the lease of its buffer.
-func (k *conn) hold(resp *http.Response) (held []byte, lease *flow.Lease, err error) {
+// readHeld reads the part of a body that is buffered. A nil lease means that held is the whole body; otherwise more may
+// follow, and held lies in the buffer of the lease.
+func (k *conn) readHeld(resp *http.Response) (held []byte, lease *flow.Lease, err error) {
 	if resp.Body == http.NoBody { // HEAD, 204, 304, or a length of 0
 		return nil, nil, nil
 	}
@@ -226,9 +234,9 @@
 		return held, nil, err
 	}
 	if resp.ContentLength < 0 { // most such bodies are short
-		held = make([]byte, 0, guess)
-		for len(held) < guess && err == nil {
-			held, err = fill(resp.Body, held)
+		held = make([]byte, 0, unknownLengthBuffer)
+		for len(held) < unknownLengthBuffer && err == nil {
+			held, err = readOnce(resp.Body, held)
 		}
 		if err == io.EOF {
 			return held, nil, nil
@@ -236,18 +244,18 @@
 			return nil, nil, err
 		}
 	}
-	if lease, err = k.set.bounds.Room.Take(k.gone, k.set.bounds.Wait); err != nil {
+	if lease, err = k.connections.bounds.Room.Take(k.closed, k.connections.bounds.Wait); err != nil {
 		return nil, nil, err
 	}
 	buffer := append(lease.Held(), held...)
-	if len(buffer) == 0 { // it is told that it is large: its first bytes are what counts
-		buffer, err = fill(resp.Body, buffer)
+	if len(buffer) == 0 { // declared as large: its first bytes are enough to begin
+		buffer, err = readOnce(resp.Body, buffer)
 	}
 	switch {
 	case err == nil:
 		return buffer, lease, nil
 	case err == io.EOF && resp.ContentLength < 0:
-		held, err = append([]byte(nil), buffer...), nil // whole after all
+		held, err = append([]byte(nil), buffer...), nil // the body is complete after all
 	case err == io.EOF:
 		err = io.ErrUnexpectedEOF
 	}
@@ -255,32 +263,32 @@
 	return held, nil, err
 }
 
-// fill reads once into what a buffer has left.
-func fill(r io.Reader, b []byte) ([]byte, error) {
+// readOnce appends one read to b, within its capacity.
+func readOnce(r io.Reader, b []byte) ([]byte, error) {
 	n, err := r.Read(b[len(b):cap(b)])
 	return b[:len(b)+n], err
 }
 
-// pass offers an answer to the reducer, lends it to the client's side, and waits until nobody reads it any more.
-func (k *conn) pass(job *exchange, result reducer.Result, a *message.Answer, e *reducer.Exchanged) {
-	k.src.body(job.flowStall)
+// stream offers an answer to the reducer, lends its flow to the acceptor, and waits until nobody reads from it any more.
+func (k *conn) stream(ex *exchange, result reducer.Result, a *message.Answer, e *reducer.Exchanged) {
+	k.in.startBody(ex.flowReadTimeout)
 	k.mu.Lock()
 	k.flow = a.Flow
 	select {
-	case <-k.gone: // Close came before and has not seen it
+	case <-k.closed: // Close ran before k.flow was set
 		a.Flow.Break(net.ErrClosed)
 	default:
 	}
 	k.mu.Unlock()
-	k.set.post(reducer.Flowing{Conn: k.id, Result: result, Message: a})
+	k.connections.post(reducer.Flowing{Conn: k.id, Result: result, Message: a})
 	<-a.Flow.Ended()
 	switch err := a.Flow.Err(); {
 	case err == io.EOF:
-		e.Result, e.Pause = reducer.Good, k.src.pause
+		e.Result, e.Pause = reducer.Good, k.in.longestPause
 	case err == flow.ErrStopped:
 		e.Result = reducer.Left
 	case errors.Is(err, os.ErrDeadlineExceeded):
-		e.Result, e.Err = reducer.Stalled, fmt.Errorf("nothing more for %v", job.flowStall)
+		e.Result, e.Err = reducer.Stalled, fmt.Errorf("delegation: no more of the answer for %v", ex.flowReadTimeout)
 	default:
 		e.Err = err
 	}
--- a/internal/delegation/report.go
+++ b/internal/delegation/report.go
@@ -5,14 +5,15 @@
 	"strings"
 )
 
-// names gives the other word for each of the settings' columns: app nodes were seen to write the settings'
-// own words, and the protocol's example has these. A report that is not understood is a node that decides
-// blind, so either is taken.
-var names = map[string]string{"outstanding": "inflight", "backlog": "queue", "utilization": "util",
+// columnAliases maps the column names of the settings to the short ones of the protocol's example. App nodes have been
+// seen to send the settings' names. Both are accepted, because without a readable report decisions about the app node
+// lack its load.
+var columnAliases = map[string]string{"outstanding": "inflight", "backlog": "queue", "utilization": "util",
 	"recent_ms": "latency_ms", "throughput": "qps", "errors_per_s": "eps"}
 
-// report reads a load report in the order of the settings' columns; nil if it lacks one or is garbled.
-func (c *Connections) report(text string) []float64 {
+// parseReport returns the values of a load report in the order of the settings' columns, or nil if a column is missing
+// or a value is malformed.
+func (c *Connections) parseReport(text string) []float64 {
 	columns := *c.columns.Load()
 	if text == "" || len(columns) == 0 {
 		return nil
@@ -22,7 +23,7 @@
 		found := false
 		for field := range strings.SplitSeq(text, ",") {
 			name, value, _ := strings.Cut(field, "=")
-			if name = strings.TrimSpace(name); name != column && name != names[column] {
+			if name = strings.TrimSpace(name); name != column && name != columnAliases[column] {
 				continue
 			}
 			v, err := strconv.ParseFloat(strings.TrimSpace(value), 64)
--- a/internal/delegation/write.go
+++ b/internal/delegation/write.go
@@ -16,127 +16,132 @@
 	"pewterrudder/internal/socket"
 )
 
-// Exchange writes a call in the background; the reader of the connection reports its end.
+// Exchange writes a call in the background; the connection's read loop reports the result as reducer.Exchanged.
 func (c *Connections) Exchange(e reducer.Exchange) {
-	k := c.conns[e.Conn]
+	k := c.byID[e.Conn]
 	if k == nil {
 		return
 	}
-	job := &exchange{call: e.Call.Message.(*message.Call), stall: e.Stall, flowStall: e.FlowStall,
-		written: make(chan struct{})}
-	if up := job.call.Upload; up != nil {
-		job.feed = &feed{up: up}
+	ex := &exchange{call: e.Call.Message.(*message.Call), readTimeout: e.Stall, flowReadTimeout: e.FlowStall,
+		writerDone: make(chan struct{})}
+	if upload := ex.call.Upload; upload != nil {
+		ex.upload = &uploadReader{upload: upload}
 	}
 	k.mu.Lock()
-	dead := k.dead
-	if !dead {
-		k.job = job
+	readerDone := k.readerDone
+	if !readerDone {
+		k.current = ex
 	}
 	k.mu.Unlock()
-	if dead { // the app node closed while the reducer picked this connection
+	if readerDone { // the app node closed while the reducer picked this connection
 		go c.post(reducer.Exchanged{Conn: e.Conn, Written: reducer.Nothing, Err: io.EOF})
 		return
 	}
-	go k.write(job, e.Wait)
+	go k.write(ex, e.Wait)
 }
 
-// write sends a call: one that is held whole in one piece, an upload as its client's side gives it.
-func (k *conn) write(job *exchange, wait time.Duration) {
-	defer close(job.written)
-	out := request(job, wait)
+// write sends a call: a buffered body together with the header in one write, an upload as the client sends it. wait is
+// the time left until the call's deadline.
+func (k *conn) write(ex *exchange, wait time.Duration) {
+	defer close(ex.writerDone)
+	out := buildRequest(ex, wait)
 	var wire bytes.Buffer
 	var err error
-	if job.call.Upload == nil {
+	if ex.call.Upload == nil {
 		err = out.Write(&wire)
 	}
 	k.mu.Lock()
-	// The last look: what led here may have waited, for a connection or for its turn on a busy machine, and the client's leaving
-	// may stand behind it in the queue.
-	job.left = job.call.Left != nil && job.call.Left()
-	job.begun = err == nil && !job.left && !k.dead && k.quiet()
-	begun := job.begun
+	// Last check for the client: the call may have waited for a connection or for the scheduler, and the event of the
+	// client's disconnect may still be queued.
+	ex.clientLeft = ex.call.Left != nil && ex.call.Left()
+	ex.sending = err == nil && !ex.clientLeft && !k.readerDone && k.quiet()
+	sending := ex.sending
 	k.mu.Unlock()
-	if begun {
-		if job.call.Upload == nil {
+	if sending {
+		if ex.call.Upload == nil {
 			var n int
 			n, _ = k.nc.Write(wire.Bytes())
-			job.whole = n == wire.Len()
+			ex.complete = n == wire.Len()
 		} else {
-			job.whole = out.Write(k.nc) == nil // net/http holds the body to its stated length
+			ex.complete = out.Write(k.nc) == nil // net/http enforces the declared length of the body
 		}
 	}
-	if job.whole {
-		k.set.written.Add(1)
+	if ex.complete {
+		k.connections.writtenCalls.Add(1)
 	} else {
-		k.nc.SetDeadline(time.Unix(1, 0)) // ends the reader, which reports
+		k.nc.SetDeadline(time.Unix(1, 0)) // ends the read loop, which reports the failure
 	}
 }
 
-// quiet says whether nothing has come in since the last answer. Answers do not name the call they are made for, so what
-// comes before a call is written must never be taken for its answer: a second copy of the last one, noise, the end.
+// quiet reports whether the connection is open and nothing has arrived since the last answer. HTTP/1.1 answers do not
+// identify their request, so what arrives before a call is written (a duplicate answer, garbage, a close) must never be
+// taken for its answer.
 func (k *conn) quiet() bool {
 	probe, err := socket.NewProbe(k.nc)
 	return err == nil && probe.Quiet()
 }
 
-// feed is what one exchange has of an upload. An exchange that ends before its first byte leaves the upload whole for
-// the next, and one that ends later ends it.
-type feed struct {
-	up      *flow.Upload
+// uploadReader reads an upload for one exchange. If the exchange ends before the first read, the upload stays usable for
+// the next exchange; if it ends later, the upload is interrupted.
+type uploadReader struct {
+	upload  *flow.Upload
 	mu      sync.Mutex
-	used    bool
+	started bool
 	stopped bool
 }
 
-func (f *feed) Read(p []byte) (int, error) {
+func (f *uploadReader) Read(p []byte) (int, error) {
 	f.mu.Lock()
-	if f.stopped && !f.up.Whole() { // of a whole one net/http asks once more, for the end
+	if f.stopped && !f.upload.Whole() { // net/http reads a complete upload once more to see io.EOF
 		defer f.mu.Unlock()
 		return 0, flow.ErrStopped
 	}
-	f.used = true
+	f.started = true
 	f.mu.Unlock()
-	return f.up.Read(p)
+	return f.upload.Read(p)
 }
 
-func (f *feed) stop() {
+// stop makes further reads fail and interrupts the upload if this exchange has read from it. f may be nil.
+func (f *uploadReader) stop() {
 	if f == nil {
 		return
 	}
 	f.mu.Lock()
 	f.stopped = true
-	used := f.used
+	started := f.started
 	f.mu.Unlock()
-	if used {
-		f.up.Interrupt()
+	if started {
+		f.upload.Interrupt()
 	}
 }
 
-// spent says that a part of the body went out, or was to, on this exchange.
-func (f *feed) spent() bool {
+// hasStarted reports whether this exchange has begun to read the body, so that part of it may have been sent. A nil f
+// reports false.
+func (f *uploadReader) hasStarted() bool {
 	if f == nil {
 		return false
 	}
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	return f.used
+	return f.started
 }
 
-// request gives a call the form it has on the wire to an app node: target, body and ids as the client sent them.
-func request(job *exchange, wait time.Duration) *http.Request {
-	c, in := job.call, job.call.Request
-	target, query, asked := strings.Cut(in.RequestURI, "?")
+// buildRequest returns the request to the app node, with target, body and ids as the client sent them. wait is the time
+// left until the call's deadline, sent in X-Deadline in microseconds.
+func buildRequest(ex *exchange, wait time.Duration) *http.Request {
+	c, in := ex.call, ex.call.Request
+	target, query, hasQuery := strings.Cut(in.RequestURI, "?")
 	out := &http.Request{Method: in.Method, Host: in.Host, Header: in.Header.Clone(),
-		URL: &url.URL{Opaque: target, RawQuery: query, ForceQuery: asked && query == ""}}
+		URL: &url.URL{Opaque: target, RawQuery: query, ForceQuery: hasQuery && query == ""}}
 	if c.Upload != nil {
-		out.Body, out.ContentLength, out.Trailer = io.NopCloser(job.feed), c.Upload.Length, c.Trailer
+		out.Body, out.ContentLength, out.Trailer = io.NopCloser(ex.upload), c.Upload.Length, c.Trailer
 	} else if len(c.Body) > 0 {
 		out.Body, out.ContentLength = io.NopCloser(bytes.NewReader(c.Body)), int64(len(c.Body))
 	}
 	if _, ok := out.Header["User-Agent"]; !ok {
-		out.Header["User-Agent"] = nil // else Write puts its own
+		out.Header["User-Agent"] = nil // nil keeps Write from adding its default
 	}
-	out.Header.Del("Expect") // the body is here already or on its way, and goes out behind the header
+	out.Header.Del("Expect") // the body follows the header without waiting for a 100 Continue
 	out.Header.Set("X-Deadline", strconv.FormatInt(max(1, wait.Microseconds()), 10)+"u")
 	return out
 }
--- a/internal/patience/patience_test.go
+++ b/internal/patience/patience_test.go
@@ -66,7 +66,7 @@
 	e := Fixed(40 * ms)
 	e.Whole(time.Second)
 	if e.RanOut(); e.Wait() != 40*ms {
-		t.Error("fixed timeout changed to", e.Wait())
+		t.Error(e.Wait())
 	}
 }
 
