--- a/internal/delegation/delegation.go
+++ b/internal/delegation/delegation.go
@@ -127,7 +127,7 @@
 		}
 	}
 	if lent != nil {
-		lent.Break(net.ErrClosed)
+		lent.Abort(net.ErrClosed)
 	}
 	if ex != nil {
 		ex.upload.stop() // the writer may be waiting for the client
--- a/internal/delegation/read.go
+++ b/internal/delegation/read.go
@@ -119,7 +119,7 @@
 		// that cannot have run.
 		e.Spent = ex.upload.hasStarted()
 		e.Written = reducer.Partly
-		if ex.complete || e.Spent && ex.call.Upload.Gone() {
+		if ex.complete || e.Spent && ex.call.Upload.LastByteRead() {
 			e.Written = reducer.Whole
 		}
 		if e.Err != nil && e.Spent && ex.call.Upload.Failed() {
@@ -168,7 +168,7 @@
 	e.Pause = k.in.longestPause
 	a := &message.Answer{Status: resp.StatusCode, Header: resp.Header, Trailer: &resp.Trailer, Body: held}
 	switch {
-	case err == flow.ErrFull:
+	case err == flow.ErrMemoryLimit:
 		e.Result = reducer.NoRoom
 	case errors.Is(err, os.ErrDeadlineExceeded):
 		e.Result, e.Err = reducer.Stalled, fmt.Errorf("delegation: no more of the answer for %v", ex.readTimeout)
@@ -201,7 +201,7 @@
 			return nil, errUnexpectedInterim // no request of ours asks for an upgrade
 		case resp.StatusCode < 200:
 		case resp.ContentLength > k.connections.bounds.Largest && resp.Body != http.NoBody: // fail before reading a body that can't be forwarded
-			return nil, flow.ErrTooLong
+			return nil, flow.ErrBodyTooLarge
 		default:
 			return resp, nil
 		}
@@ -276,7 +276,7 @@
 	k.flow = a.Flow
 	select {
 	case <-k.closed: // Close ran before k.flow was set
-		a.Flow.Break(net.ErrClosed)
+		a.Flow.Abort(net.ErrClosed)
 	default:
 	}
 	k.mu.Unlock()
--- a/internal/flow/bench_test.go
+++ b/internal/flow/bench_test.go
@@ -8,8 +8,8 @@
 	"testing"
 )
 
-// pair is a connection over loopback.
-func pair(b *testing.B) (near, far net.Conn) {
+// loopbackPair returns both ends of a TCP connection over loopback.
+func loopbackPair(b *testing.B) (near, far net.Conn) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		b.Fatal(err)
@@ -24,32 +24,33 @@
 	return near, far
 }
 
-// ring is what stands in docs/flow.md against the hand-over: a bounded buffer that the socket's reader fills and the
-// client's side empties.
-type ring struct {
-	mu       sync.Mutex
-	moved    *sync.Cond
-	buf      [Hold]byte
-	from, to int // positions ever written and read
-	done     bool
+// ringBuffer is the alternative to the hand-over that docs/flow.md compares: a bounded buffer that the socket's reader
+// fills and the client's side drains.
+type ringBuffer struct {
+	mu                sync.Mutex
+	changed           *sync.Cond
+	buf               [Hold]byte
+	readPos, writePos int // bytes read and written in total
+	done              bool
 }
 
-func (r *ring) fill(src io.Reader) {
+// fill copies src into the buffer until src ends, and waits while the buffer is full.
+func (r *ringBuffer) fill(src io.Reader) {
 	p := make([]byte, Copy)
 	for {
 		n, err := src.Read(p)
 		r.mu.Lock()
 		for part := p[:n]; len(part) > 0; {
-			for r.to-r.from == Hold {
-				r.moved.Wait()
+			for r.writePos-r.readPos == Hold {
+				r.changed.Wait()
 			}
-			at := r.to % Hold
-			k := copy(r.buf[at:min(Hold, at+Hold-(r.to-r.from))], part)
-			r.to, part = r.to+k, part[k:]
-			r.moved.Signal()
+			at := r.writePos % Hold
+			k := copy(r.buf[at:min(Hold, at+Hold-(r.writePos-r.readPos))], part)
+			r.writePos, part = r.writePos+k, part[k:]
+			r.changed.Signal()
 		}
 		r.done = err != nil
-		r.moved.Signal()
+		r.changed.Signal()
 		r.mu.Unlock()
 		if err != nil {
 			return
@@ -57,26 +58,26 @@
 	}
 }
 
-func (r *ring) Read(p []byte) (int, error) {
+func (r *ringBuffer) Read(p []byte) (int, error) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	for r.to == r.from {
+	for r.writePos == r.readPos {
 		if r.done {
 			return 0, io.EOF
 		}
-		r.moved.Wait()
+		r.changed.Wait()
 	}
-	at := r.from % Hold
-	n := copy(p, r.buf[at:min(Hold, at+r.to-r.from)])
-	r.from += n
-	r.moved.Signal()
+	at := r.readPos % Hold
+	n := copy(p, r.buf[at:min(Hold, at+r.writePos-r.readPos)])
+	r.readPos += n
+	r.changed.Signal()
 	return n, nil
 }
 
-// BenchmarkMegabyte carries 1 MiB from one socket to another on one processor, as the balancer has it.
+// BenchmarkMegabyte copies 1 MiB from one socket to another on one processor, as in the balancer.
 func BenchmarkMegabyte(b *testing.B) {
 	const size = 1 << 20
-	for name, carry := range map[string]func(dst io.Writer, src io.Reader){
+	for name, transfer := range map[string]func(dst io.Writer, src io.Reader){
 		"hand-over": func(dst io.Writer, src io.Reader) {
 			room := NewRoom(1)
 			l, _ := room.Take(nil, 0)
@@ -88,16 +89,16 @@
 			f.Close()
 		},
 		"ring": func(dst io.Writer, src io.Reader) {
-			r := new(ring)
-			r.moved = sync.NewCond(&r.mu)
+			r := new(ringBuffer)
+			r.changed = sync.NewCond(&r.mu)
 			go r.fill(src)
 			io.CopyBuffer(struct{ io.Writer }{dst}, struct{ io.Reader }{r}, make([]byte, Copy))
 		},
 	} {
 		b.Run(name, func(b *testing.B) {
 			defer runtime.GOMAXPROCS(runtime.GOMAXPROCS(1))
-			node, in := pair(b)
-			out, client := pair(b)
+			node, in := loopbackPair(b)
+			out, client := loopbackPair(b)
 			defer node.Close()
 			defer client.Close()
 			go func() {
@@ -111,7 +112,7 @@
 			go io.Copy(io.Discard, client)
 			b.SetBytes(size)
 			for b.Loop() {
-				carry(out, io.LimitReader(in, size))
+				transfer(out, io.LimitReader(in, size))
 			}
 			in.Close()
 			out.Close()
--- a/internal/flow/flow.go
+++ b/internal/flow/flow.go
@@ -6,37 +6,38 @@
 	"sync"
 )
 
-// ErrTooLong: the body goes on past the largest that is passed.
-var ErrTooLong = errors.New("flow: the body is over the limit")
+// ErrBodyTooLarge means that a body exceeds the largest that is forwarded.
+var ErrBodyTooLarge = errors.New("flow: body exceeds the size limit")
 
-// Flow is the answer of an app node from its commit on. The client's side reads it: first what was held, then,
-// without a detour, what comes on the app node's socket, so that a client that reads slowly slows the app node and
-// costs one buffer. Meanwhile the socket's own reader waits for Ended and touches nothing; the socket stays its.
+// Flow is the body of an app node's answer that is streamed to the client. The acceptor reads it: first the buffered
+// beginning, then directly from the app node's socket, so that a slow client slows down the app node and costs one
+// buffer. Meanwhile the read loop of the socket, which keeps ownership, waits for Ended and does not use the socket.
 type Flow struct {
 	mu     sync.Mutex
 	held   []byte
 	lease  *Lease
-	opened bool // the client's side has it, and will close it
-	err    error
+	opened bool  // the acceptor has the flow and will close it
+	err    error // why it ended; nil: it has not
 
-	rest  io.Reader // used by the one that calls Read alone
-	left  int64     // of the largest body that is passed
-	ended chan struct{}
+	rest      io.Reader // used only by the caller of Read
+	bytesLeft int64     // that may still be read from rest
+	ended     chan struct{}
 }
 
-// New makes the flow of an answer whose first bytes are held in a lease; most bytes may follow.
-func New(lease *Lease, held []byte, rest io.Reader, most int64) *Flow {
-	return &Flow{lease: lease, held: held, rest: rest, left: most, ended: make(chan struct{})}
+// New returns the flow of an answer whose first bytes lie in the buffer of a lease. At most limit bytes may follow them.
+func New(lease *Lease, held []byte, rest io.Reader, limit int64) *Flow {
+	return &Flow{lease: lease, held: held, rest: rest, bytesLeft: limit, ended: make(chan struct{})}
 }
 
-// Open says that the client's side has the flow and will close it.
+// Open notes that the acceptor has the flow and will close it.
 func (f *Flow) Open() {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.opened = true
 }
 
-// Read gives the next bytes; io.EOF stands for an end that is proven, any other error for a body that is not whole.
+// Read returns the next bytes. io.EOF means that the framing proved the end of the body; any other error means that the
+// body is incomplete.
 func (f *Flow) Read(p []byte) (int, error) {
 	f.mu.Lock()
 	if f.err != nil {
@@ -47,32 +48,32 @@
 		defer f.mu.Unlock()
 		n := copy(p, f.held)
 		if f.held = f.held[n:]; len(f.held) == 0 {
-			f.lease.Shrink()
+			f.lease.ReleaseBuffer()
 		}
 		return n, nil
 	}
 	f.mu.Unlock()
 	n, err := f.rest.Read(p)
-	if f.left -= int64(n); f.left < 0 {
-		n, err = 0, ErrTooLong
+	if f.bytesLeft -= int64(n); f.bytesLeft < 0 {
+		n, err = 0, ErrBodyTooLarge
 	}
 	if err != nil {
-		err = f.end(err)
+		err = f.finish(err)
 	}
 	return n, err
 }
 
-// Break ends the flow on the socket's side: its owner has closed it. A Read under way sees the socket's error.
-func (f *Flow) Break(err error) { f.end(err) }
+// Abort ends the flow with err because the owner has closed the socket. A concurrent Read sees the socket's error.
+func (f *Flow) Abort(err error) { f.finish(err) }
 
-// end keeps the first reason.
-func (f *Flow) end(err error) error {
+// finish ends the flow, keeps the first error and returns it.
+func (f *Flow) finish(err error) error {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	if f.err == nil {
 		f.err, f.held = err, nil
 		if f.opened {
-			f.lease.Shrink()
+			f.lease.ReleaseBuffer()
 		} else {
 			f.lease.Release()
 		}
@@ -81,7 +82,7 @@
 	return f.err
 }
 
-// Close ends the use by the client's side; nothing may be read any more.
+// Close ends the acceptor's use of the flow and releases its memory; nothing may be read any more.
 func (f *Flow) Close() {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -92,10 +93,12 @@
 	f.lease.Release()
 }
 
-// Ended is closed once nobody will read from the app node's socket any more, but for a Read that a Break has met.
+// Ended returns a channel that is closed once nobody reads from the app node's socket any more, except a Read that was
+// in progress when Abort was called.
 func (f *Flow) Ended() <-chan struct{} { return f.ended }
 
-// Err is why it ended: io.EOF where the body came whole, ErrStopped where the client's side gave it up.
+// Err returns why the flow ended: io.EOF if the body is complete, ErrStopped if the acceptor closed it before its end,
+// nil if it has not ended.
 func (f *Flow) Err() error {
 	f.mu.Lock()
 	defer f.mu.Unlock()
--- a/internal/flow/flow_test.go
+++ b/internal/flow/flow_test.go
@@ -15,11 +15,11 @@
 
 func TestMain(m *testing.M) { walks.Main(m, 0, 0) }
 
-const long = 20 * time.Second // a wait that is only over if something hangs
+const testTimeout = 20 * time.Second // reached only if something hangs
 
-func take(t *testing.T, r *Room) *Lease {
+func mustTake(t *testing.T, r *Room) *Lease {
 	t.Helper()
-	l, err := r.Take(nil, long)
+	l, err := r.Take(nil, testTimeout)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -28,94 +28,94 @@
 
 func lent(r *Room) int { n, _ := r.Lent(); return n }
 
-// At the cap those that ask wait in turn, and each is let in as soon as there is room for it, whether a whole lease or
-// only buffers have come back.
-func TestAFullRoomLetsInInTurn(t *testing.T) {
-	r := NewRoom(3 * each)
-	a, b, c := take(t, r), take(t, r), take(t, r)
+// At the limit callers wait in order of arrival. Each is admitted as soon as there is memory for it, whether from a whole
+// lease or from released buffers.
+func TestFullRoomAdmitsInOrder(t *testing.T) {
+	r := NewRoom(3 * leaseSize)
+	a, b, c := mustTake(t, r), mustTake(t, r), mustTake(t, r)
 	order := make(chan int, 3)
-	asked := func(n int) { // until so many wait
-		for until := time.Now().Add(long); ; time.Sleep(time.Millisecond) {
+	waitForWaiters := func(n int) {
+		for until := time.Now().Add(testTimeout); ; time.Sleep(time.Millisecond) {
 			r.mu.Lock()
-			have := r.queue.Len()
+			waiting := r.waiters.Len()
 			r.mu.Unlock()
-			if have == n {
+			if waiting == n {
 				return
 			}
 			if time.Now().After(until) {
-				t.Fatalf("%d wait, not %d", have, n)
+				t.Fatalf("%d callers wait, want %d", waiting, n)
 			}
 		}
 	}
 	for i := range 3 {
 		go func() {
-			if _, err := r.Take(nil, long); err != nil {
+			if _, err := r.Take(nil, testTimeout); err != nil {
 				t.Error(err)
 			}
 			order <- i
 		}()
-		asked(i + 1)
+		waitForWaiters(i + 1)
 	}
-	a.Shrink()
-	if len(order) != 0 || lent(r) != 3*each-Hold {
-		t.Fatalf("let in with %d of %d lent", lent(r), r.most)
+	a.ReleaseBuffer()
+	if len(order) != 0 || lent(r) != 3*leaseSize-Hold {
+		t.Fatalf("caller admitted, or %d of %d bytes lent", lent(r), r.limit)
 	}
-	b.Shrink() // both buffers together make room for one
+	b.ReleaseBuffer() // both buffers together are enough for one lease
 	if first := <-order; first != 0 {
-		t.Errorf("the %d. came in first", first)
+		t.Errorf("caller %d was admitted first, want 0", first)
 	}
 	c.Release()
 	if second := <-order; second != 1 {
-		t.Errorf("then the %d.", second)
+		t.Errorf("caller %d was admitted second, want 1", second)
 	}
 	a.Release()
 	b.Release()
-	b.Release() // a second time does nothing
+	b.Release() // a second call does nothing
 	<-order
-	if now, peak := r.Lent(); now != 3*each || peak != 3*each {
-		t.Errorf("%d lent, %d at the most, of %d", now, peak, r.most)
+	if now, peak := r.Lent(); now != 3*leaseSize || peak != 3*leaseSize {
+		t.Errorf("%d bytes lent, peak %d, limit %d", now, peak, r.limit)
 	}
 }
 
-// Who gives up waiting gets nothing, and takes nothing from those behind.
-func TestAWaitForRoomEnds(t *testing.T) {
-	r := NewRoom(each)
-	a := take(t, r)
-	if _, err := r.Take(nil, 0); err != ErrFull {
-		t.Errorf("%v", err)
+// A Take that gives up gets no lease and leaves no reservation and no waiter behind.
+func TestTakeGivesUp(t *testing.T) {
+	r := NewRoom(leaseSize)
+	a := mustTake(t, r)
+	if _, err := r.Take(nil, 0); err != ErrMemoryLimit {
+		t.Errorf("Take after its wait: %v", err)
 	}
 	stop := make(chan struct{})
 	close(stop)
-	if _, err := r.Take(stop, long); err != ErrStopped {
-		t.Errorf("%v", err)
+	if _, err := r.Take(stop, testTimeout); err != ErrStopped {
+		t.Errorf("Take after stop: %v", err)
 	}
 	a.Release()
-	take(t, r).Release()
-	if lent(r) != 0 || r.queue.Len() != 0 {
-		t.Errorf("%d lent, %d wait", lent(r), r.queue.Len())
+	mustTake(t, r).Release()
+	if lent(r) != 0 || r.waiters.Len() != 0 {
+		t.Errorf("%d bytes lent, %d callers wait", lent(r), r.waiters.Len())
 	}
 }
 
-// Whatever order of asking, shrinking and giving back: the sum is right, never over the cap, and nobody waits while
-// there is room.
-func TestTheRoomAddsUp(t *testing.T) {
+// In any order of taking and releasing, the sum is right and never over the limit, and nobody waits while memory is
+// free.
+func TestRoomAccounting(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		places := rapid.IntRange(1, 4).Draw(t, "places")
-		r := NewRoom(places * each)
+		leases := rapid.IntRange(1, 4).Draw(t, "leases")
+		r := NewRoom(leases * leaseSize)
 		var out []*Lease
 		t.Repeat(map[string]func(*rapid.T){
 			"take": func(t *rapid.T) {
 				l, err := r.Take(nil, 0)
-				if (err == nil) != (lent(r)-each*b(err == nil)+each <= r.most) {
-					t.Fatalf("%v with %d of %d lent", err, lent(r), r.most)
+				if (err == nil) != (lent(r)-leaseSize*boolToInt(err == nil)+leaseSize <= r.limit) {
+					t.Fatalf("Take: %v with %d of %d bytes lent", err, lent(r), r.limit)
 				}
 				if err == nil {
 					out = append(out, l)
 				}
 			},
-			"shrink": func(t *rapid.T) {
+			"release buffer": func(t *rapid.T) {
 				if len(out) > 0 {
-					rapid.SampledFrom(out).Draw(t, "lease").Shrink()
+					rapid.SampledFrom(out).Draw(t, "lease").ReleaseBuffer()
 				}
 			},
 			"release": func(t *rapid.T) {
@@ -128,30 +128,30 @@
 			"": func(t *rapid.T) {
 				sum := 0
 				for _, l := range out {
-					sum += l.booked
+					sum += l.reserved
 				}
-				if sum != lent(r) || sum > r.most || r.queue.Len() != 0 {
-					t.Fatalf("%d lent, %d booked, %d at the most, %d wait", lent(r), sum, r.most, r.queue.Len())
+				if sum != lent(r) || sum > r.limit || r.waiters.Len() != 0 {
+					t.Fatalf("%d bytes lent, %d reserved, limit %d, %d callers wait", lent(r), sum, r.limit, r.waiters.Len())
 				}
 			},
 		})
 	})
 }
 
-func b(v bool) int {
+func boolToInt(v bool) int {
 	if v {
 		return 1
 	}
 	return 0
 }
 
-// steps gives a body in the pieces that it came in.
-type steps struct {
+// pieceReader returns a body in the given pieces, and then err.
+type pieceReader struct {
 	pieces []string
 	err    error
 }
 
-func (s *steps) Read(p []byte) (int, error) {
+func (s *pieceReader) Read(p []byte) (int, error) {
 	if len(s.pieces) == 0 {
 		return 0, s.err
 	}
@@ -162,57 +162,59 @@
 	return n, nil
 }
 
-func begin(r *Room, held string, rest io.Reader, most int64) *Flow {
-	l, _ := r.Take(nil, long)
-	f := New(l, append(l.Held(), held...), rest, most)
+// openFlow returns an opened flow with the given buffered beginning.
+func openFlow(r *Room, held string, rest io.Reader, limit int64) *Flow {
+	l, _ := r.Take(nil, testTimeout)
+	f := New(l, append(l.Held(), held...), rest, limit)
 	f.Open()
 	return f
 }
 
-// What is held comes first, then what follows; the buffer goes back as soon as it is empty, the rest at the close.
-func TestAFlowReadsOn(t *testing.T) {
-	r := NewRoom(each)
-	f := begin(r, "held ", &steps{[]string{"and ", "the rest"}, io.EOF}, 100)
+// The buffered beginning is read first, then the rest. The buffer is returned as soon as it is empty, the remaining
+// reservation by Close.
+func TestFlowReadsBufferThenRest(t *testing.T) {
+	r := NewRoom(leaseSize)
+	f := openFlow(r, "held ", &pieceReader{[]string{"and ", "the rest"}, io.EOF}, 100)
 	p := make([]byte, 3)
 	f.Read(p)
-	if lent(r) != each {
-		t.Errorf("%d lent while a part is held", lent(r))
+	if lent(r) != leaseSize {
+		t.Errorf("%d bytes lent while part of the buffer is unread", lent(r))
 	}
 	f.Read(make([]byte, 2))
 	if lent(r) != Copy {
-		t.Errorf("%d lent once nothing is held", lent(r))
+		t.Errorf("%d bytes lent once the buffer is empty", lent(r))
 	}
 	got, err := io.ReadAll(f)
 	if string(p)+"d "+string(got) != "held and the rest" || err != nil || f.Err() != io.EOF {
-		t.Errorf("%q %q %v %v", p, got, err, f.Err())
+		t.Errorf("read %q and %q, error %v, Err %v", p, got, err, f.Err())
 	}
 	<-f.Ended()
 	if lent(r) != Copy {
-		t.Errorf("%d lent while the last piece is written", lent(r))
+		t.Errorf("%d bytes lent between the end and Close", lent(r))
 	}
 	if f.Close(); lent(r) != 0 || f.Err() != io.EOF {
-		t.Errorf("%d lent, %v", lent(r), f.Err())
+		t.Errorf("%d bytes lent after Close, Err %v", lent(r), f.Err())
 	}
 }
 
-// However a flow ends, its reader sees why, its owner hears of it, and its memory comes back.
-func TestHowAFlowEnds(t *testing.T) {
+// However a flow ends, its reader and its owner see the reason, and its memory is returned.
+func TestFlowEnds(t *testing.T) {
 	reset := errors.New("reset")
 	for name, c := range map[string]struct {
-		rest io.Reader
-		most int64
-		do   func(*Flow)
-		want error
+		rest  io.Reader
+		limit int64
+		do    func(*Flow)
+		want  error
 	}{
-		"whole":          {&steps{nil, io.EOF}, 9, func(*Flow) {}, io.EOF},
-		"the node's end": {&steps{[]string{"x"}, reset}, 9, func(*Flow) {}, reset},
-		"too long":       {&steps{[]string{"12345", "67890"}, io.EOF}, 9, func(*Flow) {}, ErrTooLong},
-		"just fits":      {&steps{[]string{"12345", "6789"}, io.EOF}, 9, func(*Flow) {}, io.EOF},
-		"broken":         {&steps{[]string{"x"}, io.EOF}, 9, func(f *Flow) { f.Break(reset); f.Break(io.EOF) }, reset},
-		"closed":         {&steps{[]string{"x"}, io.EOF}, 9, func(f *Flow) { f.Close(); f.Break(reset) }, ErrStopped},
+		"complete":     {&pieceReader{nil, io.EOF}, 9, func(*Flow) {}, io.EOF},
+		"reset":        {&pieceReader{[]string{"x"}, reset}, 9, func(*Flow) {}, reset},
+		"too long":     {&pieceReader{[]string{"12345", "67890"}, io.EOF}, 9, func(*Flow) {}, ErrBodyTooLarge},
+		"at the limit": {&pieceReader{[]string{"12345", "6789"}, io.EOF}, 9, func(*Flow) {}, io.EOF},
+		"aborted":      {&pieceReader{[]string{"x"}, io.EOF}, 9, func(f *Flow) { f.Abort(reset); f.Abort(io.EOF) }, reset},
+		"closed":       {&pieceReader{[]string{"x"}, io.EOF}, 9, func(f *Flow) { f.Close(); f.Abort(reset) }, ErrStopped},
 	} {
-		r := NewRoom(each)
-		f := begin(r, "held", c.rest, c.most)
+		r := NewRoom(leaseSize)
+		f := openFlow(r, "held", c.rest, c.limit)
 		c.do(f)
 		_, err := io.Copy(io.Discard, f)
 		if err == nil {
@@ -220,24 +222,25 @@
 		}
 		<-f.Ended()
 		if err != c.want || f.Err() != c.want {
-			t.Errorf("%s: %v, %v", name, err, f.Err())
+			t.Errorf("%s: Read error %v, Err %v", name, err, f.Err())
 		}
 		if f.Close(); lent(r) != 0 {
-			t.Errorf("%s: %d lent", name, lent(r))
+			t.Errorf("%s: %d bytes lent", name, lent(r))
 		}
 	}
-	r := NewRoom(each) // nobody came for it: the owner's end is the only one
-	l, _ := r.Take(nil, long)
-	if New(l, l.Held(), strings.NewReader(""), 9).Break(reset); lent(r) != 0 {
-		t.Errorf("%d lent by a flow that nobody opened", lent(r))
+	r := NewRoom(leaseSize) // never opened, so that the owner's Abort has to release everything
+	l, _ := r.Take(nil, testTimeout)
+	if New(l, l.Held(), strings.NewReader(""), 9).Abort(reset); lent(r) != 0 {
+		t.Errorf("%d bytes lent to a flow that nobody opened", lent(r))
 	}
 }
 
-// A break while the reader takes what is held must neither hand out memory that is lent again nor a false end.
-func TestABreakWhileItIsRead(t *testing.T) {
-	r := NewRoom(each)
+// An Abort while the buffer is read must not let the reader see memory that is leased again, nor an end that looks
+// complete.
+func TestAbortDuringRead(t *testing.T) {
+	r := NewRoom(leaseSize)
 	for range 300 {
-		f := begin(r, strings.Repeat("x", Hold), &steps{nil, io.EOF}, 9)
+		f := openFlow(r, strings.Repeat("x", Hold), &pieceReader{nil, io.EOF}, 9)
 		var both sync.WaitGroup
 		both.Go(func() {
 			got, err := io.ReadAll(f)
@@ -246,148 +249,147 @@
 			}
 			f.Close()
 		})
-		both.Go(func() { f.Break(io.ErrClosedPipe) })
+		both.Go(func() { f.Abort(io.ErrClosedPipe) })
 		both.Wait()
 		l, err := r.Take(nil, 0) // the next body uses the same array
 		if err != nil {
 			t.Fatal(err)
 		}
-		for i := range l.array {
-			l.array[i] = 'y'
+		for i := range l.buffer {
+			l.buffer[i] = 'y'
 		}
 		l.Release()
 	}
 }
 
-// client is a connection whose reads end when the deadline is set to the past.
-type client struct {
-	mu   sync.Mutex
-	more *sync.Cond
-	at   time.Time
-	says []byte
+// blockingClient is a connection whose reads wait for more bytes until the deadline is set to the past.
+type blockingClient struct {
+	mu       sync.Mutex
+	changed  *sync.Cond
+	deadline time.Time
+	unread   []byte
 }
 
-func newClient(says string) *client {
-	c := &client{says: []byte(says)}
-	c.more = sync.NewCond(&c.mu)
+func newBlockingClient(text string) *blockingClient {
+	c := &blockingClient{unread: []byte(text)}
+	c.changed = sync.NewCond(&c.mu)
 	return c
 }
 
-func (c *client) deadline(t time.Time) {
+func (c *blockingClient) setDeadline(t time.Time) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.at = t
-	c.more.Broadcast()
+	c.deadline = t
+	c.changed.Broadcast()
 }
 
-func (c *client) Read(p []byte) (int, error) {
+func (c *blockingClient) Read(p []byte) (int, error) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	for len(c.says) == 0 {
-		if !c.at.IsZero() && c.at.Before(time.Unix(100, 0)) {
+	for len(c.unread) == 0 {
+		if !c.deadline.IsZero() && c.deadline.Before(time.Unix(100, 0)) {
 			return 0, errors.New("deadline")
 		}
-		c.more.Wait()
+		c.changed.Wait()
 	}
-	n := copy(p, c.says)
-	c.says = c.says[n:]
+	n := copy(p, c.unread)
+	c.unread = c.unread[n:]
 	return n, nil
 }
 
-// An interrupt ends a read that waits for the client, and after Close nobody reads any more. One that came whole is
-// not touched: the connection's deadline belongs to others by then.
-func TestAnUploadIsInterrupted(t *testing.T) {
-	now, came := func() time.Time { return time.Unix(1000, 0) }, 0
-	c := newClient("half")
-	u := NewUpload(io.LimitReader(c, 8), 8, 100, time.Second, now, c.deadline, func(time.Time) { came++ })
+// Interrupt ends a read that waits for the client, and after Close nobody reads any more. Neither changes the
+// connection's deadline after a complete upload, because it belongs to the acceptor by then.
+func TestUploadInterrupt(t *testing.T) {
+	now, completed := func() time.Time { return time.Unix(1000, 0) }, 0
+	c := newBlockingClient("half")
+	u := NewUpload(io.LimitReader(c, 8), 8, 100, time.Second, now, c.setDeadline, func(time.Time) { completed++ })
 	got := make(chan string)
 	go func() {
-		all, err := io.ReadAll(u)
+		body, err := io.ReadAll(u)
 		if err == nil {
-			t.Error("an end where there is none")
+			t.Error("an interrupted upload ended like a complete one")
 		}
-		got <- string(all)
+		got <- string(body)
 	}()
-	for until := time.Now().Add(long); !u.Touched(); time.Sleep(time.Millisecond) {
+	for until := time.Now().Add(testTimeout); !u.Touched(); time.Sleep(time.Millisecond) {
 		if time.Now().After(until) {
-			t.Fatal("nothing was read")
+			t.Fatal("no read within the test's timeout")
 		}
 	}
 	u.Interrupt()
 	u.Close()
-	if all := <-got; all != "half" && all != "" || u.Failed() || u.Whole() {
-		t.Errorf("%q, the client's fault: %v, whole: %v", all, u.Failed(), u.Whole())
+	if body := <-got; body != "half" && body != "" || u.Failed() || u.Whole() {
+		t.Errorf("read %q, failed: %v, whole: %v", body, u.Failed(), u.Whole())
 	}
 	if _, err := u.Read(make([]byte, 1)); err != ErrStopped {
-		t.Errorf("%v", err)
+		t.Errorf("read after Close: %v", err)
 	}
-	c = newClient("whole")
-	u = NewUpload(io.LimitReader(c, 5), 5, 100, time.Second, now, c.deadline, func(time.Time) { came++ })
-	all, err := io.ReadAll(u)
+	c = newBlockingClient("whole")
+	u = NewUpload(io.LimitReader(c, 5), 5, 100, time.Second, now, c.setDeadline, func(time.Time) { completed++ })
+	body, err := io.ReadAll(u)
 	u.Interrupt()
-	if string(all) != "whole" || err != nil || !u.Whole() || !c.at.IsZero() || came != 1 {
-		t.Errorf("%q %v, deadline %v, came %d times", all, err, c.at, came)
+	if string(body) != "whole" || err != nil || !u.Whole() || !c.deadline.IsZero() || completed != 1 {
+		t.Errorf("read %q, %v, deadline %v, completed %d times", body, err, c.deadline, completed)
 	}
 	if n, err := u.Read(make([]byte, 1)); n != 0 || err != io.EOF {
-		t.Errorf("%d %v", n, err)
+		t.Errorf("read after the end: %d bytes, %v", n, err)
 	}
 }
 
-// A client that says too little has failed, and only then.
-func TestAnUploadThatFallsShort(t *testing.T) {
-	u := NewUpload(&steps{[]string{"x"}, io.ErrUnexpectedEOF}, 9, 100, time.Second, time.Now, func(time.Time) {}, func(time.Time) {})
+// An upload whose client sends less than it declared has failed and is not whole.
+func TestShortUpload(t *testing.T) {
+	u := NewUpload(&pieceReader{[]string{"x"}, io.ErrUnexpectedEOF}, 9, 100, time.Second, time.Now, func(time.Time) {}, func(time.Time) {})
 	if _, err := io.ReadAll(u); err == nil || !u.Failed() || u.Whole() {
-		t.Errorf("%v, failed %v, whole %v", err, u.Failed(), u.Whole())
+		t.Errorf("read error %v, failed %v, whole %v", err, u.Failed(), u.Whole())
 	}
 }
 
-// paced is a client whose bytes come one piece a read, each after so long by the test's clock.
-type paced struct {
-	now   time.Time
-	by    time.Time // the read deadline
-	takes time.Duration
-	piece int
-	left  int
+// pacedClient is a client that sends one piece per read, each of which takes readTime by the test's clock.
+type pacedClient struct {
+	now       time.Time
+	deadline  time.Time // of reads
+	readTime  time.Duration
+	pieceSize int
+	bytesLeft int
 }
 
-func (p *paced) Read(b []byte) (int, error) {
-	if p.left == 0 {
+func (p *pacedClient) Read(b []byte) (int, error) {
+	if p.bytesLeft == 0 {
 		return 0, io.EOF
 	}
-	if p.now = p.now.Add(p.takes); !p.by.IsZero() && p.now.After(p.by) {
+	if p.now = p.now.Add(p.readTime); !p.deadline.IsZero() && p.now.After(p.deadline) {
 		return 0, errors.New("deadline")
 	}
-	n := min(p.piece, p.left, len(b))
-	p.left -= n
+	n := min(p.pieceSize, p.bytesLeft, len(b))
+	p.bytesLeft -= n
 	return n, nil
 }
 
-// A client may send as slowly as the slowest pace, in pieces of any size, for as long as its body takes; who falls behind
-// by more than the patience has failed, and time in which nobody waits for it counts for nothing. A body that goes on past
-// the most is cut off.
-func TestThePaceOfAnUpload(t *testing.T) {
+// A client may send at the minimum rate, in pieces of any size, for as long as its body takes. One that falls behind by
+// more than the slack fails; time in which no Read waits for the client does not count. A body over the limit is cut off.
+func TestUploadMinimumRate(t *testing.T) {
 	for _, c := range []struct {
 		name        string
 		rate, piece int
-		most        int64
+		maxBytes    int64
 		good        bool
 	}{
-		{"the slowest", Slowest, 100, 1 << 20, true},
-		{"the slowest, in large pieces", Slowest, 2 * Slowest, 1 << 20, true},
+		{"minimum rate", Slowest, 100, 1 << 20, true},
+		{"minimum rate, in large pieces", Slowest, 2 * Slowest, 1 << 20, true},
 		{"too slow", Slowest / 2, 100, 1 << 20, false},
 		{"fast and too long", 100 * Slowest, 4096, 900_000, false},
 	} {
-		p := &paced{now: time.Unix(1000, 0), piece: c.piece, left: 1_000_000, takes: time.Duration(c.piece) * time.Second / time.Duration(c.rate)}
-		came := 0
-		u := NewUpload(p, -1, c.most, 2500*time.Millisecond, func() time.Time { return p.now }, func(at time.Time) { p.by = at }, func(time.Time) { came++ })
+		p := &pacedClient{now: time.Unix(1000, 0), pieceSize: c.piece, bytesLeft: 1_000_000, readTime: time.Duration(c.piece) * time.Second / time.Duration(c.rate)}
+		completed := 0
+		u := NewUpload(p, -1, c.maxBytes, 2500*time.Millisecond, func() time.Time { return p.now }, func(at time.Time) { p.deadline = at }, func(time.Time) { completed++ })
 		buffer := make([]byte, 2*Slowest)
 		var err error
 		for err == nil {
 			_, err = u.Read(buffer)
-			p.now = p.now.Add(time.Second) // the app node is slower still
+			p.now = p.now.Add(time.Second) // the app node is slower than the client
 		}
-		if good := err == io.EOF; good != c.good || u.Whole() != c.good || u.Failed() == c.good || (came == 1) != c.good {
-			t.Errorf("%s: %v, whole %v, failed %v, came %d times", c.name, err, u.Whole(), u.Failed(), came)
+		if good := err == io.EOF; good != c.good || u.Whole() != c.good || u.Failed() == c.good || (completed == 1) != c.good {
+			t.Errorf("%s: %v, whole %v, failed %v, completed %d times", c.name, err, u.Whole(), u.Failed(), completed)
 		}
 	}
 }
--- a/internal/flow/room.go
+++ b/internal/flow/room.go
@@ -1,8 +1,8 @@
-// Package flow owns the memory of bodies that pass through without being held whole: the buffers that large answers
-// are held in until they are committed, and the two bodies that are read by the side that needs them, an answer by
-// the acceptor (Flow) and an upload by the delegation (Upload). Memory is lent from a Room with a cap, so that it
-// follows the number of bodies under way and not their size. It must never open or close a socket, decide what a
-// broken body leads to, or keep a byte past its lease.
+// Package flow streams bodies that are too large to be buffered in full, and owns their memory: the buffers that hold
+// the beginnings of large answers until they are committed to the client, and the two kinds of body that are read by the
+// side that forwards them, answers by the acceptor (Flow) and uploads by the delegation (Upload). Memory is leased from
+// a Room with a limit, so it depends on the number of bodies in transit and not on their size. The package must never
+// open or close a socket, decide what follows from a failed body, or keep a byte past its lease.
 package flow
 
 import (
@@ -13,127 +13,132 @@
 )
 
 const (
-	// Hold is how much of an answer is kept back before it is committed: up to there another app node may still be
-	// asked. It is also the largest body of the platform's protocol, so that what follows the protocol is held whole.
+	// Hold is how much of an answer is buffered before it is committed to the client, in bytes. Until then another app
+	// node can still be tried. It is also the largest body of the platform's protocol, so that bodies that follow the
+	// protocol are buffered in full.
 	Hold = 64 << 10
-	// Copy is the buffer through which the rest passes, one for each body that flows: with half of it, which is what
-	// httputil.ReverseProxy takes for itself, a megabyte is a tenth slower than through a plain proxy.
+	// Copy is the size of the buffer through which the rest of a body is copied, in bytes; each streamed body has one.
+	// With half of it, the default of httputil.ReverseProxy, a megabyte took a tenth longer than through a plain proxy.
 	Copy = 64 << 10
-	// each is what a body under way is booked with.
-	each = Hold + Copy
+	// leaseSize is the memory reserved for a body in transit, in bytes.
+	leaseSize = Hold + Copy
 )
 
 var (
-	// ErrFull: no room came free within the wait.
-	ErrFull = errors.New("flow: no room for one more body")
-	// ErrStopped: nobody waits for the room any more.
-	ErrStopped = errors.New("flow: called off")
+	// ErrMemoryLimit means that no memory became free in time.
+	ErrMemoryLimit = errors.New("flow: memory limit for bodies reached")
+	// ErrStopped means that the wait for memory, the answer or the upload was ended on our side.
+	ErrStopped = errors.New("flow: canceled")
 )
 
-// Room is what bodies under way may hold in all. Those that find it full wait in turn.
+// Room limits the memory of all bodies in transit. Bodies that find it full wait in order of arrival.
 type Room struct {
-	mu     sync.Mutex
-	most   int
-	lent   int
-	peak   int
-	queue  list.List // of chan struct{}, first come first
-	arrays sync.Pool
+	mu      sync.Mutex
+	limit   int       // bytes
+	lent    int       // bytes
+	peak    int       // largest value of lent
+	waiters list.List // of chan struct{} in order of arrival; closed once memory is reserved
+	buffers sync.Pool // of *[Hold]byte
 }
 
-// NewRoom makes a room of so many bytes, of one body's at the least.
+// NewRoom returns a room of the given size, raised to fit one body.
 func NewRoom(bytes int) *Room {
-	return &Room{most: max(bytes, each), arrays: sync.Pool{New: func() any { return new([Hold]byte) }}}
+	return &Room{limit: max(bytes, leaseSize), buffers: sync.Pool{New: func() any { return new([Hold]byte) }}}
 }
 
-// Lent says how many bytes are out, and how many were at the most.
+// Lent returns how many bytes are reserved now, and the largest number so far.
 func (r *Room) Lent() (now, peak int) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.lent, r.peak
 }
 
-// Take lends what one body needs. It waits at most so long for it, and less if stop is closed.
+// Take reserves the memory of one body. It waits for it at most for wait, and then returns ErrMemoryLimit; once stop is
+// closed, it returns ErrStopped. A nil stop is never closed.
 func (r *Room) Take(stop <-chan struct{}, wait time.Duration) (*Lease, error) {
 	r.mu.Lock()
-	if r.lent+each <= r.most { // then nobody waits: all ask for the same, and are let in as soon as it is there
-		r.lend()
+	if r.lent+leaseSize <= r.limit { // nobody waits then: every body needs the same, and waiters are admitted at once
+		r.reserve()
 		r.mu.Unlock()
-		return r.lease(), nil
+		return r.newLease(), nil
 	}
-	turn := make(chan struct{})
-	place := r.queue.PushBack(turn)
+	admitted := make(chan struct{})
+	waiter := r.waiters.PushBack(admitted)
 	r.mu.Unlock()
-	patience := time.NewTimer(wait)
-	defer patience.Stop()
-	err := ErrFull
+	timeout := time.NewTimer(wait)
+	defer timeout.Stop()
+	err := ErrMemoryLimit
 	select {
-	case <-turn:
-		return r.lease(), nil
-	case <-patience.C:
+	case <-admitted:
+		return r.newLease(), nil
+	case <-timeout.C:
 	case <-stop:
 		err = ErrStopped
 	}
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	select {
-	case <-turn: // it came at that very moment
-		r.giveBack(each)
+	case <-admitted: // memory was reserved after the wait had ended
+		r.release(leaseSize)
 	default:
-		r.queue.Remove(place)
+		r.waiters.Remove(waiter)
 	}
 	return nil, err
 }
 
-func (r *Room) lend() {
-	r.lent += each
+// reserve accounts for one more body; the caller holds r.mu.
+func (r *Room) reserve() {
+	r.lent += leaseSize
 	r.peak = max(r.peak, r.lent)
 }
 
-func (r *Room) lease() *Lease {
-	return &Lease{room: r, array: r.arrays.Get().(*[Hold]byte), booked: each}
+// newLease returns the lease of memory that has been reserved.
+func (r *Room) newLease() *Lease {
+	return &Lease{room: r, buffer: r.buffers.Get().(*[Hold]byte), reserved: leaseSize}
 }
 
-// giveBack is the one place where room comes free; the lock is held.
-func (r *Room) giveBack(n int) {
+// release returns n bytes and admits waiters; no other code frees memory. The caller holds r.mu.
+func (r *Room) release(n int) {
 	r.lent -= n
-	r.next()
+	r.admitWaiters()
 }
 
-// next lets those in who wait, in turn; the lock is held.
-func (r *Room) next() {
-	for front := r.queue.Front(); front != nil && r.lent+each <= r.most; front = r.queue.Front() {
-		r.queue.Remove(front)
-		r.lend()
+// admitWaiters reserves memory for waiters in order of arrival, as far as it suffices. The caller holds r.mu.
+func (r *Room) admitWaiters() {
+	for front := r.waiters.Front(); front != nil && r.lent+leaseSize <= r.limit; front = r.waiters.Front() {
+		r.waiters.Remove(front)
+		r.reserve()
 		close(front.Value.(chan struct{}))
 	}
 }
 
-// Lease is the memory of one body: the buffer that holds its beginning, and a booking for the copying of the rest.
-// One goroutine at a time uses it.
+// Lease is the memory of one body: a buffer of Hold bytes for its beginning, and a reservation of Copy bytes for the
+// buffer that copies the rest. It is not safe for concurrent use.
 type Lease struct {
-	room   *Room
-	array  *[Hold]byte
-	booked int
+	room     *Room
+	buffer   *[Hold]byte // nil once released
+	reserved int         // bytes
 }
 
-// Held is the buffer, empty; it has room for Hold bytes. It must not be touched after Shrink or Release.
-func (l *Lease) Held() []byte { return l.array[:0] }
+// Held returns the buffer with length 0 and capacity Hold. It must not be used after ReleaseBuffer or Release.
+func (l *Lease) Held() []byte { return l.buffer[:0] }
 
-// Shrink gives the buffer back; what remains booked is the copying.
-func (l *Lease) Shrink() { l.reduce(Copy) }
+// ReleaseBuffer returns the buffer; the reservation for copying remains.
+func (l *Lease) ReleaseBuffer() { l.shrinkTo(Copy) }
 
-// Release gives everything back. A second call does nothing.
-func (l *Lease) Release() { l.reduce(0) }
+// Release returns all memory. Further calls do nothing.
+func (l *Lease) Release() { l.shrinkTo(0) }
 
-func (l *Lease) reduce(to int) {
-	if l.array != nil {
-		l.room.arrays.Put(l.array)
-		l.array = nil
+// shrinkTo returns the buffer, and reduces the reservation to size bytes.
+func (l *Lease) shrinkTo(size int) {
+	if l.buffer != nil {
+		l.room.buffers.Put(l.buffer)
+		l.buffer = nil
 	}
-	if to < l.booked {
+	if size < l.reserved {
 		l.room.mu.Lock()
-		l.room.giveBack(l.booked - to)
+		l.room.release(l.reserved - size)
 		l.room.mu.Unlock()
-		l.booked = to
+		l.reserved = size
 	}
 }
--- a/internal/flow/upload.go
+++ b/internal/flow/upload.go
@@ -7,87 +7,91 @@
 	"time"
 )
 
-// Upload is a client's body that is too large to be held: the app node's side reads it from the client's connection
-// as fast as the app node takes it. What has been read is gone, so that it is sent once. The acceptor makes it and
-// ends it before its handler returns.
+// Upload is a client's request body that is too large to be buffered. The delegation reads it from the client's
+// connection as fast as the app node accepts it. What has been read is not kept, so it can be sent only once. The
+// acceptor creates it, and closes it before its handler returns.
 type Upload struct {
-	// Length of the body, as stated; -1: it is not.
+	// Length of the body as declared, in bytes; -1: not declared.
 	Length int64
 
-	body     io.Reader
-	most     int64         // of the body, in bytes
-	patience time.Duration // with a client, beyond what its body may take at slowest
-	waited   time.Duration // for the client; under using
-	last     time.Time     // when the client was waited for last: what was read since may have been there
-	came     func(last time.Time)
-	deadline func(time.Time) // sets the read deadline of the client's connection
-	clock    func() time.Time
-
-	using   sync.Mutex // held through a Read
-	got     atomic.Int64
-	mu      sync.Mutex // guards the deadline, stopped, whole and failed
-	stopped bool
-	whole   bool
-	failed  bool
-	touched atomic.Bool
+	body        io.Reader
+	maxBytes    int64         // limit of the body
+	slack       time.Duration // how far a client may fall behind the rate of Slowest
+	clientWait  time.Duration // total time that reads waited for the client; guarded by reading
+	lastWait    time.Time     // end of the last read that waited: later bytes may have arrived since then
+	onComplete  func(lastWait time.Time)
+	setDeadline func(time.Time) // of reads on the client's connection
+	now         func() time.Time
+
+	reading  sync.Mutex // held during Read
+	received atomic.Int64
+	mu       sync.Mutex // guards setDeadline, stopped, whole and failed
+	stopped  bool       // interrupted or failed
+	whole    bool       // read to its end
+	failed   bool       // by the client
+	touched  atomic.Bool
 }
 
 const (
-	// Slowest is how fast a client has to send, in bytes a second. A slower one has failed once its patience is used up.
+	// Slowest is the minimum rate of a client, in bytes per second. A slower client fails once its slack is used up.
 	Slowest = 64_000
-	// longestGap is how long one that was faster may then send nothing.
-	longestGap = 4 * time.Second
-	// atOnce is how long a read takes at the most of what has been there.
-	atOnce = time.Millisecond
+	// maxReadTimeout is how long a client that has been faster may then pause.
+	maxReadTimeout = 4 * time.Second
+	// maxNonBlockingRead is the longest read that counts as one of bytes that had already arrived.
+	maxNonBlockingRead = time.Millisecond
 )
 
-// NewUpload makes an upload of most bytes at the most. Time counts against the patience while the app node's side waits for
-// the client, and no longer than that. came is told once the last byte has been read, and since when it may have been there.
-func NewUpload(body io.Reader, length, most int64, patience time.Duration, clock func() time.Time, deadline func(time.Time), came func(last time.Time)) *Upload {
-	return &Upload{Length: length, body: body, most: most, patience: patience, deadline: deadline, clock: clock, came: came, last: clock()}
+// NewUpload returns an upload of at most maxBytes. A client may fall behind the rate of Slowest by slack; only time in
+// which a Read waits for the client counts. setDeadline sets the read deadline of the client's connection, the zero time
+// for none. onComplete is called once the whole body has been read, with the end of the last read that waited: the last
+// byte may have arrived at any time since.
+func NewUpload(body io.Reader, length, maxBytes int64, slack time.Duration, now func() time.Time, setDeadline func(time.Time), onComplete func(lastWait time.Time)) *Upload {
+	return &Upload{Length: length, body: body, maxBytes: maxBytes, slack: slack, setDeadline: setDeadline, now: now, onComplete: onComplete, lastWait: now()}
 }
 
-// Read takes the next bytes off the client's connection.
+// Read reads the next bytes from the client's connection.
 func (u *Upload) Read(p []byte) (int, error) {
-	u.using.Lock()
-	defer u.using.Unlock()
-	if err := u.allow(); err != nil {
+	u.reading.Lock()
+	defer u.reading.Unlock()
+	if err := u.beginRead(); err != nil {
 		return 0, err
 	}
 	u.touched.Store(true)
-	began := u.clock()
+	began := u.now()
 	n, err := u.body.Read(p)
-	if ended := u.clock(); ended.Sub(began) > atOnce {
-		u.waited, u.last = u.waited+ended.Sub(began), ended
+	if ended := u.now(); ended.Sub(began) > maxNonBlockingRead {
+		u.clientWait, u.lastWait = u.clientWait+ended.Sub(began), ended
 	}
-	if got := u.got.Add(int64(n)); err == io.EOF && got < u.Length {
+	if received := u.received.Add(int64(n)); err == io.EOF && received < u.Length {
 		err = io.ErrUnexpectedEOF
-	} else if got > u.most {
-		n, err = 0, ErrTooLong
+	} else if received > u.maxBytes {
+		n, err = 0, ErrBodyTooLarge
 	}
 	if err == io.EOF {
-		u.end()
+		u.complete()
 	} else if err != nil {
-		u.fail()
+		u.markFailed()
 	}
 	return n, err
 }
 
-// end: all of it has come, and the connection's deadline, left in force, would seem to be the client's leaving.
-func (u *Upload) end() {
+// complete notes that the whole body has been read. It clears the read deadline, whose expiry would otherwise look like
+// a disconnect of the client.
+func (u *Upload) complete() {
 	u.mu.Lock()
 	whole := !u.stopped
 	if whole {
 		u.whole = true
-		u.deadline(time.Time{})
+		u.setDeadline(time.Time{})
 	}
 	u.mu.Unlock()
-	if whole { // outside the lock: who hears may have to wait for who interrupts
-		u.came(u.last)
+	if whole { // without the lock: onComplete may wait for a caller of Interrupt
+		u.onComplete(u.lastWait)
 	}
 }
 
-func (u *Upload) allow() error {
+// beginRead sets the deadline of the next read, or returns the error of an upload that has ended.
+func (u *Upload) beginRead() error {
 	u.mu.Lock()
 	defer u.mu.Unlock()
 	switch {
@@ -96,12 +100,12 @@
 	case u.stopped:
 		return ErrStopped
 	}
-	u.deadline(u.clock().Add(min(u.patience+time.Duration(u.got.Load()*int64(time.Second)/Slowest)-u.waited, longestGap)))
+	u.setDeadline(u.now().Add(min(u.slack+time.Duration(u.received.Load()*int64(time.Second)/Slowest)-u.clientWait, maxReadTimeout)))
 	return nil
 }
 
-// fail notes that the client did not go on, unless it was we who ended its reading.
-func (u *Upload) fail() {
+// markFailed notes that the client failed to continue, unless the upload was interrupted on our side.
+func (u *Upload) markFailed() {
 	u.mu.Lock()
 	defer u.mu.Unlock()
 	if !u.stopped {
@@ -109,45 +113,49 @@
 	}
 }
 
-// Interrupt ends the upload, a Read under way included, and does not wait for that. Once all has been read the
-// connection is the acceptor's again, and nothing is done to it.
+// Interrupt ends the upload and a Read in progress, without waiting for that Read. Once the whole body has been read,
+// the connection belongs to the acceptor again and Interrupt does nothing.
 func (u *Upload) Interrupt() {
 	u.mu.Lock()
 	defer u.mu.Unlock()
 	if !u.whole && !u.stopped {
 		u.stopped = true
-		u.deadline(time.Unix(1, 0))
+		u.setDeadline(time.Unix(1, 0))
 	}
 }
 
-// Close interrupts and waits until nobody reads: from then on the client's connection is the acceptor's again.
+// Close interrupts the upload and waits for a Read in progress. Afterwards the client's connection belongs to the
+// acceptor again.
 func (u *Upload) Close() {
 	u.Interrupt()
-	u.using.Lock()
-	defer u.using.Unlock()
+	u.reading.Lock()
+	defer u.reading.Unlock()
 }
 
-// Whole says that all of the body has been read.
+// Whole reports whether the body has been read to its end.
 func (u *Upload) Whole() bool {
 	u.mu.Lock()
 	defer u.mu.Unlock()
 	return u.whole
 }
 
-// Gone says that the last byte has been read, so that it may have reached an app node, whether the end has been seen or not.
-func (u *Upload) Gone() bool { return u.Length >= 0 && u.got.Load() >= u.Length || u.Whole() }
+// LastByteRead reports whether the last byte has been read and so may have reached an app node, even if the end has not
+// been read yet.
+func (u *Upload) LastByteRead() bool {
+	return u.Length >= 0 && u.received.Load() >= u.Length || u.Whole()
+}
 
-// Interrupted says that it was ended from our side.
+// Interrupted reports whether the upload was ended on our side.
 func (u *Upload) Interrupted() bool {
 	u.mu.Lock()
 	defer u.mu.Unlock()
 	return u.stopped && !u.failed
 }
 
-// Touched says that a part of the body has been read, so that it cannot be sent again.
+// Touched reports whether reading the body has begun, so that it cannot be sent again.
 func (u *Upload) Touched() bool { return u.touched.Load() }
 
-// Failed says that the client did not send what it had stated.
+// Failed reports whether the client failed to send the body as declared, in time and within the limit.
 func (u *Upload) Failed() bool {
 	u.mu.Lock()
 	defer u.mu.Unlock()
