--- a/internal/message/message.go
+++ b/internal/message/message.go
@@ -1,5 +1,5 @@
-// Package message holds the HTTP form of a call and of an answer, as the acceptor and the delegation hand them to
-// each other past the reducer, which carries them without a look. It owns nothing and must never decide anything.
+// Package message defines the HTTP form of calls and answers, which the acceptor and the delegation exchange through the
+// reducer. The reducer passes them on as opaque values. The package owns no resources and must never make decisions.
 package message
 
 import (
@@ -8,20 +8,20 @@
 	"pewterrudder/internal/flow"
 )
 
-// Call is a client's request as it goes to an app node.
+// Call is a client's request as it is sent to an app node.
 type Call struct {
 	Request *http.Request // method, target and header
 	Body    []byte
-	Upload  *flow.Upload // in place of Body, where that is too large to be held
-	Trailer http.Header  // of an upload in chunks: filled by the time its body has come to its end
-	Left    func() bool  // whether the client has closed its connection; nil: nobody knows. It waits for nothing
+	Upload  *flow.Upload // in place of a Body that is too large to be buffered; nil: none
+	Trailer http.Header  // of a chunked upload; complete once its body has been read to the end
+	Left    func() bool  // reports, without blocking, whether the client has closed its connection; nil: unknown
 }
 
 // Answer is an app node's answer for the client.
 type Answer struct {
 	Status  int
 	Header  http.Header
-	Trailer *http.Header // filled by the time the body has come to its end
+	Trailer *http.Header // complete once the body has been read to the end
 	Body    []byte
-	Flow    *flow.Flow // in place of Body, where that is too large to be held
+	Flow    *flow.Flow // in place of a Body that is too large to be buffered; nil: none
 }
