--- a/internal/beside/beside.go
+++ b/internal/beside/beside.go
@@ -1,6 +1,7 @@
-// Package beside owns a process's mark in the folder that it shares with an earlier or a later version of itself, and
-// counts the others' marks. A mark is an empty file under a lock that ends with its process, however that ends. It must
-// never wait for another process, touch a mark that is alive, or decide what company leads to.
+// Package beside detects other balancer processes that serve the same address, such as an earlier or later version
+// during an update. Each process keeps a mark in a shared directory: an empty file under a lock that the kernel releases
+// when the process ends, however it ends. The package must never wait for another process, change the mark of a running
+// process, or decide what follows from the number of processes.
 package beside
 
 import (
@@ -14,41 +15,42 @@
 	"golang.org/x/sys/unix"
 )
 
-const suffix = ".alive"
+const markSuffix = ".alive"
 
-// Mark is this process's.
+// Mark is the mark of this process.
 type Mark struct {
-	dir, prefix, name string
-	file              *os.File
+	dir, prefix, name string   // the prefix is common to all processes of one address
+	file              *os.File // holds the lock
 }
 
-// Leave puts a mark in a folder, for a balancer at an address. It is locked before it has its name, so that nobody ever
-// sees it unlocked while its process runs.
+// Leave creates the mark of a balancer at the given listen address in a directory. The file is locked before it gets its
+// final name, so that no other process ever finds it unlocked while this one runs.
 func Leave(dir, address string) (*Mark, error) {
 	if dir == "" {
-		return nil, errors.New("beside: no folder")
+		return nil, errors.New("beside: no directory for the marks of processes")
 	}
 	h := fnv.New32a()
 	h.Write([]byte(address))
 	m := &Mark{dir: dir, prefix: fmt.Sprintf("pewterrudder-%08x-", h.Sum32())}
 	f, err := os.CreateTemp(dir, "new-"+m.prefix)
 	if err != nil {
-		return nil, fmt.Errorf("beside: %w", err)
+		return nil, fmt.Errorf("beside: create mark: %w", err)
 	}
 	m.file = f
 	if err := unix.Flock(int(f.Fd()), unix.LOCK_EX|unix.LOCK_NB); err != nil {
-		m.drop(f.Name())
-		return nil, fmt.Errorf("beside: lock: %w", err)
+		m.remove(f.Name())
+		return nil, fmt.Errorf("beside: lock mark: %w", err)
 	}
-	m.name = m.prefix + strings.TrimPrefix(filepath.Base(f.Name()), "new-"+m.prefix) + suffix
+	m.name = m.prefix + strings.TrimPrefix(filepath.Base(f.Name()), "new-"+m.prefix) + markSuffix
 	if err := os.Rename(f.Name(), filepath.Join(dir, m.name)); err != nil {
-		m.drop(f.Name())
-		return nil, fmt.Errorf("beside: %w", err)
+		m.remove(f.Name())
+		return nil, fmt.Errorf("beside: rename mark: %w", err)
 	}
 	return m, nil
 }
 
-// Others is how many other processes have their marks there now. The marks of those that have ended are taken away.
+// Others returns how many other running processes have marks for the same address, and removes the marks of processes
+// that have ended. It returns 0 if the directory cannot be read.
 func (m *Mark) Others() int {
 	entries, err := os.ReadDir(m.dir)
 	if err != nil {
@@ -56,15 +58,16 @@
 	}
 	n := 0
 	for _, e := range entries {
-		if name := e.Name(); name != m.name && strings.HasPrefix(name, m.prefix) && strings.HasSuffix(name, suffix) && alive(filepath.Join(m.dir, name)) {
+		if name := e.Name(); name != m.name && strings.HasPrefix(name, m.prefix) && strings.HasSuffix(name, markSuffix) && probeMark(filepath.Join(m.dir, name)) {
 			n++
 		}
 	}
 	return n
 }
 
-// alive looks at a mark with a lock that others who look may have as well.
-func alive(path string) bool {
+// probeMark reports whether the process of a mark is running, and removes the mark if not. It takes a shared lock, so
+// that several processes can probe the same mark at once.
+func probeMark(path string) bool {
 	f, err := os.Open(path)
 	if err != nil {
 		return false
@@ -77,10 +80,11 @@
 	return false
 }
 
-// Close takes the mark away.
-func (m *Mark) Close() { m.drop(filepath.Join(m.dir, m.name)) }
+// Close removes the mark.
+func (m *Mark) Close() { m.remove(filepath.Join(m.dir, m.name)) }
 
-func (m *Mark) drop(path string) {
+// remove deletes the file at path and releases the lock.
+func (m *Mark) remove(path string) {
 	os.Remove(path)
 	m.file.Close()
 }
--- a/internal/beside/beside_test.go
+++ b/internal/beside/beside_test.go
@@ -8,24 +8,24 @@
 	"testing"
 )
 
-// TestMain lets the test binary be another process that leaves a mark and waits to be killed.
+// TestMain lets the test binary act as another process that creates a mark and waits to be killed.
 func TestMain(m *testing.M) {
-	if dir := os.Getenv("LEAVE_A_MARK_IN"); dir != "" {
+	if dir := os.Getenv("PEWTERRUDDER_TEST_MARK_DIR"); dir != "" {
 		mark, err := Leave(dir, "127.0.0.1:1")
 		if err != nil {
 			println(err.Error())
 			os.Exit(1)
 		}
-		os.Stdout.WriteString("left\n")
-		os.Stdin.Read(make([]byte, 1)) // a select without cases would end it: the runtime sees that nobody can wake it
+		os.Stdout.WriteString("created\n")
+		os.Stdin.Read(make([]byte, 1)) // waits; select{} would abort, because the runtime detects the deadlock
 		mark.Close()
 	}
 	os.Exit(m.Run())
 }
 
-// Marks are counted while their processes live; what a killed one leaves is taken away, and other balancers' count for
-// nothing, nor does what else lies in the folder.
-func TestMarksAreThoseOfTheLiving(t *testing.T) {
+// Marks are counted while their processes run. The mark of a killed process is removed. Marks of other addresses and
+// unrelated files in the directory are neither counted nor removed.
+func TestOthersCountsLiveProcesses(t *testing.T) {
 	dir := t.TempDir()
 	os.WriteFile(filepath.Join(dir, "something.alive"), nil, 0o600)
 	m, err := Leave(dir, "127.0.0.1:1")
@@ -33,18 +33,18 @@
 		t.Fatal(err)
 	}
 	defer m.Close()
-	foreign, err := Leave(dir, "127.0.0.1:2")
+	otherAddress, err := Leave(dir, "127.0.0.1:2")
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer foreign.Close()
+	defer otherAddress.Close()
 	if n := m.Others(); n != 0 {
-		t.Fatalf("%d others", n)
+		t.Fatalf("%d other processes, want 0", n)
 	}
 	other := exec.Command(os.Args[0])
-	other.Env = append(os.Environ(), "LEAVE_A_MARK_IN="+dir)
+	other.Env = append(os.Environ(), "PEWTERRUDDER_TEST_MARK_DIR="+dir)
 	out, _ := other.StdoutPipe()
-	if _, err := other.StdinPipe(); err != nil { // which stays open for as long as it is to wait
+	if _, err := other.StdinPipe(); err != nil { // stays open, so that the process waits
 		t.Fatal(err)
 	}
 	if err := other.Start(); err != nil {
@@ -54,24 +54,24 @@
 		t.Fatal(err)
 	}
 	if n := m.Others(); n != 1 {
-		t.Errorf("%d others, and one lives", n)
+		t.Errorf("%d other processes, want 1", n)
 	}
 	other.Process.Kill()
 	other.Wait()
-	files := func() int { all, _ := os.ReadDir(dir); return len(all) }
+	files := func() int { entries, _ := os.ReadDir(dir); return len(entries) }
 	before := files()
 	if n := m.Others(); n != 0 || files() != before-1 {
-		t.Errorf("%d others after the kill, %d files of %d", n, files(), before)
+		t.Errorf("%d other processes after the kill, %d of %d files left", n, files(), before)
 	}
-	if m.Close(); foreign.Others() != 0 || files() != 2 {
-		t.Errorf("%d files left", files())
+	if m.Close(); otherAddress.Others() != 0 || files() != 2 {
+		t.Errorf("another process counted, or %d files left, want 2", files())
 	}
 }
 
-func TestWithoutAFolder(t *testing.T) {
+func TestLeaveWithoutDirectory(t *testing.T) {
 	for _, dir := range []string{"", filepath.Join(t.TempDir(), "none")} {
 		if _, err := Leave(dir, "127.0.0.1:1"); err == nil {
-			t.Errorf("a mark in %q", dir)
+			t.Errorf("no error for the directory %q", dir)
 		}
 	}
 }
