--- a/internal/admin/admin.go
+++ b/internal/admin/admin.go
@@ -1,6 +1,6 @@
-// Package admin owns the second address: a small server for whoever runs the balancer day by day. It says whether the
-// process is ready, gives the figures, and passes on what is wanted of it. It must never wait behind calls of clients,
-// decide what a wish leads to, or let callers that finish nothing keep out one that does.
+// Package admin serves the control address, a small HTTP server for operators. It reports whether the process is ready,
+// returns the metrics, and forwards commands. It must never wait for calls of clients, decide what a command does, or
+// let connections with unfinished requests block other requests.
 package admin
 
 import (
@@ -15,40 +15,44 @@
 )
 
 const (
-	// patience with a caller, for its whole call; it waits a second for its answer.
-	patience = 1500 * time.Millisecond
-	// Most is how many callers are held at once. The oldest goes for one more: a call that is finished takes milliseconds.
-	Most = 16
-	// maxHead bounds a call's head, in bytes.
-	maxHead = 4 << 10
-	// heard is how long a wish may wait to be in force before its caller is told that it is taken and no more.
-	heard = 600 * time.Millisecond
+	// readTimeout limits the reading of a request; writing the response may take twice as long. Callers wait one second
+	// for the response.
+	readTimeout = 1500 * time.Millisecond
+	// MaxConnections is how many connections are open at once. A further one closes the oldest: a request that is going
+	// to be finished takes milliseconds.
+	MaxConnections = 16
+	// maxHeaderBytes limits the header of a request.
+	maxHeaderBytes = 4 << 10
+	// confirmTimeout is how long a command may take before its caller is told that it was accepted, without waiting for
+	// its effect.
+	confirmTimeout = 600 * time.Millisecond
 )
 
-// Desk is what stands behind the address. Each method gives its word at once.
-type Desk interface {
-	Ready() bool // whether this process serves clients
-	Figures() any
-	// Drain has clients sent away and Activate ends that; done is called once it is in force.
+// Balancer is what the server reports on and controls. Ready and Figures return without delay; Drain and Activate may
+// block.
+type Balancer interface {
+	Ready() bool  // whether this process serves clients
+	Figures() any // metrics, to be encoded as JSON
+	// Drain makes the balancer turn clients away and Activate ends that; done is called once it is in effect.
 	Drain(done func())
 	Activate(done func())
 }
 
-// Server answers at the second address until Close.
+// Server serves the control address until Close.
 type Server struct{ http http.Server }
 
-// New makes a server for a desk.
-func New(d Desk) *Server {
+// New returns a server for a balancer.
+func New(b Balancer) *Server {
 	mux := http.NewServeMux()
 	mux.HandleFunc("GET /v1/readyz", func(w http.ResponseWriter, _ *http.Request) {
-		if !d.Ready() {
+		if !b.Ready() {
 			http.Error(w, "not ready", http.StatusServiceUnavailable)
 			return
 		}
 		io.WriteString(w, "ready\n")
 	})
 	mux.HandleFunc("GET /v1/metrics", func(w http.ResponseWriter, _ *http.Request) {
-		text, err := json.Marshal(d.Figures())
+		text, err := json.Marshal(b.Figures())
 		if err != nil {
 			http.Error(w, err.Error(), http.StatusInternalServerError)
 			return
@@ -56,83 +60,86 @@
 		w.Header().Set("Content-Type", "application/json")
 		w.Write(append(text, '\n'))
 	})
-	mux.HandleFunc("POST /v1/balancer/drain", wish(d.Drain))
-	mux.HandleFunc("POST /v1/balancer/activate", wish(d.Activate))
-	s := &Server{http.Server{Handler: mux, ReadTimeout: patience, WriteTimeout: 2 * patience, MaxHeaderBytes: maxHead,
-		ErrorLog: log.New(io.Discard, "", 0)}} // callers that break off are no news
-	s.http.SetKeepAlivesEnabled(false) // one call to a connection
+	mux.HandleFunc("POST /v1/balancer/drain", commandHandler(b.Drain))
+	mux.HandleFunc("POST /v1/balancer/activate", commandHandler(b.Activate))
+	s := &Server{http.Server{Handler: mux, ReadTimeout: readTimeout, WriteTimeout: 2 * readTimeout, MaxHeaderBytes: maxHeaderBytes,
+		ErrorLog: log.New(io.Discard, "", 0)}} // aborted requests are not worth logging
+	s.http.SetKeepAlivesEnabled(false) // one request per connection
 	return s
 }
 
-// wish passes on what a caller wants. It is taken even where it is not in force yet when the caller has to be answered.
-func wish(pass func(done func())) http.HandlerFunc {
+// commandHandler returns a handler that runs a command and responds with 200 once it is in effect, or with 202 after
+// confirmTimeout. The command is carried out in either case.
+func commandHandler(command func(done func())) http.HandlerFunc {
 	return func(w http.ResponseWriter, _ *http.Request) {
 		done := make(chan struct{})
-		go pass(func() { close(done) }) // the way to the state may be long, and is walked in any case
-		late := time.NewTimer(heard)
-		defer late.Stop()
+		go command(func() { close(done) }) // may block; it runs to its end even after the response
+		timeout := time.NewTimer(confirmTimeout)
+		defer timeout.Stop()
 		select {
 		case <-done:
 			io.WriteString(w, "done\n")
-		case <-late.C:
+		case <-timeout.C:
 			w.WriteHeader(http.StatusAccepted)
 			io.WriteString(w, "taken\n")
 		}
 	}
 }
 
-// Serve answers at a listener until Close.
+// Serve accepts connections of a listener until Close, and then returns nil.
 func (s *Server) Serve(l net.Listener) error {
-	if err := s.http.Serve(&bounded{Listener: l, open: map[*caller]uint64{}}); !errors.Is(err, http.ErrServerClosed) {
+	if err := s.http.Serve(&limitedListener{Listener: l, connections: map[*trackedConn]uint64{}}); !errors.Is(err, http.ErrServerClosed) {
 		return err
 	}
 	return nil
 }
 
-// Close ends the server and its connections.
+// Close closes the server, its listener and all connections.
 func (s *Server) Close() { s.http.Close() }
 
-// bounded holds Most callers at a time.
-type bounded struct {
+// limitedListener keeps at most MaxConnections connections open.
+type limitedListener struct {
 	net.Listener
-	mu    sync.Mutex
-	order uint64
-	open  map[*caller]uint64 // by order of arrival
+	mu          sync.Mutex
+	accepted    uint64                  // connections so far
+	connections map[*trackedConn]uint64 // open ones, each with the value of accepted at its arrival
 }
 
-type caller struct {
+// trackedConn is a connection that removes itself from its listener when it is closed.
+type trackedConn struct {
 	net.Conn
-	of *bounded
+	listener *limitedListener
 }
 
-func (b *bounded) Accept() (net.Conn, error) {
-	nc, err := b.Listener.Accept()
+// Accept returns the next connection, and closes the oldest one if the limit is exceeded.
+func (l *limitedListener) Accept() (net.Conn, error) {
+	nc, err := l.Listener.Accept()
 	if err != nil {
 		return nil, err
 	}
-	c := &caller{nc, b}
-	b.mu.Lock()
-	var oldest *caller
-	if len(b.open) >= Most {
-		for o, at := range b.open {
-			if oldest == nil || at < b.open[oldest] {
-				oldest = o
+	c := &trackedConn{nc, l}
+	l.mu.Lock()
+	var oldest *trackedConn
+	if len(l.connections) >= MaxConnections {
+		for open, number := range l.connections {
+			if oldest == nil || number < l.connections[oldest] {
+				oldest = open
 			}
 		}
-		delete(b.open, oldest)
+		delete(l.connections, oldest)
 	}
-	b.order++
-	b.open[c] = b.order
-	b.mu.Unlock()
+	l.accepted++
+	l.connections[c] = l.accepted
+	l.mu.Unlock()
 	if oldest != nil {
 		oldest.Conn.Close()
 	}
 	return c, nil
 }
 
-func (c *caller) Close() error {
-	c.of.mu.Lock()
-	delete(c.of.open, c)
-	c.of.mu.Unlock()
+func (c *trackedConn) Close() error {
+	c.listener.mu.Lock()
+	delete(c.listener.connections, c)
+	c.listener.mu.Unlock()
 	return c.Conn.Close()
 }
--- a/internal/admin/admin_test.go
+++ b/internal/admin/admin_test.go
@@ -11,34 +11,34 @@
 	"testing"
 )
 
-// desk is a stand-in for what stands behind the address.
-type desk struct {
-	ready atomic.Bool
-	slow  bool // wishes are taken and never in force
-	heard chan string
+// fakeBalancer records the commands it gets.
+type fakeBalancer struct {
+	ready     atomic.Bool
+	neverDone bool // Drain never takes effect
+	commands  chan string
 }
 
-func (d *desk) Ready() bool  { return d.ready.Load() }
-func (d *desk) Figures() any { return map[string]int{"active": 14} }
-func (d *desk) Drain(done func()) {
-	d.heard <- "drain"
-	if !d.slow {
+func (b *fakeBalancer) Ready() bool  { return b.ready.Load() }
+func (b *fakeBalancer) Figures() any { return map[string]int{"active": 14} }
+func (b *fakeBalancer) Drain(done func()) {
+	b.commands <- "drain"
+	if !b.neverDone {
 		done()
 	}
 }
-func (d *desk) Activate(done func()) {
-	d.heard <- "activate"
+func (b *fakeBalancer) Activate(done func()) {
+	b.commands <- "activate"
 	done()
 }
 
-// open serves a desk, and gives the address.
-func open(t *testing.T, d *desk) string {
+// serve starts a server for a balancer and returns its address.
+func serve(t *testing.T, b *fakeBalancer) string {
 	t.Helper()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	s, ended := New(d), make(chan error, 1)
+	s, ended := New(b), make(chan error, 1)
 	go func() { ended <- s.Serve(l) }()
 	t.Cleanup(func() {
 		s.Close()
@@ -49,29 +49,30 @@
 	return l.Addr().String()
 }
 
-// ask makes one call as it is written.
-func ask(t *testing.T, addr, head string) (*http.Response, string) {
+// request sends one request with the given method and path on a connection of its own, and returns the response and its
+// body.
+func request(t *testing.T, addr, target string) (*http.Response, string) {
 	t.Helper()
 	nc, err := net.Dial("tcp", addr)
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer nc.Close()
-	fmt.Fprintf(nc, "%s HTTP/1.1\r\nHost: x\r\n\r\n", head)
+	fmt.Fprintf(nc, "%s HTTP/1.1\r\nHost: x\r\n\r\n", target)
 	resp, err := http.ReadResponse(bufio.NewReader(nc), nil)
 	if err != nil {
-		t.Fatalf("%s: %v", head, err)
+		t.Fatalf("%s: %v", target, err)
 	}
 	body, _ := io.ReadAll(resp.Body)
 	return resp, string(body)
 }
 
-func TestWhatIsAnswered(t *testing.T) {
-	d := &desk{heard: make(chan string, 10)}
-	addr := open(t, d)
+func TestRequests(t *testing.T) {
+	b := &fakeBalancer{commands: make(chan string, 10)}
+	addr := serve(t, b)
 	for _, c := range []struct {
 		ready  bool
-		head   string
+		target string
 		status int
 		text   string
 	}{
@@ -85,79 +86,80 @@
 		{true, "POST /v1/balancer/activate\t", 400, ""},
 		{true, "POST /v1/balancer/activate", 200, "done"},
 	} {
-		d.ready.Store(c.ready)
-		resp, text := ask(t, addr, c.head)
+		b.ready.Store(c.ready)
+		resp, text := request(t, addr, c.target)
 		if resp.StatusCode != c.status || !strings.Contains(text, c.text) || !resp.Close {
-			t.Errorf("%s: %d %q, ends the connection: %v", c.head, resp.StatusCode, text, resp.Close)
+			t.Errorf("%s: status %d, body %q, closes the connection: %v", c.target, resp.StatusCode, text, resp.Close)
 		}
 	}
-	if first, second := <-d.heard, <-d.heard; first != "drain" || second != "activate" || len(d.heard) != 0 {
-		t.Errorf("%s, %s, %d more", first, second, len(d.heard))
+	if first, second := <-b.commands, <-b.commands; first != "drain" || second != "activate" || len(b.commands) != 0 {
+		t.Errorf("commands %s, %s and %d more, want drain and activate", first, second, len(b.commands))
 	}
 }
 
-// A wish that is not in force in time was taken all the same.
-func TestAWishThatTakesLongIsTaken(t *testing.T) {
-	d := &desk{heard: make(chan string, 10), slow: true}
-	if resp, text := ask(t, open(t, d), "POST /v1/balancer/drain"); resp.StatusCode != 202 || <-d.heard != "drain" {
-		t.Errorf("%d %q", resp.StatusCode, text)
+// A command that takes no effect in time is answered with 202 and carried out all the same.
+func TestSlowCommandIsAccepted(t *testing.T) {
+	b := &fakeBalancer{commands: make(chan string, 10), neverDone: true}
+	if resp, text := request(t, serve(t, b), "POST /v1/balancer/drain"); resp.StatusCode != 202 || <-b.commands != "drain" {
+		t.Errorf("status %d, body %q", resp.StatusCode, text)
 	}
 }
 
-// Callers that finish nothing, more of them than are held, keep nobody out, and the oldest of them are let go.
-func TestCallersThatFinishNothing(t *testing.T) {
-	d := &desk{heard: make(chan string, 10)}
-	d.ready.Store(true)
-	addr := open(t, d)
-	var silent []net.Conn
-	for range 3 * Most {
+// Connections with unfinished requests, more of them than the limit, do not block other requests, and none of them is
+// answered.
+func TestUnfinishedRequestsDoNotBlockOthers(t *testing.T) {
+	b := &fakeBalancer{commands: make(chan string, 10)}
+	b.ready.Store(true)
+	addr := serve(t, b)
+	var unfinished []net.Conn
+	for range 3 * MaxConnections {
 		nc, err := net.Dial("tcp", addr)
 		if err != nil {
 			t.Fatal(err)
 		}
 		defer nc.Close()
 		io.WriteString(nc, "GET /v1/metrics HT")
-		silent = append(silent, nc)
-		if resp, _ := ask(t, addr, "GET /v1/readyz"); resp.StatusCode != 200 {
-			t.Fatalf("%d with %d that wait", resp.StatusCode, len(silent))
+		unfinished = append(unfinished, nc)
+		if resp, _ := request(t, addr, "GET /v1/readyz"); resp.StatusCode != 200 {
+			t.Fatalf("status %d with %d unfinished requests", resp.StatusCode, len(unfinished))
 		}
 	}
-	for _, nc := range silent { // the last of them by their patience
+	for _, nc := range unfinished { // the last ones end by readTimeout
 		if text, _ := io.ReadAll(nc); strings.Contains(string(text), " 200 ") {
-			t.Errorf("half a call was answered: %s", text)
+			t.Errorf("an unfinished request was answered: %s", text)
 		}
 	}
 }
 
-// No more callers are held than there are places: the oldest goes for one more, and only that.
-func TestTheOldestCallerMakesRoom(t *testing.T) {
+// A connection over the limit closes the oldest one, and only that. A closed connection no longer counts.
+func TestOldestConnectionIsClosedAtLimit(t *testing.T) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer l.Close()
-	b := &bounded{Listener: l, open: map[*caller]uint64{}}
-	var held []net.Conn
-	for range Most + 1 {
+	limited := &limitedListener{Listener: l, connections: map[*trackedConn]uint64{}}
+	var accepted []net.Conn
+	for range MaxConnections + 1 {
 		far, err := net.Dial("tcp", l.Addr().String())
 		if err != nil {
 			t.Fatal(err)
 		}
 		defer far.Close()
-		near, err := b.Accept()
+		near, err := limited.Accept()
 		if err != nil {
 			t.Fatal(err)
 		}
 		defer near.Close()
-		held = append(held, near)
+		accepted = append(accepted, near)
 	}
-	for i, nc := range held {
+	for i, nc := range accepted {
 		if _, err := nc.Write([]byte("x")); (err != nil) != (i == 0) {
-			t.Errorf("caller %d of %d: %v", i+1, len(held), err)
+			t.Errorf("connection %d of %d: %v", i+1, len(accepted), err)
 		}
 	}
-	held[3].Close()
-	if len(b.open) != Most-1 {
-		t.Errorf("%d places taken", len(b.open))
+	accepted[3].Close()
+	if len(limited.connections) != MaxConnections-1 {
+		t.Errorf("%d connections open, want one below the limit", len(limited.connections))
 	}
 }
