--- a/internal/socket/probe.go
+++ b/internal/socket/probe.go
@@ -1,5 +1,5 @@
-// Package socket holds what every sender of HTTP/1.1 requests over its own connections needs: a look at an idle
-// connection without reading from it, and an end of a connection that drops what was not delivered yet.
+// Package socket provides two operations for clients that manage their own HTTP/1.1 connections: a check of an idle
+// connection without reading from it, and a close that drops data not yet delivered.
 package socket
 
 import (
@@ -9,43 +9,45 @@
 	"github.com/pkg/errors"
 )
 
-// Probe looks at what has come in on one connection without reading it. It may be used by one goroutine at a time.
+// Probe checks a connection for received data without reading it. It is not safe for concurrent use.
 type Probe struct {
-	raw    syscall.RawConn
-	look   func(fd uintptr)
-	buffer [1]byte
-	result error
+	raw       syscall.RawConn
+	peekFunc  func(fd uintptr)
+	buffer    [1]byte
+	peekError error
 }
 
-// NewProbe makes the probe of a connection.
+// NewProbe returns a probe of a connection, which must have a file descriptor.
 func NewProbe(connection net.Conn) (*Probe, error) {
-	source, ok := connection.(syscall.Conn)
+	descriptor, ok := connection.(syscall.Conn)
 	if !ok {
-		return nil, errors.Errorf("socket: a %T has no descriptor", connection)
+		return nil, errors.Errorf("socket: connection of type %T has no file descriptor", connection)
 	}
-	raw, err := source.SyscallConn()
+	raw, err := descriptor.SyscallConn()
 	if err != nil {
-		return nil, errors.Wrap(err, "socket")
+		return nil, errors.Wrap(err, "socket: get file descriptor")
 	}
 	p := &Probe{raw: raw}
-	p.look = p.peek
+	p.peekFunc = p.peek
 	return p, nil
 }
 
-// Quiet tells whether the connection is open and nothing has come in: no byte, no end, no reset.
+// Quiet reports whether the connection is open and nothing has been received on it: no data, no end of stream, no reset.
 func (p *Probe) Quiet() bool {
-	if err := p.raw.Control(p.look); err != nil {
+	if err := p.raw.Control(p.peekFunc); err != nil {
 		return false
 	}
-	return p.result == syscall.EAGAIN
+	return p.peekError == syscall.EAGAIN
 }
 
+// peek looks for one byte without blocking; the error is EAGAIN if there is nothing to read.
 func (p *Probe) peek(fd uintptr) {
-	_, _, p.result = syscall.Recvfrom(int(fd), p.buffer[:], syscall.MSG_PEEK|syscall.MSG_DONTWAIT)
+	_, _, p.peekError = syscall.Recvfrom(int(fd), p.buffer[:], syscall.MSG_PEEK|syscall.MSG_DONTWAIT)
 }
 
-// Reset closes a connection so that the peer is reset and what the kernel has not delivered yet is dropped: a request that
-// was given up must not arrive later, as it would when a cut link is mended after a plain close.
+// Reset closes a TCP connection with a reset, so that data which the kernel has not delivered yet is dropped: an
+// abandoned request must not arrive later, as it would after a plain close once a network partition heals. A connection
+// of another kind is closed normally.
 func Reset(connection net.Conn) {
 	if tcp, ok := connection.(*net.TCPConn); ok {
 		tcp.SetLinger(0)
