--- a/internal/delegation/read.go
+++ b/internal/delegation/read.go
@@ -41,36 +41,36 @@
 	longestPause time.Duration // of the reads with a timeout, since startHead
 }
 
-func (s *boundedReader) Read(p []byte) (int, error) {
-	if s.headLeft <= 0 {
+func (r *boundedReader) Read(p []byte) (int, error) {
+	if r.headLeft <= 0 {
 		return 0, errHeadTooLarge
 	}
-	p = p[:min(int64(len(p)), s.headLeft)]
-	if s.timeout <= 0 {
-		n, err := s.nc.Read(p)
-		s.headLeft -= int64(n)
+	p = p[:min(int64(len(p)), r.headLeft)]
+	if r.timeout <= 0 {
+		n, err := r.nc.Read(p)
+		r.headLeft -= int64(n)
 		return n, err
 	}
 	began := time.Now()
-	s.nc.SetReadDeadline(began.Add(s.timeout))
-	n, err := s.nc.Read(p)
-	s.longestPause = max(s.longestPause, time.Since(began))
+	r.nc.SetReadDeadline(began.Add(r.timeout))
+	n, err := r.nc.Read(p)
+	r.longestPause = max(r.longestPause, time.Since(began))
 	return n, err
 }
 
 // startHead limits the size of what follows as the head of an answer. There is no read timeout, because the head may
 // arrive at any time until the call ends.
-func (s *boundedReader) startHead() {
-	s.headLeft, s.longestPause = maxHeadBytes, 0
-	if s.timeout > 0 {
-		s.timeout = 0
-		s.nc.SetReadDeadline(time.Time{})
+func (r *boundedReader) startHead() {
+	r.headLeft, r.longestPause = maxHeadBytes, 0
+	if r.timeout > 0 {
+		r.timeout = 0
+		r.nc.SetReadDeadline(time.Time{})
 	}
 }
 
 // startBody sets the read timeout and lifts the limit on the size, which the reader of the body enforces itself.
-func (s *boundedReader) startBody(timeout time.Duration) {
-	s.headLeft, s.timeout = math.MaxInt64, timeout
+func (r *boundedReader) startBody(timeout time.Duration) {
+	r.headLeft, r.timeout = math.MaxInt64, timeout
 }
 
 // readLoop reads the answers to exchanges until the connection is closed or cannot be reused.
@@ -200,7 +200,7 @@
 		case resp.StatusCode == http.StatusSwitchingProtocols:
 			return nil, errUnexpectedInterim // no request of ours asks for an upgrade
 		case resp.StatusCode < 200:
-		case resp.ContentLength > k.connections.bounds.Largest && resp.Body != http.NoBody: // fail before reading a body that can't be forwarded
+		case resp.ContentLength > k.connections.bounds.Largest && resp.Body != http.NoBody: // too long to be forwarded
 			return nil, flow.ErrBodyTooLarge
 		default:
 			return resp, nil
--- a/internal/delegation/write.go
+++ b/internal/delegation/write.go
@@ -90,40 +90,40 @@
 	stopped bool
 }
 
-func (f *uploadReader) Read(p []byte) (int, error) {
-	f.mu.Lock()
-	if f.stopped && !f.upload.Whole() { // net/http reads a complete upload once more to see io.EOF
-		defer f.mu.Unlock()
+func (r *uploadReader) Read(p []byte) (int, error) {
+	r.mu.Lock()
+	if r.stopped && !r.upload.Whole() { // net/http reads a complete upload once more to see io.EOF
+		defer r.mu.Unlock()
 		return 0, flow.ErrStopped
 	}
-	f.started = true
-	f.mu.Unlock()
-	return f.upload.Read(p)
+	r.started = true
+	r.mu.Unlock()
+	return r.upload.Read(p)
 }
 
-// stop makes further reads fail and interrupts the upload if this exchange has read from it. f may be nil.
-func (f *uploadReader) stop() {
-	if f == nil {
+// stop makes further reads fail and interrupts the upload if this exchange has read from it. r may be nil.
+func (r *uploadReader) stop() {
+	if r == nil {
 		return
 	}
-	f.mu.Lock()
-	f.stopped = true
-	started := f.started
-	f.mu.Unlock()
+	r.mu.Lock()
+	r.stopped = true
+	started := r.started
+	r.mu.Unlock()
 	if started {
-		f.upload.Interrupt()
+		r.upload.Interrupt()
 	}
 }
 
-// hasStarted reports whether this exchange has begun to read the body, so that part of it may have been sent. A nil f
+// hasStarted reports whether this exchange has begun to read the body, so that part of it may have been sent. A nil r
 // reports false.
-func (f *uploadReader) hasStarted() bool {
-	if f == nil {
+func (r *uploadReader) hasStarted() bool {
+	if r == nil {
 		return false
 	}
-	f.mu.Lock()
-	defer f.mu.Unlock()
-	return f.started
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	return r.started
 }
 
 // buildRequest returns the request to the app node, with target, body and ids as the client sent them. wait is the time
