--- a/internal/router/transport/connection.go
+++ b/internal/router/transport/connection.go
@@ -12,43 +12,43 @@
 	"github.com/pkg/errors"
 )
 
-// answer is the outcome of a call.
-type answer struct {
+// response is the result of a call: a body or an error.
+type response struct {
 	body []byte
 	err  error
 }
 
-// connection is one TCP connection, dialed or accepted. Both ends may send every sort of frame.
+// connection is one TCP connection, dialed or accepted. Both ends may send every kind of frame.
 type connection struct {
-	transport *Transport
-	socket    net.Conn
-	handlers  chan struct{} // one token for each running handler
-	heard     atomic.Int64  // when bytes last arrived, as Transport.now
+	transport    *Transport
+	socket       net.Conn
+	handlerSlots chan struct{} // semaphore: holds one element per running handler
+	lastReceived atomic.Int64  // when bytes last arrived, in Transport.now time
 
-	mu       sync.Mutex
-	queue    []byte // frames that wait for the writer
-	spare    []byte // the writer's previous buffer
-	writing  bool   // a writer goroutine runs
-	err      error  // why the connection ended; nil while open
-	nextCall uint32
-	calls    map[uint32]chan answer
-	watched  bool  // the stall timer is armed
-	used     int64 // when a frame was last queued, as Transport.now
+	mu               sync.Mutex
+	queue            []byte // encoded frames waiting for the writer
+	spare            []byte // the writer's previous buffer, kept for reuse
+	writing          bool   // a writer goroutine is running
+	err              error  // why the connection was closed; nil while open
+	nextCallID       uint32
+	calls            map[uint32]chan response
+	watchingForStall bool  // a stallWatch is running
+	lastQueued       int64 // when a frame was last queued, in Transport.now time
 }
 
 func newConnection(t *Transport, socket net.Conn) *connection {
 	c := &connection{
-		transport: t,
-		socket:    socket,
-		handlers:  make(chan struct{}, maxHandlers),
-		calls:     make(map[uint32]chan answer),
+		transport:    t,
+		socket:       socket,
+		handlerSlots: make(chan struct{}, maxHandlers),
+		calls:        make(map[uint32]chan response),
 	}
-	c.heard.Store(t.now())
-	c.used = t.now()
+	c.lastReceived.Store(t.now())
+	c.lastQueued = t.now()
 	return c
 }
 
-// send queues a frame and wakes the writer.
+// send queues a frame and starts the writer if it is not running. It never blocks on the network.
 func (c *connection) send(f frame) error {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -63,7 +63,7 @@
 		return ErrQueueFull
 	}
 	c.queue = appendFrame(c.queue, f)
-	c.used = c.transport.now()
+	c.lastQueued = c.transport.now()
 	if !c.writing {
 		c.writing = true
 		go c.write()
@@ -71,7 +71,7 @@
 	return nil
 }
 
-// write writes queued frames, as many at once as there are, until none is left.
+// write writes queued frames in batches until the queue is empty.
 func (c *connection) write() {
 	for {
 		batch := c.takeQueue()
@@ -82,13 +82,13 @@
 			c.close(errors.Wrap(ErrBroken, err.Error()))
 			return
 		}
-		c.giveBack(batch)
+		c.recycleBuffer(batch)
 	}
 }
 
-// writeAll writes in parts, so that the time allowed is for a part and not for a large message.
+// writeAll writes in chunks, so that writeTimeout applies to a chunk and not to a whole large message.
 func (c *connection) writeAll(batch []byte) error {
-	for part := range slices.Chunk(batch, writePart) {
+	for part := range slices.Chunk(batch, writeChunk) {
 		_ = c.socket.SetWriteDeadline(time.Now().Add(writeTimeout))
 		if _, err := c.socket.Write(part); err != nil {
 			return err
@@ -97,7 +97,7 @@
 	return nil
 }
 
-// takeQueue returns the queued frames; nil ends the writer.
+// takeQueue removes and returns the queued frames. It returns nil if the writer should stop.
 func (c *connection) takeQueue() []byte {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -111,9 +111,9 @@
 	return batch
 }
 
-// giveBack keeps a small buffer for the next batch.
-func (c *connection) giveBack(batch []byte) {
-	if cap(batch) > keptBuffer {
+// recycleBuffer keeps the buffer of a written batch for reuse, unless it is larger than maxSpareBuffer.
+func (c *connection) recycleBuffer(batch []byte) {
+	if cap(batch) > maxSpareBuffer {
 		return
 	}
 	c.mu.Lock()
@@ -121,9 +121,9 @@
 	c.mu.Unlock()
 }
 
-// call sends a request and waits for its answer.
+// call sends a request and waits for its response.
 func (c *connection) call(ctx context.Context, kind Kind, body []byte) ([]byte, error) {
-	number, result, err := c.startCall(kind, body)
+	callID, result, err := c.startCall(kind, body)
 	if err != nil {
 		return nil, err
 	}
@@ -131,46 +131,46 @@
 	case a := <-result:
 		return a.body, a.err
 	case <-ctx.Done():
-		c.forget(number)
+		c.cancelCall(callID)
 		return nil, errors.WithStack(ctx.Err())
 	}
 }
 
-func (c *connection) startCall(kind Kind, body []byte) (uint32, chan answer, error) {
+func (c *connection) startCall(kind Kind, body []byte) (uint32, chan response, error) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.nextCall++
-	number := c.nextCall
-	if err := c.sendLocked(frame{frameKind: frameRequest, kind: kind, call: number, body: body}); err != nil {
+	c.nextCallID++
+	callID := c.nextCallID
+	if err := c.sendLocked(frame{frameKind: frameRequest, kind: kind, callID: callID, body: body}); err != nil {
 		return 0, nil, err
 	}
-	result := make(chan answer, 1)
-	c.calls[number] = result
-	c.watchLocked()
-	return number, result, nil
+	result := make(chan response, 1)
+	c.calls[callID] = result
+	c.startStallWatchLocked()
+	return callID, result, nil
 }
 
-// forget drops a call that nobody waits for.
-func (c *connection) forget(number uint32) {
+// cancelCall removes a call whose caller no longer waits; a later response is discarded.
+func (c *connection) cancelCall(callID uint32) {
 	c.mu.Lock()
-	delete(c.calls, number)
+	delete(c.calls, callID)
 	c.mu.Unlock()
 }
 
-// finish hands the answer to the caller.
-func (c *connection) finish(number uint32, a answer) {
+// completeCall delivers a response to the waiting caller, if there still is one.
+func (c *connection) completeCall(callID uint32, a response) {
 	c.mu.Lock()
-	result := c.calls[number]
-	delete(c.calls, number)
+	result := c.calls[callID]
+	delete(c.calls, callID)
 	c.mu.Unlock()
 	if result != nil {
 		result <- a
 	}
 }
 
-// read handles incoming frames until the connection ends.
+// read handles incoming frames until the connection is closed.
 func (c *connection) read() {
-	reader := bufio.NewReaderSize(&markingReader{c}, readBuffer)
+	reader := bufio.NewReaderSize(&receiveTimeRecorder{c}, readBuffer)
 	header := make([]byte, headerSize)
 	for {
 		f, err := readFrame(reader, header)
@@ -178,74 +178,75 @@
 			c.close(errors.Wrap(ErrBroken, err.Error()))
 			return
 		}
-		c.handle(f)
+		c.handleFrame(f)
 	}
 }
 
-// markingReader notes when bytes arrive.
-type markingReader struct{ c *connection }
+// receiveTimeRecorder reads from the socket and records when bytes arrive.
+type receiveTimeRecorder struct{ c *connection }
 
-func (r *markingReader) Read(buffer []byte) (int, error) {
+func (r *receiveTimeRecorder) Read(buffer []byte) (int, error) {
 	n, err := r.c.socket.Read(buffer)
 	if n > 0 {
-		r.c.heard.Store(r.c.transport.now())
+		r.c.lastReceived.Store(r.c.transport.now())
 	}
 	return n, err
 }
 
-func (c *connection) handle(f frame) {
+func (c *connection) handleFrame(f frame) {
 	switch f.frameKind {
 	case frameRequest, frameOneWay:
 		c.dispatch(f)
-	case frameAnswer:
-		c.finish(f.call, answer{body: f.body})
-	case frameFailure:
-		c.finish(f.call, answer{err: &RemoteError{Message: string(f.body)}})
+	case frameResponse:
+		c.completeCall(f.callID, response{body: f.body})
+	case frameError:
+		c.completeCall(f.callID, response{err: &RemoteError{Message: string(f.body)}})
 	case frameProbe:
-		_ = c.send(frame{frameKind: frameProbeAnswer})
-	case frameProbeAnswer: // its arrival has been noted
+		_ = c.send(frame{frameKind: frameProbeResponse})
+	case frameProbeResponse: // the reader has recorded its arrival
 	}
 }
 
-// dispatch runs the handler of a message, on this goroutine if the handler is registered as one that never waits.
+// dispatch runs the handler of a message: on the calling goroutine if it was registered as inline, else on a new one.
+// It blocks while maxHandlers handlers are running, which also stops reading from the peer.
 func (c *connection) dispatch(f frame) {
 	registered := c.transport.handler(f.kind)
 	if registered == nil {
-		c.answer(f, nil, errors.Errorf("no handler for kind %d", f.kind))
+		c.respond(f, nil, errors.Errorf("no handler for kind %d", f.kind))
 		return
 	}
 	if registered.inline {
 		body, err := registered.handler(c.transport.ctx, f.body)
-		c.answer(f, body, err)
+		c.respond(f, body, err)
 		return
 	}
-	c.handlers <- struct{}{}
+	c.handlerSlots <- struct{}{}
 	go func() {
-		defer func() { <-c.handlers }()
+		defer func() { <-c.handlerSlots }()
 		body, err := registered.handler(c.transport.ctx, f.body)
-		c.answer(f, body, err)
+		c.respond(f, body, err)
 	}()
 }
 
-// answer sends the outcome of a request.
-func (c *connection) answer(f frame, body []byte, err error) {
+// respond sends the result of a request. One-way messages get no response.
+func (c *connection) respond(f frame, body []byte, err error) {
 	if f.frameKind == frameOneWay {
 		return
 	}
-	reply := frame{frameKind: frameAnswer, kind: f.kind, call: f.call, body: body}
+	reply := frame{frameKind: frameResponse, kind: f.kind, callID: f.callID, body: body}
 	if err == nil && len(body) > MaxBody {
 		err = ErrTooLarge
 	}
 	if err != nil {
-		reply.frameKind = frameFailure
+		reply.frameKind = frameError
 		reply.body = []byte(err.Error())
 	}
 	if c.send(reply) == ErrQueueFull {
-		c.close(errors.Wrap(ErrBroken, "peer does not read its answers"))
+		c.close(errors.Wrap(ErrBroken, "peer does not read its responses"))
 	}
 }
 
-// close ends the connection and all calls on it.
+// close closes the connection and fails all pending calls with reason.
 func (c *connection) close(reason error) {
 	c.mu.Lock()
 	if c.err != nil {
@@ -259,23 +260,24 @@
 	c.mu.Unlock()
 	_ = c.socket.Close()
 	for _, result := range calls {
-		result <- answer{err: reason}
+		result <- response{err: reason}
 	}
-	c.transport.forgetConnection(c)
+	c.transport.removeConnection(c)
 }
 
-func (c *connection) open() bool {
+func (c *connection) isOpen() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.err == nil
 }
 
-// idleSince tells when the connection last carried anything; waiting calls count as now.
-func (c *connection) idleSince() int64 {
+// lastActivity returns when the connection was last used, in Transport.now time; it is now while calls or handlers are
+// pending.
+func (c *connection) lastActivity() int64 {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if len(c.calls) > 0 || len(c.handlers) > 0 {
+	if len(c.calls) > 0 || len(c.handlerSlots) > 0 {
 		return c.transport.now()
 	}
-	return max(c.used, c.heard.Load())
+	return max(c.lastQueued, c.lastReceived.Load())
 }
--- a/internal/router/transport/doc.go
+++ b/internal/router/transport/doc.go
@@ -1,9 +1,9 @@
 // Package transport carries messages between routers over TCP.
 //
-// A message has a kind and a body (msgpack, encoded by the caller). A call waits for an answer, a send does not. Messages to one
-// peer share one connection that is dialed when first needed and closed when it has been idle for a while; an idle connection
-// costs nothing, since the transport sends probes only while calls are waiting for an answer.
+// A message has a kind and a body (MessagePack, encoded by the caller). A call waits for a response; a send does not.
+// All messages to one peer share a connection that is dialed on first use and closed after an idle timeout. An idle
+// connection generates no traffic, because probes are sent only while calls are waiting for a response.
 //
-// A call may reach its handler twice: a call on a connection that breaks before its answer is repeated once on a new connection.
-// Handlers must therefore be idempotent.
+// A call may reach its handler twice: if an existing connection breaks before the response arrives, the call is retried
+// once on a new connection. Handlers must therefore be idempotent.
 package transport
--- a/internal/router/transport/errors.go
+++ b/internal/router/transport/errors.go
@@ -2,27 +2,27 @@
 
 import "github.com/pkg/errors"
 
-// Errors of calls. Use errors.Is.
+// Errors returned by calls. Compare with errors.Is.
 var (
-	// ErrClosed is the error of a transport that was closed.
+	// ErrClosed means that the local transport has been closed.
 	ErrClosed = errors.New("transport closed")
-	// ErrUnreachable means that no connection came about: the message was not sent.
+	// ErrUnreachable means that no connection could be established: the message was not sent.
 	ErrUnreachable = errors.New("peer unreachable")
-	// ErrRefused is ErrUnreachable where the machine has answered and nobody listens there: the process has ended.
+	// ErrRefused is an ErrUnreachable where the host answered but nothing listens on the port: the process has ended.
 	ErrRefused = errors.Wrap(ErrUnreachable, "connection refused")
-	// ErrBroken means that the connection ended before the answer: the message may have been handled.
+	// ErrBroken means that the connection ended before the response arrived: the message may have been handled.
 	ErrBroken = errors.New("connection broken")
-	// ErrStalled means that the peer was silent for too long: the message may have been handled.
+	// ErrStalled means that no bytes arrived from the peer within the stall timeout: the message may have been handled.
 	ErrStalled = errors.New("peer silent")
-	// ErrQueueFull means that too many bytes wait for the peer: the message was not sent.
+	// ErrQueueFull means that the peer's send queue is full: the message was not sent.
 	ErrQueueFull = errors.New("queue to peer full")
-	// ErrTooLarge is the error of a body over MaxBody.
+	// ErrTooLarge means that a body exceeds MaxBody.
 	ErrTooLarge = errors.New("message too large")
-	// ErrProtocol means that the peer speaks another protocol or version.
+	// ErrProtocol means that the peer sent a frame of another protocol or version.
 	ErrProtocol = errors.New("protocol violation")
 )
 
-// RemoteError is the error that the peer's handler returned.
+// RemoteError is an error returned by the peer's handler, reduced to its message.
 type RemoteError struct{ Message string }
 
 // Error implements error.
--- a/internal/router/transport/peer.go
+++ b/internal/router/transport/peer.go
@@ -10,30 +10,31 @@
 	"github.com/pkg/errors"
 )
 
-// dial is an attempt to connect that several callers may wait for.
-type dial struct {
+// dialAttempt is a connection attempt that several callers may wait for. Its results are set before done is closed.
+type dialAttempt struct {
 	done       chan struct{}
 	connection *connection
 	err        error
 }
 
-// peer holds the connection that this router dialed to one address.
+// peer manages the outgoing connection to one address.
 type peer struct {
 	transport *Transport
 	address   string
 
-	mu          sync.Mutex
-	connection  *connection
-	dial        *dial
-	waiting     []frame // one-way messages for the connection that is being dialed
-	waitingSize int
-	quietUntil  int64 // one-way messages are dropped until then, after a failed dial
+	mu           sync.Mutex
+	connection   *connection
+	pendingDial  *dialAttempt
+	backlog      []frame // one-way messages to send once the pending dial succeeds
+	backlogBytes int
+	backoffUntil int64 // Transport.now time until which one-way messages are dropped after a failed dial
 }
 
-// open returns the connection in use, dialing one if needed. fresh tells that it was dialed for this call.
-func (p *peer) open(ctx context.Context) (connection *connection, fresh bool, err error) {
+// connect returns the current connection, or dials one. dialed reports that the connection comes from a dial that this
+// call waited for.
+func (p *peer) connect(ctx context.Context) (connection *connection, dialed bool, err error) {
 	p.mu.Lock()
-	if p.connection != nil && p.connection.open() {
+	if p.connection != nil && p.connection.isOpen() {
 		defer p.mu.Unlock()
 		return p.connection, false, nil
 	}
@@ -47,71 +48,71 @@
 	}
 }
 
-// dialLocked starts a dial or joins the one under way.
-func (p *peer) dialLocked() *dial {
-	if p.dial == nil {
-		p.dial = &dial{done: make(chan struct{})}
-		go p.run(p.dial)
+// dialLocked returns the pending dial, starting one if there is none. The caller holds p.mu.
+func (p *peer) dialLocked() *dialAttempt {
+	if p.pendingDial == nil {
+		p.pendingDial = &dialAttempt{done: make(chan struct{})}
+		go p.completeDial(p.pendingDial)
 	}
-	return p.dial
+	return p.pendingDial
 }
 
-// run dials, keeps the connection and sends the messages that waited for it.
-func (p *peer) run(attempt *dial) {
+// completeDial dials the peer, stores the connection and sends the backlog of one-way messages.
+func (p *peer) completeDial(attempt *dialAttempt) {
 	defer close(attempt.done)
 	socket, err := p.transport.dial(p.transport.ctx, "tcp", p.address)
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	waiting := p.waiting
-	p.dial, p.waiting, p.waitingSize = nil, nil, 0
+	backlog := p.backlog
+	p.pendingDial, p.backlog, p.backlogBytes = nil, nil, 0
 	if err != nil {
-		attempt.err = dialError(err)
-		p.quietUntil = p.transport.now() + int64(redialAfter)
+		attempt.err = classifyDialError(err)
+		p.backoffUntil = p.transport.now() + int64(dialBackoff)
 		return
 	}
-	connection, err := p.transport.adopt(socket)
+	connection, err := p.transport.startConnection(socket)
 	if err != nil {
 		attempt.err = err
 		return
 	}
 	attempt.connection, p.connection = connection, connection
-	for _, f := range waiting {
+	for _, f := range backlog {
 		_ = connection.send(f)
 	}
 }
 
-// send queues a one-way message; it is dropped if the peer can't be reached or does not keep up.
+// send queues a one-way message. The message is dropped if the peer is unreachable or its queue is full.
 func (p *peer) send(f frame) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if p.connection != nil && p.connection.send(f) == nil {
 		return
 	}
-	if p.connection != nil && p.connection.open() {
-		return // its queue is full
+	if p.connection != nil && p.connection.isOpen() {
+		return // the send queue is full
 	}
-	if p.dial == nil && p.transport.now() < p.quietUntil {
+	if p.pendingDial == nil && p.transport.now() < p.backoffUntil {
 		return
 	}
 	p.dialLocked()
-	if p.waitingSize+len(f.body) > maxQueue || len(p.waiting) >= maxWaiting {
+	if p.backlogBytes+len(f.body) > maxQueue || len(p.backlog) >= maxDialBacklog {
 		return
 	}
-	p.waiting = append(p.waiting, f)
-	p.waitingSize += len(f.body)
+	p.backlog = append(p.backlog, f)
+	p.backlogBytes += len(f.body)
 }
 
-// idle tells whether the peer has had nothing to carry for the given time, and closes its connection then.
-func (p *peer) idle(now int64, limit time.Duration) bool {
+// closeIfIdle closes the connection if it has been idle for limit, and reports whether the peer can be removed.
+func (p *peer) closeIfIdle(now int64, limit time.Duration) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if p.dial != nil {
+	if p.pendingDial != nil {
 		return false
 	}
-	if p.connection == nil || !p.connection.open() {
+	if p.connection == nil || !p.connection.isOpen() {
 		return true
 	}
-	if now-p.connection.idleSince() < int64(limit) {
+	if now-p.connection.lastActivity() < int64(limit) {
 		return false
 	}
 	p.connection.close(errors.Wrap(ErrBroken, "idle"))
@@ -122,8 +123,8 @@
 	return &net.Dialer{Timeout: dialTimeout, KeepAlive: -1, Control: setUserTimeout}
 }
 
-// dialError tells a machine that is out of reach from one where nobody listens.
-func dialError(err error) error {
+// classifyDialError distinguishes an unreachable host from one that answers but has nothing listening on the port.
+func classifyDialError(err error) error {
 	if errors.Is(err, syscall.ECONNREFUSED) {
 		return errors.WithStack(ErrRefused)
 	}
--- a/internal/router/transport/socket.go
+++ b/internal/router/transport/socket.go
@@ -7,20 +7,21 @@
 	"golang.org/x/sys/unix"
 )
 
-// setUserTimeout bounds how long sent bytes may stay unacknowledged: a peer without power says nothing.
+// setUserTimeout sets TCP_USER_TIMEOUT, which bounds how long sent bytes may stay unacknowledged. It detects a peer
+// that lost power and so never closes or resets its connections.
 func setUserTimeout(_, _ string, raw syscall.RawConn) error {
-	var failure error
+	var optionErr error
 	err := raw.Control(func(descriptor uintptr) {
-		failure = unix.SetsockoptInt(int(descriptor), unix.IPPROTO_TCP, unix.TCP_USER_TIMEOUT, int(userTimeout.Milliseconds()))
+		optionErr = unix.SetsockoptInt(int(descriptor), unix.IPPROTO_TCP, unix.TCP_USER_TIMEOUT, int(tcpUserTimeout.Milliseconds()))
 	})
 	if err != nil {
 		return err
 	}
-	return failure
+	return optionErr
 }
 
-// limitUnacknowledged does the same for an accepted connection.
-func limitUnacknowledged(socket net.Conn) {
+// setUserTimeoutOnAccepted calls setUserTimeout for an accepted connection; a socket that is not TCP stays unchanged.
+func setUserTimeoutOnAccepted(socket net.Conn) {
 	tcp, ok := socket.(*net.TCPConn)
 	if !ok {
 		return
--- a/internal/router/transport/stall.go
+++ b/internal/router/transport/stall.go
@@ -6,58 +6,58 @@
 	"github.com/pkg/errors"
 )
 
-// stallWatch looks for silent peers on one connection. It runs only while calls wait for answers.
+// stallWatch detects a peer that has stopped sending on one connection. It runs only while calls wait for responses.
 type stallWatch struct {
 	connection *connection
-	started    int64 // when the watch began, as Transport.now
-	due        int64 // when the timer should fire
+	started    int64 // start of the observation, in Transport.now time
+	timerDue   int64 // when the timer should fire, in Transport.now time
 }
 
-// watchLocked starts the watch if none runs.
-func (c *connection) watchLocked() {
-	if c.watched {
+// startStallWatchLocked starts a stall watch unless one is running. The caller holds c.mu.
+func (c *connection) startStallWatchLocked() {
+	if c.watchingForStall {
 		return
 	}
-	c.watched = true
+	c.watchingForStall = true
 	now := c.transport.now()
 	w := &stallWatch{connection: c, started: now}
 	w.arm(now)
 }
 
 func (w *stallWatch) arm(now int64) {
-	pause := w.connection.transport.patience.probeAfter
-	w.due = now + int64(pause)
-	time.AfterFunc(pause, w.check)
+	delay := w.connection.transport.stallTimeouts.probeAfter
+	w.timerDue = now + int64(delay)
+	time.AfterFunc(delay, w.check)
 }
 
-// check probes a silent peer and closes the connection when it stays silent.
+// check probes a silent peer, and closes the connection once the silence reaches stallAfter.
 func (w *stallWatch) check() {
 	c := w.connection
 	now := c.transport.now()
-	if c.endWatchIfIdle() {
+	if c.stopStallWatchIfIdle() {
 		return
 	}
-	if now-w.due > int64(lateTimer) {
-		w.started = now // this process itself was held up: the peer's bytes may be unread
+	if now-w.timerDue > int64(lateTimerThreshold) {
+		w.started = now // this process was paused, so bytes from the peer may still be unread
 	}
-	silent := time.Duration(now - max(w.started, c.heard.Load()))
-	if silent >= c.transport.patience.stallAfter {
+	silent := time.Duration(now - max(w.started, c.lastReceived.Load()))
+	if silent >= c.transport.stallTimeouts.stallAfter {
 		c.close(errors.Wrapf(ErrStalled, "%v", silent.Round(time.Millisecond)))
 		return
 	}
-	if silent >= c.transport.patience.probeAfter {
+	if silent >= c.transport.stallTimeouts.probeAfter {
 		_ = c.send(frame{frameKind: frameProbe})
 	}
 	w.arm(now)
 }
 
-// endWatchIfIdle ends the watch when nobody waits for an answer.
-func (c *connection) endWatchIfIdle() bool {
+// stopStallWatchIfIdle ends the watch if no call waits for a response, and reports whether it did.
+func (c *connection) stopStallWatchIfIdle() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if c.err == nil && len(c.calls) > 0 {
 		return false
 	}
-	c.watched = false
+	c.watchingForStall = false
 	return true
 }
--- a/internal/router/transport/transport.go
+++ b/internal/router/transport/transport.go
@@ -11,51 +11,51 @@
 )
 
 const (
-	dialTimeout  = 400 * time.Millisecond
-	redialAfter  = 200 * time.Millisecond // pause of one-way messages after a failed dial
-	userTimeout  = time.Second            // unacknowledged bytes end a connection after this
-	writeTimeout = 2 * time.Second
-	lateTimer    = 200 * time.Millisecond // a timer this late shows that the process was held up
-	idleLimit    = time.Minute
-	sweepEvery   = 30 * time.Second
-
-	maxQueue    = 4 << 20 // bytes that may wait for one peer before another message
-	writePart   = 256 << 10
-	maxWaiting  = 256 // one-way messages that wait for a dial
-	maxHandlers = 256 // running handlers of one connection
-	keptBuffer  = 16 << 10
-	readBuffer  = 4 << 10
+	dialTimeout        = 400 * time.Millisecond
+	dialBackoff        = 200 * time.Millisecond // how long one-way messages are dropped after a failed dial
+	tcpUserTimeout     = time.Second            // unacknowledged bytes end a connection after this time
+	writeTimeout       = 2 * time.Second
+	lateTimerThreshold = 200 * time.Millisecond // a timer that fires this late shows that the process was paused
+	idleTimeout        = time.Minute
+	sweepInterval      = 30 * time.Second
+
+	maxQueue       = 4 << 20 // a message is refused once more than this many bytes are queued for its peer
+	writeChunk     = 256 << 10
+	maxDialBacklog = 256 // one-way messages held for a pending dial
+	maxHandlers    = 256 // handlers running concurrently for one connection
+	maxSpareBuffer = 16 << 10
+	readBuffer     = 4 << 10
 )
 
-// patience is how long a peer may be silent while calls wait for its answers.
-type patience struct {
-	probeAfter time.Duration // then it is probed
-	stallAfter time.Duration // then its connection is closed
+// stallTimeouts limit how long a peer may be silent while calls wait for its responses.
+type stallTimeouts struct {
+	probeAfter time.Duration // silence after which the peer is probed
+	stallAfter time.Duration // silence after which the connection is closed
 }
 
-var defaultPatience = patience{probeAfter: 350 * time.Millisecond, stallAfter: 700 * time.Millisecond}
+var defaultStallTimeouts = stallTimeouts{probeAfter: 350 * time.Millisecond, stallAfter: 700 * time.Millisecond}
 
-// Kind tells messages apart.
+// Kind identifies the type of a message and selects its handler.
 type Kind uint8
 
-// Handler takes a message; its results are the answer of a call. The body is the handler's to keep.
+// Handler handles a message. For a call, its results become the response. The handler may retain the body.
 type Handler func(ctx context.Context, body []byte) ([]byte, error)
 
-// Messenger sends one-way messages to other routers. A Transport is one.
+// Messenger sends one-way messages to other routers. Transport implements it.
 type Messenger interface {
 	Send(address string, kind Kind, body []byte)
 }
 
-// Options of a transport.
+// Options configure a transport.
 type Options struct {
-	// Address is the "ip:port" to listen at; port 0 takes a free one.
+	// Address is the "ip:port" to listen on; port 0 picks a free port.
 	Address string
-	Log     logrus.FieldLogger
-	// Dial opens the connections to other routers; nil: plain TCP.
+	Log     logrus.FieldLogger // nil means logrus.StandardLogger()
+	// Dial opens connections to other routers; nil means plain TCP.
 	Dial DialFunc
 }
 
-// DialFunc opens a connection to an address, as net.Dialer.DialContext does.
+// DialFunc opens a connection to an address, with the semantics of net.Dialer.DialContext.
 type DialFunc func(ctx context.Context, network, address string) (net.Conn, error)
 
 type registration struct {
@@ -63,16 +63,16 @@
 	inline  bool
 }
 
-// Transport sends and receives messages. All methods may be called at any time from any goroutine.
+// Transport sends and receives messages. Its methods are safe for concurrent use.
 type Transport struct {
-	log      logrus.FieldLogger
-	listener net.Listener
-	dial     DialFunc
-	started  time.Time
-	patience patience
-	ctx      context.Context
-	cancel   context.CancelFunc
-	running  sync.WaitGroup
+	log           logrus.FieldLogger
+	listener      net.Listener
+	dial          DialFunc
+	started       time.Time
+	stallTimeouts stallTimeouts
+	ctx           context.Context
+	cancel        context.CancelFunc
+	running       sync.WaitGroup
 
 	mu          sync.RWMutex
 	handlers    map[Kind]*registration
@@ -81,7 +81,7 @@
 	closed      bool
 }
 
-// Listen starts a transport at the address.
+// Listen starts a transport that listens on options.Address.
 func Listen(options Options) (*Transport, error) {
 	config := net.ListenConfig{KeepAlive: -1, Control: setUserTimeout}
 	listener, err := config.Listen(context.Background(), "tcp", options.Address)
@@ -95,14 +95,14 @@
 		options.Dial = newDialer().DialContext
 	}
 	t := &Transport{
-		log:         options.Log,
-		listener:    listener,
-		dial:        options.Dial,
-		started:     time.Now(),
-		patience:    defaultPatience,
-		handlers:    make(map[Kind]*registration),
-		peers:       make(map[string]*peer),
-		connections: make(map[*connection]struct{}),
+		log:           options.Log,
+		listener:      listener,
+		dial:          options.Dial,
+		started:       time.Now(),
+		stallTimeouts: defaultStallTimeouts,
+		handlers:      make(map[Kind]*registration),
+		peers:         make(map[string]*peer),
+		connections:   make(map[*connection]struct{}),
 	}
 	t.ctx, t.cancel = context.WithCancel(context.Background())
 	t.running.Add(2)
@@ -111,16 +111,16 @@
 	return t, nil
 }
 
-// Address is where the transport listens.
+// Address returns the address on which the transport listens.
 func (t *Transport) Address() string { return t.listener.Addr().String() }
 
-// Handle registers the handler of a kind. Each message runs it on a goroutine of its own.
+// Handle registers the handler of a message kind. Each message is handled on its own goroutine.
 func (t *Transport) Handle(kind Kind, handler Handler) {
 	t.register(kind, &registration{handler: handler})
 }
 
-// HandleInline registers a handler that never waits. It runs on the connection's reading goroutine, so the messages of one peer are
-// handled in their order.
+// HandleInline registers a handler that must not block. It runs on the goroutine that reads the connection, so messages
+// of one peer are handled in the order of their arrival.
 func (t *Transport) HandleInline(kind Kind, handler Handler) {
 	t.register(kind, &registration{handler: handler, inline: true})
 }
@@ -137,7 +137,8 @@
 	return t.handlers[kind]
 }
 
-// Call sends a message to the transport at address and waits for the answer. A handler's error comes back as *RemoteError.
+// Call sends a message to the transport at address and waits for the response. An error of the handler is returned as a
+// *RemoteError.
 func (t *Transport) Call(ctx context.Context, address string, kind Kind, body []byte) ([]byte, error) {
 	if len(body) > MaxBody {
 		return nil, ErrTooLarge
@@ -146,26 +147,27 @@
 	if err != nil {
 		return nil, err
 	}
-	connection, fresh, err := p.open(ctx)
+	connection, dialed, err := p.connect(ctx)
 	if err != nil {
 		return nil, err
 	}
 	result, err := connection.call(ctx, kind, body)
-	if fresh || !repeatable(err) {
+	if dialed || !isRetryable(err) {
 		return result, err
 	}
-	if connection, _, err = p.open(ctx); err != nil { // the old connection may have outlived the peer's restart
+	if connection, _, err = p.connect(ctx); err != nil { // the connection may date from before a restart of the peer
 		return nil, err
 	}
 	return connection.call(ctx, kind, body)
 }
 
-// repeatable tells whether a call that failed on a used connection deserves another try on a new one.
-func repeatable(err error) bool {
+// isRetryable reports whether a call that failed on an existing connection should be retried.
+func isRetryable(err error) bool {
 	return errors.Is(err, ErrBroken) || errors.Is(err, ErrStalled)
 }
 
-// Send sends a one-way message. It never waits; the message is lost if the peer is out of reach or does not keep up.
+// Send sends a one-way message without blocking. The message is dropped if the peer is unreachable, if its queue is full
+// or if the body exceeds MaxBody.
 func (t *Transport) Send(address string, kind Kind, body []byte) {
 	if len(body) > MaxBody {
 		return
@@ -194,8 +196,8 @@
 	return p, nil
 }
 
-// adopt starts reading from a new connection.
-func (t *Transport) adopt(socket net.Conn) (*connection, error) {
+// startConnection registers a new connection and starts reading from it.
+func (t *Transport) startConnection(socket net.Conn) (*connection, error) {
 	c := newConnection(t, socket)
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -212,37 +214,37 @@
 	return c, nil
 }
 
-func (t *Transport) forgetConnection(c *connection) {
+func (t *Transport) removeConnection(c *connection) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	delete(t.connections, c)
 }
 
-// accept takes the connections of peers.
+// accept accepts connections of peers until the transport is closed.
 func (t *Transport) accept() {
 	defer t.running.Done()
 	for {
 		socket, err := t.listener.Accept()
 		if err == nil {
-			limitUnacknowledged(socket)
-			_, _ = t.adopt(socket)
+			setUserTimeoutOnAccepted(socket)
+			_, _ = t.startConnection(socket)
 			continue
 		}
 		if t.ctx.Err() != nil {
 			return
 		}
 		t.log.WithError(err).Warn("accepting a peer's connection failed")
-		time.Sleep(acceptPause)
+		time.Sleep(acceptRetryDelay)
 	}
 }
 
-// acceptPause follows a failed accept, mostly for want of descriptors.
-const acceptPause = 50 * time.Millisecond
+// acceptRetryDelay is the delay after a failed accept, which is mostly caused by a lack of file descriptors.
+const acceptRetryDelay = 50 * time.Millisecond
 
-// sweep closes idle connections.
+// sweep periodically closes idle connections.
 func (t *Transport) sweep() {
 	defer t.running.Done()
-	ticker := time.NewTicker(sweepEvery)
+	ticker := time.NewTicker(sweepInterval)
 	defer ticker.Stop()
 	for {
 		select {
@@ -256,19 +258,19 @@
 
 func (t *Transport) closeIdle(now int64) {
 	for _, p := range t.listPeers() {
-		if p.idle(now, idleLimit) {
-			t.dropPeer(p)
+		if p.closeIfIdle(now, idleTimeout) {
+			t.removePeer(p)
 		}
 	}
 	for _, c := range t.listConnections() {
-		if now-c.idleSince() > int64(2*idleLimit) { // accepted ones, whose dialer may be gone silently
+		if now-c.lastActivity() > int64(2*idleTimeout) { // an accepted connection, whose dialer may be gone without closing it
 			c.close(errors.Wrap(ErrBroken, "idle"))
 		}
 	}
 }
 
-// dropPeer forgets an idle peer. Whoever still holds it may go on using it.
-func (t *Transport) dropPeer(p *peer) {
+// removePeer removes an idle peer. Callers that still hold a reference may go on using it.
+func (t *Transport) removePeer(p *peer) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	delete(t.peers, p.address)
@@ -294,10 +296,10 @@
 	return list
 }
 
-// now is the steady time since the transport's start, in nanoseconds.
+// now returns the monotonic time since the start of the transport, in nanoseconds.
 func (t *Transport) now() int64 { return int64(time.Since(t.started)) }
 
-// Close ends all connections and waits until their readers have ended.
+// Close closes the listener and all connections, and waits for the goroutines that read from them.
 func (t *Transport) Close() error {
 	t.mu.Lock()
 	t.closed = true
--- a/internal/router/transport/transport_test.go
+++ b/internal/router/transport/transport_test.go
@@ -55,16 +55,17 @@
 	assert.Equal(t, len(a.listConnections()), 1)
 }
 
-// TestLargeMessageBehindSmallOne checks that a message over the queue's bound may wait behind others.
+// TestLargeMessageBehindSmallOne checks that a message larger than the queue limit is still queued behind others. Only
+// the message after it is refused.
 func TestLargeMessageBehindSmallOne(t *testing.T) {
 	a := listen(t, "127.0.0.1:0")
 	address, accepted := rawListener(t)
 	p, err := a.peer(address)
 	assert.NilError(t, err)
-	c, _, err := p.open(t.Context())
+	c, _, err := p.connect(t.Context())
 	assert.NilError(t, err)
 	c.mu.Lock()
-	c.writing = true // no writer starts
+	c.writing = true // keeps a writer from starting
 	assert.Check(t, c.sendLocked(frame{frameKind: frameProbe}))
 	assert.Check(t, c.sendLocked(frame{frameKind: frameRequest, body: make([]byte, MaxBody)}))
 	assert.Check(t, errors.Is(c.sendLocked(frame{frameKind: frameProbe}), ErrQueueFull))
@@ -93,7 +94,7 @@
 	assert.ErrorIs(t, err, ErrUnreachable)
 }
 
-// TestCallsShareConnection runs many calls at once, while one handler waits.
+// TestCallsShareConnection checks that a blocked handler does not delay concurrent calls on the same connection.
 func TestCallsShareConnection(t *testing.T) {
 	a, b := newPair(t)
 	release := make(chan struct{})
@@ -121,7 +122,8 @@
 	assert.Equal(t, len(a.listConnections()), 1)
 }
 
-// TestSendKeepsOrder checks that inline handlers see one-way messages in their order, those sent before the dial included.
+// TestSendKeepsOrder checks that inline handlers receive one-way messages in the order of sending, including those sent
+// before the connection was established.
 func TestSendKeepsOrder(t *testing.T) {
 	a, b := newPair(t)
 	const count = 200
@@ -138,7 +140,7 @@
 	}
 }
 
-// TestPeerRestarts checks that the first call after a peer's restart succeeds on a new connection.
+// TestPeerRestarts checks that the first call after a restart of the peer succeeds on a new connection.
 func TestPeerRestarts(t *testing.T) {
 	a := listen(t, "127.0.0.1:0")
 	b := listen(t, "127.0.0.1:0")
@@ -153,7 +155,7 @@
 	assert.NilError(t, b.Close())
 }
 
-// rawListener accepts connections and leaves them to the test.
+// rawListener accepts TCP connections without speaking the protocol and passes them to the test.
 func rawListener(t *testing.T) (address string, accepted chan net.Conn) {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	assert.NilError(t, err)
@@ -173,7 +175,7 @@
 
 func TestSilentPeer(t *testing.T) {
 	a := listen(t, "127.0.0.1:0")
-	a.patience = patience{probeAfter: 10 * time.Millisecond, stallAfter: 40 * time.Millisecond}
+	a.stallTimeouts = stallTimeouts{probeAfter: 10 * time.Millisecond, stallAfter: 40 * time.Millisecond}
 	address, accepted := rawListener(t)
 	_, err := a.Call(t.Context(), address, kindEcho, nil)
 	assert.ErrorIs(t, err, ErrStalled)
@@ -184,12 +186,12 @@
 	assert.NilError(t, a.Close())
 }
 
-// TestSlowHandler checks that a handler may take longer than a peer may be silent: its connection answers probes.
+// TestSlowHandler checks that a handler may run for longer than stallAfter, because its router keeps answering probes.
 func TestSlowHandler(t *testing.T) {
 	a, b := newPair(t)
-	a.patience = patience{probeAfter: 10 * time.Millisecond, stallAfter: 100 * time.Millisecond}
+	a.stallTimeouts = stallTimeouts{probeAfter: 10 * time.Millisecond, stallAfter: 100 * time.Millisecond}
 	b.Handle(kindWait, func(context.Context, []byte) ([]byte, error) {
-		<-time.After(3 * a.patience.stallAfter)
+		<-time.After(3 * a.stallTimeouts.stallAfter)
 		return []byte("late"), nil
 	})
 	received, err := a.Call(t.Context(), b.Address(), kindWait, nil)
@@ -197,7 +199,7 @@
 	assert.Equal(t, string(received), "late")
 }
 
-// TestPeerThatDoesNotRead checks that sends neither wait nor pile up.
+// TestPeerThatDoesNotRead checks that sends to a peer that does not read never block and that its queue stays bounded.
 func TestPeerThatDoesNotRead(t *testing.T) {
 	a := listen(t, "127.0.0.1:0")
 	address, accepted := rawListener(t)
@@ -208,7 +210,7 @@
 	connection := <-accepted
 	p, err := a.peer(address)
 	assert.NilError(t, err)
-	_, _, err = p.open(t.Context())
+	_, _, err = p.connect(t.Context())
 	assert.NilError(t, err)
 	for range 200 {
 		a.Send(address, kindNote, body)
@@ -222,7 +224,8 @@
 	assert.NilError(t, a.Close())
 }
 
-// TestOtherProtocol checks that a peer of another version is disconnected, and one that announces too large a body.
+// TestOtherProtocol checks that a peer is disconnected if it sends another protocol version or announces a body larger
+// than MaxBody.
 func TestOtherProtocol(t *testing.T) {
 	a := listen(t, "127.0.0.1:0")
 	frames := [][]byte{
@@ -243,7 +246,7 @@
 	assert.NilError(t, a.Close())
 }
 
-// TestCancelledCall checks that a caller need not wait for the answer.
+// TestCancelledCall checks that a call returns when its context is canceled, before the response arrives.
 func TestCancelledCall(t *testing.T) {
 	a, b := newPair(t)
 	entered := make(chan struct{})
@@ -261,14 +264,14 @@
 	assert.ErrorIs(t, err, context.Canceled)
 }
 
-// TestIdleConnectionsClose checks the sweep.
+// TestIdleConnectionsClose checks that idle connections and peers are removed and that a later call dials again.
 func TestIdleConnectionsClose(t *testing.T) {
 	a, b := newPair(t)
 	_, err := a.Call(t.Context(), b.Address(), kindEcho, nil)
 	assert.NilError(t, err)
 	a.closeIdle(a.now())
 	assert.Equal(t, len(a.listConnections()), 1)
-	a.closeIdle(a.now() + 2*int64(idleLimit))
+	a.closeIdle(a.now() + 2*int64(idleTimeout))
 	assert.Equal(t, len(a.listConnections()), 0)
 	assert.Equal(t, len(a.listPeers()), 0)
 	_, err = a.Call(t.Context(), b.Address(), kindEcho, nil)
