--- a/internal/router/controlapi/body.go
+++ b/internal/router/controlapi/body.go
@@ -9,7 +9,7 @@
 	"pewterrudder/internal/router/resultcode"
 )
 
-// bodyRules say how large a body may be, and the codes of one that is not whole.
+// bodyRules hold the size limit of a request body, in bytes, and the result codes for bodies that cannot be read.
 type bodyRules struct {
 	limit      int64
 	tooLarge   resultcode.Code
@@ -22,7 +22,7 @@
 	heartbeatBody     = bodyRules{maxHeartbeatBytes, resultcode.CallTooLarge, resultcode.HeartbeatUnreadable}
 )
 
-// readBody reads a whole body.
+// readBody reads the whole request body. Its error carries one of the result codes of rules.
 func readBody(w http.ResponseWriter, r *http.Request, rules bodyRules) ([]byte, *resultcode.Error) {
 	body, err := io.ReadAll(http.MaxBytesReader(w, r.Body, rules.limit))
 	var tooLarge *http.MaxBytesError
--- a/internal/router/controlapi/change_test.go
+++ b/internal/router/controlapi/change_test.go
@@ -16,10 +16,10 @@
 	"pewterrudder/internal/router/protocol"
 )
 
-// muchLater is many other changes, yet fewer than the register remembers.
-const muchLater = 100
+// laterChanges is a number of later changes that is below the number of changes that the register remembers.
+const laterChanges = 100
 
-func TestOrdersAreTakenOnTopOfTheirBase(t *testing.T) {
+func TestChangesApplyToTheirBase(t *testing.T) {
 	api, _ := newTestAPI()
 	assert.Equal(t, put(api, 0, configuration(5, 10)), http.StatusOK)
 	assertCurrent(t, api, 5, "r")
@@ -31,7 +31,7 @@
 	assertCurrent(t, api, 20, "r")
 }
 
-func TestAnotherBaseIsRefused(t *testing.T) {
+func TestChangeOnOtherBaseIsRefused(t *testing.T) {
 	api, _ := newTestAPI()
 	assert.Equal(t, put(api, 3, configuration(5, 10)), http.StatusPreconditionFailed)
 	assert.Equal(t, put(api, 0, configuration(5, 10)), http.StatusOK)
@@ -42,8 +42,8 @@
 	assertCurrent(t, api, 5, "r")
 }
 
-// invalid are orders on top of generation 5 that must not be proposed.
-var invalid = map[string]string{
+// invalidConfigurations are bodies that put must refuse on top of generation 5.
+var invalidConfigurations = map[string]string{
 	"empty":            ``,
 	"cut short":        configuration(9, 10)[:60],
 	"two documents":    configuration(9, 10) + configuration(9, 10),
@@ -59,7 +59,7 @@
 }
 
 func TestInvalidConfigurationsAreRefused(t *testing.T) {
-	for name, body := range invalid {
+	for name, body := range invalidConfigurations {
 		api, register := newTestAPI()
 		assert.Equal(t, put(api, 0, configuration(5, 10)), http.StatusOK)
 		before := register.current()
@@ -87,50 +87,51 @@
 	}
 }
 
-func TestABaseRevisionMustBeANumber(t *testing.T) {
+func TestBaseRevisionMustBeNumber(t *testing.T) {
 	api, register := newTestAPI()
 	for _, base := range []string{"", "five", "1.5", "0x1", "99999999999999999999"} {
 		answer := post(api, protocol.PathConfigPut, base, strings.NewReader(configuration(5, 10)))
 		assert.Equal(t, answer.Code, http.StatusBadRequest, "base %q", base)
 	}
-	assert.Equal(t, register.proposed, 0)
+	assert.Equal(t, register.proposals, 0)
 }
 
-func TestABodyThatEndsEarlyIsNotProposed(t *testing.T) {
+func TestTruncatedBodyIsNotProposed(t *testing.T) {
 	api, register := newTestAPI()
 	whole := strings.NewReader(configuration(5, 10))
-	body := io.MultiReader(whole, iotest.ErrReader(io.ErrUnexpectedEOF)) // even if what came is a document
+	body := io.MultiReader(whole, iotest.ErrReader(io.ErrUnexpectedEOF)) // although the part received is a whole document
 	assert.Equal(t, post(api, protocol.PathConfigPut, "0", body).Code, http.StatusBadRequest)
-	assert.Equal(t, register.proposed, 0)
+	assert.Equal(t, register.proposals, 0)
 }
 
-func TestABodyOverTheLimitIsRefused(t *testing.T) {
+func TestBodyOverLimitIsRefused(t *testing.T) {
 	api, register := newTestAPI()
 	body := configuration(5, 10) + strings.Repeat(" ", maxConfigurationBytes)
 	assert.Equal(t, put(api, 0, body), http.StatusRequestEntityTooLarge)
-	assert.Equal(t, register.proposed, 0)
+	assert.Equal(t, register.proposals, 0)
 }
 
-func TestARepeatedOrderIsAcknowledgedAgain(t *testing.T) {
+func TestRepeatedChangeIsAcknowledgedAgain(t *testing.T) {
 	api, register := newTestAPI()
 	first, second := configuration(5, 10), upsert(7, "s")
 	assert.Equal(t, put(api, 0, first), http.StatusOK)
 	assert.Equal(t, put(api, 0, first), http.StatusOK)
 	assert.Equal(t, patch(api, 5, second), http.StatusOK)
-	for generation := 8; generation < 8+muchLater; generation++ {
+	for generation := 8; generation < 8+laterChanges; generation++ {
 		assert.Equal(t, put(api, 0, first), http.StatusOK)
 		assert.Equal(t, patch(api, 5, second), http.StatusOK)
 		base := max(7, generation-1)
 		assert.Equal(t, patch(api, base, upsert(generation, fmt.Sprint("r-", generation))), http.StatusOK)
 	}
-	assert.Equal(t, register.current().Revision, uint64(2+muchLater))
-	// The same bytes as another order are no repetition.
+	assert.Equal(t, register.current().Revision, uint64(2+laterChanges))
+	// The same body with another base or path is not a repetition.
 	assert.Equal(t, put(api, 1, first), http.StatusPreconditionFailed)
 	assert.Equal(t, patch(api, 0, second), http.StatusPreconditionFailed)
 }
 
-// TestATakenOrderIsNeverRefused sends the first two orders again after hundreds of others, beyond what the register remembers.
-func TestATakenOrderIsNeverRefused(t *testing.T) {
+// TestAppliedChangeIsNeverRefused repeats the first two changes after 400 others, more than the register remembers. Since
+// it no longer knows whether they were applied, it must report an unclear outcome and not a refusal.
+func TestAppliedChangeIsNeverRefused(t *testing.T) {
 	api, _ := newTestAPI()
 	first, second := configuration(5, 10), upsert(7, "s")
 	assert.Equal(t, put(api, 0, first), http.StatusOK)
@@ -142,30 +143,30 @@
 	assert.Equal(t, put(api, 0, first), http.StatusServiceUnavailable)
 	assert.Equal(t, patch(api, 5, second), http.StatusServiceUnavailable)
 	last := 7 + changes
-	assert.Equal(t, patch(api, last-1, upsert(last, fmt.Sprint("r-", last%7))), http.StatusOK, "a late order is remembered")
-	assert.Equal(t, patch(api, last-1, upsert(last+1, "x")), http.StatusPreconditionFailed, "another order on a remembered base")
-	assert.Equal(t, patch(api, last+1, upsert(last+2, "x")), http.StatusPreconditionFailed, "a base that never was")
+	assert.Equal(t, patch(api, last-1, upsert(last, fmt.Sprint("r-", last%7))), http.StatusOK, "a recent change is remembered")
+	assert.Equal(t, patch(api, last-1, upsert(last+1, "x")), http.StatusPreconditionFailed, "another change on a remembered base")
+	assert.Equal(t, patch(api, last+1, upsert(last+2, "x")), http.StatusPreconditionFailed, "a base that never existed")
 }
 
-func TestAnOrderWhoseBaseIsOvertakenIsRefused(t *testing.T) {
+func TestChangeIsRefusedAfterConcurrentChange(t *testing.T) {
 	api, register := newTestAPI()
 	assert.Equal(t, put(api, 0, configuration(5, 10)), http.StatusOK)
-	register.preempted = func() { assert.Equal(t, patch(api, 5, upsert(6, "other")), http.StatusOK) }
+	register.beforeChosen = func() { assert.Equal(t, patch(api, 5, upsert(6, "other")), http.StatusOK) }
 	assert.Equal(t, patch(api, 5, upsert(7, "s")), http.StatusPreconditionFailed)
 	assertCurrent(t, api, 6, "r", "other")
 }
 
-// The proposal fails at first because the same order, sent to another router, is chosen before it.
-func TestAnOrderTakenByAnotherRouterMeanwhileIsAcknowledged(t *testing.T) {
+// TestChangeAppliedByAnotherRouterIsAcknowledged covers a proposal that loses to the same change sent to another router.
+func TestChangeAppliedByAnotherRouterIsAcknowledged(t *testing.T) {
 	api, register := newTestAPI()
-	elsewhere := New(Options{Register: register})
+	otherAPI := New(Options{Register: register})
 	assert.Equal(t, put(api, 0, configuration(5, 10)), http.StatusOK)
-	register.preempted = func() { assert.Equal(t, patch(elsewhere, 5, upsert(7, "s")), http.StatusOK) }
+	register.beforeChosen = func() { assert.Equal(t, patch(otherAPI, 5, upsert(7, "s")), http.StatusOK) }
 	assert.Equal(t, patch(api, 5, upsert(7, "s")), http.StatusOK)
 	assert.Equal(t, register.current().Revision, uint64(2))
 }
 
-func TestOfOrdersAtOnceOnOneBaseOneIsTaken(t *testing.T) {
+func TestOneOfConcurrentChangesIsApplied(t *testing.T) {
 	api, register := newTestAPI()
 	assert.Equal(t, put(api, 0, configuration(5, 10)), http.StatusOK)
 	answers := make([]int, 8)
@@ -174,20 +175,20 @@
 		running.Go(func() { answers[i] = patch(api, 5, upsert(7, fmt.Sprint("r-", i))) })
 	}
 	running.Wait()
-	taken := 0
+	applied := 0
 	for _, status := range answers {
 		if status == http.StatusOK {
-			taken++
+			applied++
 			continue
 		}
 		assert.Equal(t, status, http.StatusPreconditionFailed)
 	}
-	assert.Equal(t, taken, 1)
+	assert.Equal(t, applied, 1)
 	assert.Equal(t, register.current().Revision, uint64(2))
 }
 
-// What the API remembers of the last document must not show in answers to orders on another.
-func TestTheLastParsedDocumentDoesNotShow(t *testing.T) {
+// TestParseCacheDoesNotAffectResults checks that the cached parse of one document does not affect a change to another.
+func TestParseCacheDoesNotAffectResults(t *testing.T) {
 	api, _ := newTestAPI()
 	assert.Equal(t, put(api, 0, configuration(5, 10)), http.StatusOK)
 	assert.Equal(t, patch(api, 5, upsert(6, "s")), http.StatusOK)
@@ -195,13 +196,13 @@
 	other, register := newTestAPI()
 	register.state.Document = []byte(configuration(6, 30))
 	register.state.Generation = 6
-	other.parsed.Store(api.parsed.Load())
+	other.lastParsed.Store(api.lastParsed.Load())
 	assert.Equal(t, patch(other, 6, upsert(7, "t")), http.StatusOK)
 	assertCurrent(t, other, 7, "r", "t")
 	assert.Assert(t, strings.Contains(string(register.current().Document), `"timeout_ms":30`))
 }
 
-func TestAFailingRegisterLeavesTheOutcomeOpen(t *testing.T) {
+func TestFailingRegisterLeavesOutcomeUnclear(t *testing.T) {
 	api, register := newTestAPI()
 	assert.Equal(t, ask(t, api, http.MethodGet, protocol.PathConfigGet, nil), http.StatusServiceUnavailable)
 	register.fails = true
@@ -210,8 +211,9 @@
 	assert.Equal(t, ask(t, api, http.MethodGet, protocol.PathConfigGet, nil), http.StatusServiceUnavailable)
 }
 
-// Callers go on to another router after a second of silence.
-func TestAHangingRegisterIsAnsweredForWithinASecond(t *testing.T) {
+// TestHangingRegisterTimesOutWithinOneSecond checks registerTimeout: callers try another router after one second
+// without a response.
+func TestHangingRegisterTimesOutWithinOneSecond(t *testing.T) {
 	calls := map[string]func(*API) int{
 		"put":   func(api *API) int { return put(api, 0, configuration(5, 10)) },
 		"patch": func(api *API) int { return patch(api, 0, upsert(5, "r")) },
--- a/internal/router/controlapi/controlapi.go
+++ b/internal/router/controlapi/controlapi.go
@@ -1,4 +1,4 @@
-// Package controlapi serves the calls of the operator and of the model instances.
+// Package controlapi serves the HTTP control interface for operators and model instances.
 package controlapi
 
 import (
@@ -19,54 +19,57 @@
 )
 
 const (
-	// maxConfigurationBytes bounds the body of an operator's call.
+	// maxConfigurationBytes is the maximum size of a configuration or patch. Snapshots may have twice this size.
 	maxConfigurationBytes = 16 << 20
-	// maxHeartbeatBytes bounds the body of an instance's call.
+	// maxHeartbeatBytes is the maximum size of the body of an instance's call.
 	maxHeartbeatBytes = 64 << 10
-	// answerWithin is when a call to the register is given up. The callers go on to another router after a second of silence.
-	answerWithin = 850 * time.Millisecond
-	// confirmWithin is when an instance that leaves is told to ask another router. It waits a second for an answer.
-	confirmWithin = 500 * time.Millisecond
-	// answerWithinPerMegabyte is added for large bodies.
-	answerWithinPerMegabyte = time.Second
+	// registerTimeout bounds a call to the register. It is below one second, after which callers try another router.
+	registerTimeout = 850 * time.Millisecond
+	// instanceCallTimeout bounds the handling of an instance's call. After it, an instance that drains or deregisters is
+	// told to ask another router. It is below one second, for which instances wait for a response.
+	instanceCallTimeout = 500 * time.Millisecond
+	// registerTimeoutPerMegabyte is added to registerTimeout for each MiB of the request body.
+	registerTimeoutPerMegabyte = time.Second
 )
 
-// Register is the replicated configuration.
+// Register is the replicated register that holds the configuration.
 type Register interface {
 	Propose(ctx context.Context, change func(configstore.State) (configstore.State, error)) (configstore.State, error)
 	Read(ctx context.Context) (configstore.State, error)
 }
 
-// Instances takes the calls of model instances. An error says that an instance must not be told that its end is known.
+// Instances handles the calls of model instances. An error means that the call must not be acknowledged: that the
+// instance drains or leaves is not yet known to the other routers.
 type Instances interface {
 	Heartbeat(ctx context.Context, id string, beat *protocol.Heartbeat) error
 	Deregister(ctx context.Context, id string) error
 }
 
-// Options of an API.
+// Options configure an API.
 type Options struct {
 	Register  Register
 	Instances Instances
-	// Inspector answers the read-only calls about the router itself; nil: they are not served.
+	// Inspector answers the read-only calls about the router itself; nil means that they are not served.
 	Inspector Inspector
-	// BeatURL is where instances shall send their later heartbeats; empty: anywhere.
+	// BeatURL is the URL to which instances should send later heartbeats; empty means any router.
 	BeatURL string
-	// Prefixes describes the agreed common prefixes; nil: not served.
+	// Prefixes returns the agreed common prefixes; nil means that they are not served.
 	Prefixes func() *protocol.PrefixStatus
 	Log      logrus.FieldLogger
 }
 
-// API answers control calls.
+// API handles the calls of the control interface.
 type API struct {
 	options Options
-	// parsed is the configuration that was parsed last. The next one mostly differs from it in a few items.
-	parsed atomic.Pointer[document.Configuration]
+	// lastParsed caches the configuration that was parsed last. The next one mostly differs from it in a few items, and
+	// document.ParseAfter builds on it.
+	lastParsed atomic.Pointer[document.Configuration]
 }
 
-// New makes the API.
+// New returns an API with the given options.
 func New(options Options) *API { return &API{options: options} }
 
-// Handler routes the calls.
+// Handler returns the HTTP handler with the routes of all calls.
 func (a *API) Handler() http.Handler {
 	router := mux.NewRouter()
 	router.HandleFunc(protocol.PathHeartbeat, a.heartbeat).Methods(http.MethodPost)
@@ -76,15 +79,15 @@
 	router.HandleFunc(protocol.PathConfigGet, a.get).Methods(http.MethodGet)
 	router.HandleFunc(protocol.PathSnapshot, a.snapshot).Methods(http.MethodGet)
 	router.HandleFunc(protocol.PathRestore, a.restore).Methods(http.MethodPost)
-	a.addPrefixes(router)
-	a.routeInspection(router)
+	a.addPrefixRoutes(router)
+	a.addInspectionRoutes(router)
 	router.NotFoundHandler = http.HandlerFunc(noSuchCall)
 	router.MethodNotAllowedHandler = http.HandlerFunc(methodNotAllowed)
 	return router
 }
 
-// heartbeat takes an instance's heartbeat. What it changes is on its way to the other routers before it is acknowledged, and that it
-// drains is known to those that may send to it.
+// heartbeat handles an instance's heartbeat. Before it is acknowledged, its changes have been sent to the other routers.
+// If the instance is draining, the routers that may send requests to it know so.
 func (a *API) heartbeat(w http.ResponseWriter, r *http.Request) {
 	body, err := readBody(w, r, heartbeatBody)
 	if err != nil {
@@ -96,7 +99,7 @@
 		resultcode.Write(w, resultcode.New(resultcode.HeartbeatUnreadable, "%v", err))
 		return
 	}
-	ctx, cancel := context.WithTimeout(r.Context(), confirmWithin)
+	ctx, cancel := context.WithTimeout(r.Context(), instanceCallTimeout)
 	defer cancel()
 	if err := a.options.Instances.Heartbeat(ctx, mux.Vars(r)["id"], &beat); err != nil {
 		resultcode.Write(w, resultcode.New(resultcode.HeartbeatNotSpread, "%v", err))
@@ -105,13 +108,13 @@
 	writeJSON(w, &protocol.HeartbeatAnswer{BeatURL: a.options.BeatURL})
 }
 
-// deregister takes an instance's farewell.
+// deregister handles the deregistration of an instance.
 func (a *API) deregister(w http.ResponseWriter, r *http.Request) {
 	if _, err := readBody(w, r, heartbeatBody); err != nil {
 		resultcode.Write(w, err)
 		return
 	}
-	ctx, cancel := context.WithTimeout(r.Context(), confirmWithin)
+	ctx, cancel := context.WithTimeout(r.Context(), instanceCallTimeout)
 	defer cancel()
 	if err := a.options.Instances.Deregister(ctx, mux.Vars(r)["id"]); err != nil {
 		resultcode.Write(w, resultcode.New(resultcode.HeartbeatNotSpread, "%v", err))
@@ -120,9 +123,9 @@
 	w.WriteHeader(http.StatusOK)
 }
 
-// get answers with the newest configuration.
+// get responds with the newest configuration.
 func (a *API) get(w http.ResponseWriter, r *http.Request) {
-	ctx, cancel := context.WithTimeout(r.Context(), answerWithin)
+	ctx, cancel := context.WithTimeout(r.Context(), registerTimeout)
 	defer cancel()
 	state, err := a.options.Register.Read(ctx)
 	if err != nil {
@@ -138,16 +141,16 @@
 	_, _ = w.Write(state.Document)
 }
 
-// writeError answers with a numbered error; others leave the outcome unclear.
+// writeError responds with the result code of err. An error without one is reported as OutcomeUnclear.
 func writeError(w http.ResponseWriter, err error) {
-	if numbered, ok := resultcode.Of(err); ok {
-		resultcode.Write(w, numbered)
+	if coded, ok := resultcode.Of(err); ok {
+		resultcode.Write(w, coded)
 		return
 	}
 	resultcode.Write(w, resultcode.New(resultcode.OutcomeUnclear, "%v", err))
 }
 
-// writeJSON answers with a body.
+// writeJSON responds with value encoded as JSON.
 func writeJSON(w http.ResponseWriter, value any) {
 	text, err := json.Marshal(value)
 	if err != nil {
--- a/internal/router/controlapi/fixture_test.go
+++ b/internal/router/controlapi/fixture_test.go
@@ -17,33 +17,33 @@
 	"pewterrudder/internal/router/protocol"
 )
 
-// errNoQuorum is what the stand-in register answers when it fails.
+// errNoQuorum is the error of a memoryRegister that fails, and of instances whose call is not confirmed.
 var errNoQuorum = errors.New("no quorum")
 
-// memoryRegister is a register in memory. Like the store, it may call a change function several times, and returns the function's
-// error only on a state that is chosen.
+// memoryRegister is an in-memory Register. Like configstore, it may call a change function several times, and returns an
+// error of the function only if the function was called with a chosen state.
 type memoryRegister struct {
-	mu       sync.Mutex
-	state    configstore.State
-	proposed int
-	fails    bool
-	hangs    bool
-	// preempted is called once, between the first call of a change function and the choice of its result.
-	preempted func()
+	mu        sync.Mutex
+	state     configstore.State
+	proposals int
+	fails     bool
+	hangs     bool
+	// beforeChosen is called once, after the first call of a change function and before its result is chosen.
+	beforeChosen func()
 }
 
-// Propose makes the change.
+// Propose applies the change to the state.
 func (m *memoryRegister) Propose(ctx context.Context, change func(configstore.State) (configstore.State, error)) (configstore.State, error) {
-	if err := m.trouble(ctx); err != nil {
+	if err := m.simulateFailure(ctx); err != nil {
 		return configstore.State{}, err
 	}
-	if other := m.takePreemption(); other != nil {
+	if hook := m.takeBeforeChosen(); hook != nil {
 		_, _ = change(m.current())
-		other()
+		hook()
 	}
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	m.proposed++
+	m.proposals++
 	next, err := change(m.state)
 	if err != nil {
 		return m.state, err
@@ -55,14 +55,14 @@
 
 // Read returns the state.
 func (m *memoryRegister) Read(ctx context.Context) (configstore.State, error) {
-	if err := m.trouble(ctx); err != nil {
+	if err := m.simulateFailure(ctx); err != nil {
 		return configstore.State{}, err
 	}
 	return m.current(), nil
 }
 
-// trouble makes the call hang or fail.
-func (m *memoryRegister) trouble(ctx context.Context) error {
+// simulateFailure blocks or returns an error if the register is set to hang or fail.
+func (m *memoryRegister) simulateFailure(ctx context.Context) error {
 	if m.hangs {
 		<-ctx.Done()
 		return configstore.ErrUnclear
@@ -73,12 +73,12 @@
 	return nil
 }
 
-func (m *memoryRegister) takePreemption() func() {
+func (m *memoryRegister) takeBeforeChosen() func() {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	other := m.preempted
-	m.preempted = nil
-	return other
+	hook := m.beforeChosen
+	m.beforeChosen = nil
+	return hook
 }
 
 func (m *memoryRegister) current() configstore.State {
@@ -87,11 +87,11 @@
 	return m.state
 }
 
-// recordedInstances keeps the words of instances.
+// recordedInstances implements Instances and records the calls.
 type recordedInstances struct {
-	heartbeats map[string]protocol.Heartbeat
-	gone       []string
-	// err is what both calls return.
+	heartbeats   map[string]protocol.Heartbeat
+	deregistered []string
+	// err is the result of both methods.
 	err error
 }
 
@@ -104,17 +104,17 @@
 }
 
 func (r *recordedInstances) Deregister(_ context.Context, id string) error {
-	r.gone = append(r.gone, id)
+	r.deregistered = append(r.deregistered, id)
 	return r.err
 }
 
-// newTestAPI makes an API with a register in memory.
+// newTestAPI returns an API with an in-memory register.
 func newTestAPI() (*API, *memoryRegister) {
 	register := &memoryRegister{}
 	return New(Options{Register: register, Instances: &recordedInstances{}, BeatURL: "http://127.0.0.1:1/"}), register
 }
 
-// post sends an order on top of a base revision.
+// post sends a POST request; base is the value of the base revision header, empty for none.
 func post(api *API, path, base string, body io.Reader) *httptest.ResponseRecorder {
 	request := httptest.NewRequest(http.MethodPost, path, body)
 	if base != "" {
@@ -130,12 +130,12 @@
 	return post(api, protocol.PathConfigPut, fmt.Sprint(base), strings.NewReader(body)).Code
 }
 
-// patch sends a change of named items and returns the status.
+// patch sends a patch and returns the status.
 func patch(api *API, base int, body string) int {
 	return post(api, protocol.PathConfigEdit, fmt.Sprint(base), strings.NewReader(body)).Code
 }
 
-// configuration is a valid one with a route of the given timeout.
+// configuration returns a valid configuration with one route that has the given timeout.
 func configuration(generation, timeout int) string {
 	return fmt.Sprintf(`{"generation":%d,"routes":[%s],"backends":[{"name":"b"}]}`, generation, route("r", timeout))
 }
@@ -145,12 +145,12 @@
 		name, name, timeout)
 }
 
-// upsert is a patch that adds or replaces a route.
+// upsert returns a patch that adds or replaces a route.
 func upsert(generation int, name string) string {
 	return fmt.Sprintf(`{"generation":%d,"upsert":{"routes":[%s]}}`, generation, route(name, 20))
 }
 
-// assertCurrent checks the generation and the routes of the configuration that the API answers with.
+// assertCurrent checks the generation and the routes of the configuration that the API returns.
 func assertCurrent(t *testing.T, api *API, generation int, routes ...string) {
 	t.Helper()
 	var current struct {
--- a/internal/router/controlapi/inspect.go
+++ b/internal/router/controlapi/inspect.go
@@ -9,15 +9,15 @@
 	"pewterrudder/internal/router/status"
 )
 
-// Inspector tells what the router is doing. It is asked only when somebody calls.
+// Inspector returns the current state of the router. Its methods are called on demand, once per request.
 type Inspector interface {
 	Status() status.Status
 	Members() []status.Member
 	Instances() []status.Instance
 }
 
-// routeInspection routes the read-only calls.
-func (a *API) routeInspection(router *mux.Router) {
+// addInspectionRoutes adds the routes of the read-only calls, if an Inspector is set.
+func (a *API) addInspectionRoutes(router *mux.Router) {
 	inspector := a.options.Inspector
 	if inspector == nil {
 		return
--- a/internal/router/controlapi/inspect_test.go
+++ b/internal/router/controlapi/inspect_test.go
@@ -13,7 +13,7 @@
 	"pewterrudder/internal/router/status"
 )
 
-// fixedInspector answers the same each time.
+// fixedInspector returns constant values.
 type fixedInspector struct{}
 
 func (fixedInspector) Status() status.Status { return status.Status{Node: "router-1", Ready: true} }
@@ -24,7 +24,7 @@
 	return []status.Instance{{ID: "i-1", Holder: "router-2"}}
 }
 
-// ask makes a call and reads the answer's body into the value, if there is one.
+// ask makes a request, decodes the JSON body of the response into value unless value is nil, and returns the status.
 func ask(t *testing.T, api *API, method, path string, value any) int {
 	t.Helper()
 	answer := httptest.NewRecorder()
@@ -36,11 +36,11 @@
 	return answer.Code
 }
 
-func TestTheReadOnlyCallsAnswerWhatTheInspectorSays(t *testing.T) {
+func TestReadOnlyCallsReturnInspectorState(t *testing.T) {
 	api := New(Options{Inspector: fixedInspector{}})
-	var of status.Status
-	assert.Equal(t, ask(t, api, http.MethodGet, protocol.PathStatus, &of), http.StatusOK)
-	assert.DeepEqual(t, of, fixedInspector{}.Status())
+	var state status.Status
+	assert.Equal(t, ask(t, api, http.MethodGet, protocol.PathStatus, &state), http.StatusOK)
+	assert.DeepEqual(t, state, fixedInspector{}.Status())
 	var members []status.Member
 	assert.Equal(t, ask(t, api, http.MethodGet, protocol.PathMembers, &members), http.StatusOK)
 	assert.DeepEqual(t, members, fixedInspector{}.Members())
@@ -49,26 +49,26 @@
 	assert.DeepEqual(t, instances, fixedInspector{}.Instances())
 }
 
-// refusal is the body of an answer with a result code.
-type refusal struct {
+// errorBody is the body of a response with a result code.
+type errorBody struct {
 	Code resultcode.Code `json:"code"`
 }
 
-func TestTheReadOnlyCallsTakeNoOtherMethod(t *testing.T) {
+func TestReadOnlyCallsRejectOtherMethods(t *testing.T) {
 	api := New(Options{Inspector: fixedInspector{}})
 	for _, path := range []string{protocol.PathStatus, protocol.PathMembers, protocol.PathInstances} {
-		var refused refusal
+		var refused errorBody
 		assert.Equal(t, ask(t, api, http.MethodPost, path, &refused), http.StatusMethodNotAllowed, path)
 		assert.Equal(t, refused.Code, resultcode.MethodNotAllowed)
 	}
 }
 
-func TestUnknownCallsAreNumbered(t *testing.T) {
-	var refused refusal
+func TestUnknownCallsReturnResultCode(t *testing.T) {
+	var refused errorBody
 	assert.Equal(t, ask(t, New(Options{}), http.MethodGet, "/v1/other", &refused), http.StatusNotFound)
 	assert.Equal(t, refused.Code, resultcode.NoSuchCall)
 }
 
-func TestWithoutAnInspectorNothingIsTold(t *testing.T) {
+func TestReadOnlyCallsNeedInspector(t *testing.T) {
 	assert.Equal(t, ask(t, New(Options{}), http.MethodGet, protocol.PathStatus, nil), http.StatusNotFound)
 }
--- a/internal/router/controlapi/instances_test.go
+++ b/internal/router/controlapi/instances_test.go
@@ -41,14 +41,15 @@
 	assert.Equal(t, len(api.options.Instances.(*recordedInstances).heartbeats), 0)
 }
 
-func TestFarewellsReachTheRegistry(t *testing.T) {
+func TestDeregistrationsReachTheRegistry(t *testing.T) {
 	api, _ := newTestAPI()
 	assert.Equal(t, post(api, deregisterPath, "", strings.NewReader("")).Code, http.StatusOK)
-	assert.DeepEqual(t, api.options.Instances.(*recordedInstances).gone, []string{"i-1"})
+	assert.DeepEqual(t, api.options.Instances.(*recordedInstances).deregistered, []string{"i-1"})
 }
 
-// TestAnUnconfirmedEndIsNotAcknowledged sends the instance on to another router.
-func TestAnUnconfirmedEndIsNotAcknowledged(t *testing.T) {
+// TestUnconfirmedDrainOrDeregistrationIsNotAcknowledged checks that the instance gets an error, so that it asks another
+// router.
+func TestUnconfirmedDrainOrDeregistrationIsNotAcknowledged(t *testing.T) {
 	api, _ := newTestAPI()
 	api.options.Instances.(*recordedInstances).err = errNoQuorum
 	for _, path := range []string{heartbeatPath, deregisterPath} {
@@ -58,7 +59,7 @@
 	}
 }
 
-func TestUnknownPathsAndMethodsReachNobody(t *testing.T) {
+func TestUnknownPathsAndMethodsAreRejected(t *testing.T) {
 	api, register := newTestAPI()
 	for _, path := range []string{"/", "/v1/config", "/v1/config/put/", "/v1/instances//heartbeat", "/v1/instances/i/j/heartbeat"} {
 		status := post(api, path, "0", strings.NewReader(configuration(5, 10))).Code
@@ -67,5 +68,5 @@
 	for _, path := range []string{protocol.PathConfigPut, protocol.PathConfigEdit, heartbeatPath, deregisterPath} {
 		assert.Equal(t, ask(t, api, http.MethodGet, path, nil), http.StatusMethodNotAllowed, path)
 	}
-	assert.Equal(t, register.proposed, 0)
+	assert.Equal(t, register.proposals, 0)
 }
--- a/internal/router/controlapi/unknown.go
+++ b/internal/router/controlapi/notfound.go
@@ -6,12 +6,12 @@
 	"pewterrudder/internal/router/resultcode"
 )
 
-// noSuchCall answers a call to a path that the interface does not have.
+// noSuchCall responds to a call to an unknown path.
 func noSuchCall(w http.ResponseWriter, r *http.Request) {
 	resultcode.Write(w, resultcode.New(resultcode.NoSuchCall, "%s", r.URL.Path))
 }
 
-// methodNotAllowed answers a call with another method than its path takes.
+// methodNotAllowed responds to a call with a method that its path does not support.
 func methodNotAllowed(w http.ResponseWriter, r *http.Request) {
 	resultcode.Write(w, resultcode.New(resultcode.MethodNotAllowed, "%s", r.Method))
 }
--- a/internal/router/controlapi/prefixes.go
+++ b/internal/router/controlapi/prefixes.go
@@ -8,8 +8,8 @@
 	"pewterrudder/internal/router/protocol"
 )
 
-// addPrefixes serves the agreed common prefixes for reading.
-func (a *API) addPrefixes(router *mux.Router) {
+// addPrefixRoutes adds the route that serves the agreed common prefixes, if Prefixes is set.
+func (a *API) addPrefixRoutes(router *mux.Router) {
 	if a.options.Prefixes == nil {
 		return
 	}
--- a/internal/router/controlapi/prefixes_test.go
+++ b/internal/router/controlapi/prefixes_test.go
@@ -11,7 +11,7 @@
 	"pewterrudder/internal/router/protocol"
 )
 
-func TestPrefixesAreShown(t *testing.T) {
+func TestPrefixesAreServed(t *testing.T) {
 	want := protocol.PrefixStatus{
 		Enabled:  true,
 		Version:  4,
@@ -27,7 +27,7 @@
 	assert.DeepEqual(t, got, want)
 }
 
-func TestPrefixesAreNotServedWithoutThem(t *testing.T) {
+func TestPrefixesAreNotServedByDefault(t *testing.T) {
 	answer := httptest.NewRecorder()
 	New(Options{}).Handler().ServeHTTP(answer, httptest.NewRequest(http.MethodGet, protocol.PathPrefixes, nil))
 	assert.Equal(t, answer.Code, http.StatusNotFound)
--- a/internal/router/controlapi/snapshot.go
+++ b/internal/router/controlapi/snapshot.go
@@ -12,9 +12,9 @@
 	"pewterrudder/internal/router/resultcode"
 )
 
-// snapshot answers with the newest state of the register, as a file that restore takes.
+// snapshot responds with the newest state of the register, in the format that restore accepts.
 func (a *API) snapshot(w http.ResponseWriter, r *http.Request) {
-	ctx, cancel := context.WithTimeout(r.Context(), answerWithin)
+	ctx, cancel := context.WithTimeout(r.Context(), registerTimeout)
 	defer cancel()
 	state, err := a.options.Register.Read(ctx)
 	if err != nil {
@@ -34,7 +34,7 @@
 	_, _ = w.Write(text)
 }
 
-// restore puts a snapshot in force on a register that is behind it.
+// restore writes a snapshot to a register whose state is older.
 func (a *API) restore(w http.ResponseWriter, r *http.Request) {
 	body, tooLarge := readBody(w, r, snapshotBody)
 	if tooLarge != nil {
@@ -46,8 +46,8 @@
 		resultcode.Write(w, resultcode.New(resultcode.SnapshotDamaged, "%v", err))
 		return
 	}
-	within := answerWithin + time.Duration(len(body))*answerWithinPerMegabyte/(1<<20)
-	ctx, cancel := context.WithTimeout(r.Context(), within)
+	timeout := registerTimeout + time.Duration(len(body))*registerTimeoutPerMegabyte/(1<<20)
+	ctx, cancel := context.WithTimeout(r.Context(), timeout)
 	defer cancel()
 	_, err = a.options.Register.Propose(ctx, func(state configstore.State) (configstore.State, error) {
 		return state.WithSnapshot(snapshot)
@@ -63,7 +63,7 @@
 	}
 }
 
-// readSnapshot checks a snapshot and the configuration in it.
+// readSnapshot decodes a snapshot and checks that its configuration is valid.
 func (a *API) readSnapshot(body []byte) (configstore.State, error) {
 	snapshot, err := configstore.DecodeSnapshot(body)
 	if err != nil {
--- a/internal/router/controlapi/snapshot_test.go
+++ b/internal/router/controlapi/snapshot_test.go
@@ -11,7 +11,7 @@
 	"pewterrudder/internal/router/protocol"
 )
 
-// takeSnapshot asks for a snapshot.
+// takeSnapshot requests a snapshot and returns its text.
 func takeSnapshot(t *testing.T, api *API) string {
 	t.Helper()
 	answer := httptest.NewRecorder()
@@ -25,7 +25,8 @@
 	return post(api, protocol.PathRestore, "", strings.NewReader(snapshot)).Code
 }
 
-// TestSnapshotIsRestored moves a state to an empty fleet. Orders that the first one took are known there, and it goes on from there.
+// TestSnapshotIsRestored moves a state to an empty fleet. The second fleet recognizes changes that the first one applied,
+// and accepts further changes.
 func TestSnapshotIsRestored(t *testing.T) {
 	first, _ := newTestAPI()
 	assert.Equal(t, put(first, 0, configuration(7, 10)), http.StatusOK)
@@ -36,19 +37,19 @@
 	second, register := newTestAPI()
 	assert.Equal(t, restore(second, newest), http.StatusOK)
 	assert.Equal(t, register.current().Generation, int64(9))
-	assert.Equal(t, put(second, 7, configuration(9, 10)), http.StatusOK, "an order that the first fleet took comes again")
-	assert.Equal(t, restore(second, newest), http.StatusOK, "it comes again")
+	assert.Equal(t, put(second, 7, configuration(9, 10)), http.StatusOK, "repeated change that the first fleet applied")
+	assert.Equal(t, restore(second, newest), http.StatusOK, "repeated restore")
 	assert.Equal(t, restore(second, old), http.StatusConflict)
 	assert.Equal(t, put(second, 9, configuration(11, 10)), http.StatusOK)
 	assert.Equal(t, restore(second, newest), http.StatusConflict)
 	assert.Equal(t, register.current().Generation, int64(11))
 }
 
-func TestSnapshotThatCannotBeUsed(t *testing.T) {
+func TestInvalidSnapshotsAreRefused(t *testing.T) {
 	api, register := newTestAPI()
 	answer := httptest.NewRecorder()
 	api.Handler().ServeHTTP(answer, httptest.NewRequest(http.MethodGet, protocol.PathSnapshot, nil))
-	assert.Equal(t, answer.Code, http.StatusServiceUnavailable, "there is nothing to take")
+	assert.Equal(t, answer.Code, http.StatusServiceUnavailable, "no configuration to snapshot")
 	assert.Equal(t, restore(api, "no snapshot"), http.StatusBadRequest)
 	assert.Equal(t, put(api, 0, configuration(7, 10)), http.StatusOK)
 	snapshot := takeSnapshot(t, api)
--- a/internal/router/transport/transport.go
+++ b/internal/router/transport/transport.go
@@ -46,11 +46,11 @@
 	Send(address string, kind Kind, body []byte)
 }
 
-// Options configure a transport.
+// Options configure a transport. A nil Log means the standard logger of logrus.
 type Options struct {
 	// Address is the "ip:port" to listen on; port 0 picks a free port.
 	Address string
-	Log     logrus.FieldLogger // nil means logrus.StandardLogger()
+	Log     logrus.FieldLogger
 	// Dial opens connections to other routers; nil means plain TCP.
 	Dial DialFunc
 }
