--- a/internal/router/command/exit.go
+++ b/internal/router/command/exit.go
@@ -37,12 +37,12 @@
 
 // printError prints an error, and the faults of settings one a line.
 func printError(out io.Writer, err error) {
-	var faulty *settings.FaultError
-	if !errors.As(err, &faulty) {
+	var invalid *settings.ValidationError
+	if !errors.As(err, &invalid) {
 		fmt.Fprintln(out, "pewterrudder:", err)
 		return
 	}
-	for _, fault := range faulty.Faults {
+	for _, fault := range invalid.Faults {
 		fmt.Fprintln(out, "fault:", fault)
 	}
 }
--- a/internal/router/command/router_test.go
+++ b/internal/router/command/router_test.go
@@ -19,9 +19,9 @@
 	}{
 		{"sound", soundSettings, result{exitDone, "no faults\n", ""}},
 		{"odd", soundSettings + "counts_for_quorum = true\nserves = [\"control\"]\nlisten = {control = \"10.0.0.1:8105\"}\n", result{exitDone,
-			"warning: data_dir: is missing, so this router is no acceptor although counts_for_quorum is true\nno faults\n", ""}},
+			"warning: data_dir: is missing, so this router is not an acceptor although counts_for_quorum is true\nno faults\n", ""}},
 		{"faulty", "node = \"a\"\nip = \"ten\"\nport_range = [7115, 7100]\n", result{exitFault, "",
-			"fault: ip: \"ten\" is not an IP address\nfault: zone: is missing\nfault: port_range: 7115 is after 7100\n"}},
+			"fault: ip: \"ten\" is not an IP address\nfault: zone: is missing\nfault: port_range: first port 7115 is greater than last port 7100\n"}},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
--- a/internal/router/settings/check.go
+++ b/internal/router/settings/check.go
@@ -9,7 +9,7 @@
 	"github.com/pkg/errors"
 )
 
-// checkValues checks each value by the tags of its field.
+// checkValues checks each value against the validate tag of its field.
 func checkValues(s *Settings) []Finding {
 	var failures validator.ValidationErrors
 	if !errors.As(newValidator().Struct(s), &failures) {
@@ -17,26 +17,26 @@
 	}
 	faults := make([]Finding, len(failures))
 	for i, failure := range failures {
-		faults[i] = Finding{Key: keyOf(failure), Problem: describe(failure)}
+		faults[i] = Finding{Key: keyOf(failure), Problem: describeFailure(failure)}
 	}
 	return faults
 }
 
-// newValidator makes a validator that names fields by their keys in the file.
+// newValidator returns a validator that reports fields under their TOML keys.
 func newValidator() *validator.Validate {
 	v := validator.New(validator.WithRequiredStructEnabled())
 	v.RegisterTagNameFunc(func(field reflect.StructField) string { return field.Tag.Get("toml") })
 	return v
 }
 
-// keyOf is the path of the key in the file: the namespace without the name of the Go type.
+// keyOf returns the path of the key in the file, which is the namespace of the failure without the Go type.
 func keyOf(failure validator.FieldError) string {
 	_, key, _ := strings.Cut(failure.Namespace(), ".")
 	return key
 }
 
-// describe says what is wrong with a value.
-func describe(failure validator.FieldError) string {
+// describeFailure returns a message that says what is wrong with a value.
+func describeFailure(failure validator.FieldError) string {
 	switch failure.Tag() {
 	case "required":
 		return "is missing"
--- a/internal/router/settings/decode.go
+++ b/internal/router/settings/decode.go
@@ -6,35 +6,36 @@
 	"reflect"
 )
 
-// decode enters a table into the settings. It is tolerant: a value of another type than expected counts as missing and is
-// listed, so that a key which means nothing to the router never keeps it from starting.
+// decode copies the values of a parsed file to the settings, and returns the keys that it ignored. A value of an
+// unexpected type counts as missing instead of being an error, so that a key which the router does not need never keeps
+// it from starting.
 func decode(s *Settings, table map[string]any) []Finding {
 	var d decoder
-	d.enterTable(reflect.ValueOf(s).Elem(), table, "")
+	d.decodeTable(reflect.ValueOf(s).Elem(), table, "")
 	return d.ignored
 }
 
-// decoder collects the keys whose values were ignored.
+// decoder collects findings about the values that it ignores.
 type decoder struct {
 	ignored []Finding
 }
 
-// enterTable enters the keys of a table into the fields of a struct that are tagged with their names.
-func (d *decoder) enterTable(target reflect.Value, table map[string]any, prefix string) {
+// decodeTable sets the fields of a struct whose toml tags match keys of the table. prefix is the path of the table.
+func (d *decoder) decodeTable(target reflect.Value, table map[string]any, prefix string) {
 	for i := range target.NumField() {
 		name := target.Type().Field(i).Tag.Get("toml")
 		value, found := table[name]
 		if found && name != "" {
-			d.enter(target.Field(i), value, prefix+name)
+			d.decodeField(target.Field(i), value, prefix+name)
 		}
 	}
 }
 
-// enter sets a field, or notes that the value does not fit.
-func (d *decoder) enter(target reflect.Value, value any, key string) {
+// decodeField sets a field, or records that the value has the wrong type.
+func (d *decoder) decodeField(target reflect.Value, value any, key string) {
 	if target.Kind() == reflect.Struct {
 		if table, isTable := value.(map[string]any); isTable {
-			d.enterTable(target, table, key+".")
+			d.decodeTable(target, table, key+".")
 			return
 		}
 	}
@@ -46,7 +47,7 @@
 	target.Set(converted)
 }
 
-// convert makes a value of the given type, and tells whether the value fits it.
+// convert converts a decoded TOML value to the given type and reports whether that is possible.
 func convert(value any, to reflect.Type) (reflect.Value, bool) {
 	switch to.Kind() {
 	case reflect.Int, reflect.Float64:
@@ -61,7 +62,7 @@
 	}
 }
 
-// convertNumber takes whole numbers and fractions for either; where a whole number is expected, a fraction is rounded.
+// convertNumber converts integers and floats to either kind. A float is rounded if an integer is expected.
 func convertNumber(value any, to reflect.Type) (reflect.Value, bool) {
 	var number float64
 	switch given := value.(type) {
@@ -81,7 +82,7 @@
 	return reflect.ValueOf(number).Convert(to), true
 }
 
-// convertList converts the items; one that does not fit spoils the list.
+// convertList converts a list. It fails if one of the items cannot be converted.
 func convertList(value any, to reflect.Type) (reflect.Value, bool) {
 	items, isList := value.([]any)
 	if !isList {
@@ -98,7 +99,7 @@
 	return list, true
 }
 
-// convertMap converts the values; one that does not fit spoils the map.
+// convertMap converts a table. It fails if one of the values cannot be converted.
 func convertMap(value any, to reflect.Type) (reflect.Value, bool) {
 	table, isTable := value.(map[string]any)
 	if !isTable {
@@ -115,17 +116,17 @@
 	return converted, true
 }
 
-// typeName names a kind for people.
+// typeName returns the name of a kind for messages.
 func typeName(kind reflect.Kind) string {
 	names := map[reflect.Kind]string{
 		reflect.Int:     "a number",
 		reflect.Float64: "a number",
-		reflect.String:  "a text",
+		reflect.String:  "a string",
 		reflect.Bool:    "true or false",
-		reflect.Slice:   "a list of the expected items",
+		reflect.Slice:   "a list of items of the expected type",
 	}
 	if name, found := names[kind]; found {
 		return name
 	}
-	return "a table of the expected values"
+	return "a table with values of the expected type"
 }
--- a/internal/router/settings/defaults.go
+++ b/internal/router/settings/defaults.go
@@ -1,16 +1,17 @@
 package settings
 
-// The values of keys that a file leaves out. Where nothing is listed, the zero value stands for "not served" or "no limit".
+// Default values of keys that are missing from the file. For other keys the default is the zero value, which means "not
+// served" or "no limit".
 const (
-	// DefaultHeartbeatMs is the interval of the instances' heartbeats.
+	// DefaultHeartbeatMs is the heartbeat interval of instances, in milliseconds.
 	DefaultHeartbeatMs = 1000
-	// DefaultCores is the number of processors.
+	// DefaultCores is the number of CPU cores.
 	DefaultCores = 1
-	// DefaultGraceS is the time from SIGTERM to the end of the process.
+	// DefaultGraceS is the time from SIGTERM to the end of the process, in seconds.
 	DefaultGraceS = 5
 )
 
-// defaults are the settings of an empty file.
+// defaults returns the settings of an empty file.
 func defaults() Settings {
 	return Settings{
 		HeartbeatMs: DefaultHeartbeatMs,
--- a/internal/router/settings/load.go
+++ b/internal/router/settings/load.go
@@ -8,7 +8,7 @@
 	"github.com/pkg/errors"
 )
 
-// Load reads and checks the file at path. The error of a file with faults is a *FaultError.
+// Load reads and checks the file at path. The error of an invalid file is a *ValidationError.
 func Load(path string) (*Settings, error) {
 	text, err := os.ReadFile(path)
 	if err != nil {
@@ -17,29 +17,29 @@
 	return Parse(string(text))
 }
 
-// Parse reads and checks the text of a settings file. The error of a text with faults is a *FaultError.
+// Parse parses and checks the text of a settings file. The error of an invalid text is a *ValidationError.
 func Parse(text string) (*Settings, error) {
 	var table map[string]any
 	if _, err := toml.Decode(text, &table); err != nil {
-		return nil, syntaxFault(err)
+		return nil, syntaxError(err)
 	}
 	s := defaults()
 	s.warnings = decode(&s, table)
 	faults := checkValues(&s)
-	faults = append(faults, checkRelations(&s)...)
+	faults = append(faults, checkConsistency(&s)...)
 	if len(faults) > 0 {
-		return nil, &FaultError{Faults: faults}
+		return nil, &ValidationError{Faults: faults}
 	}
-	s.warnings = append(s.warnings, findOddities(&s)...)
+	s.warnings = append(s.warnings, findWarnings(&s)...)
 	return &s, nil
 }
 
-// syntaxFault names the place where the text is not TOML.
-func syntaxFault(err error) error {
+// syntaxError converts a TOML parse error to a *ValidationError that names the line.
+func syntaxError(err error) error {
 	fault := Finding{Key: "file", Problem: err.Error()}
 	var parseError toml.ParseError
 	if errors.As(err, &parseError) {
 		fault = Finding{Key: "line " + strconv.Itoa(parseError.Position.Line), Problem: parseError.Message}
 	}
-	return &FaultError{Faults: []Finding{fault}}
+	return &ValidationError{Faults: []Finding{fault}}
 }
--- a/internal/router/settings/page_test.go
+++ b/internal/router/settings/page_test.go
@@ -10,7 +10,7 @@
 	"gotest.tools/v3/assert"
 )
 
-// keysOf lists the keys of a struct, those of tables with the table's name before them.
+// keysOf returns the TOML keys of a struct type. Keys in tables are prefixed with the path of the table.
 func keysOf(of reflect.Type, prefix string) []string {
 	var keys []string
 	for i := range of.NumField() {
@@ -27,7 +27,7 @@
 	return keys
 }
 
-func TestThePageListsEachKeyOnce(t *testing.T) {
+func TestSettingsPageListsEachKeyOnce(t *testing.T) {
 	page, err := os.ReadFile(filepath.Join("..", "..", "..", "docs", "settings.md"))
 	assert.NilError(t, err)
 	listed := map[string]int{}
--- a/internal/router/settings/settings.go
+++ b/internal/router/settings/settings.go
@@ -7,16 +7,17 @@
 	"time"
 )
 
-// EnvironmentVariable names the variable that holds the path of the settings file.
+// EnvironmentVariable is the name of the environment variable that holds the path of the settings file.
 const EnvironmentVariable = "PEWTERRUDDER_CONFIG"
 
-// What a router may serve to callers from outside.
+// Values of the key serves: the kinds of external callers that a router may serve.
 const (
 	ServesEdge    = "edge"
 	ServesControl = "control"
 )
 
-// Settings are what the platform tells a process. Keys that are not listed are ignored. docs/settings.md describes each key.
+// Settings hold the configuration that the platform passes to a process. Unknown keys are ignored. docs/settings.md
+// describes each key.
 type Settings struct {
 	Node            string            `toml:"node" validate:"required"`
 	Role            string            `toml:"role"`
@@ -37,22 +38,22 @@
 	Limits          Limits            `toml:"limits"`
 	Tolerate        Tolerate          `toml:"tolerate"`
 	Bounds          Bounds            `toml:"bounds"`
-	// Isolation says what a router does that is cut off from the acceptors.
+	// Isolation configures the behavior of a router that cannot reach a quorum of the acceptors.
 	Isolation Isolation `toml:"isolation"`
-	// CommonPrefixes switches the fleet's agreement on common prompt prefixes on.
+	// CommonPrefixes enables the fleet's agreement on common prompt prefixes.
 	CommonPrefixes bool `toml:"common_prefixes"`
 
 	warnings []Finding
 }
 
-// Listen holds the addresses at which the process serves; an empty one is not served.
+// Listen holds the addresses on which the process listens. An interface with an empty address is not served.
 type Listen struct {
 	Front   string `toml:"front" validate:"omitempty,hostname_port"`
 	Ready   string `toml:"ready" validate:"omitempty,hostname_port"`
 	Control string `toml:"control" validate:"omitempty,hostname_port"`
 }
 
-// Limits are the machine's.
+// Limits are the resource limits of the machine.
 type Limits struct {
 	CPUShare float64 `toml:"cpu_share" validate:"min=0"`
 	Cores    int     `toml:"cores" validate:"min=0"`
@@ -62,20 +63,21 @@
 	DiskMB   int     `toml:"disk_mb" validate:"min=0"`
 }
 
-// Isolation is what a site chooses for routers that no quorum of the acceptors answers.
+// Isolation holds the settings for routers that get no response from a quorum of the acceptors.
 type Isolation struct {
-	// NotReadyAfterS is the time after which such a router tells the platform that it is not ready; 0: it stays ready.
+	// NotReadyAfterS is the time in seconds after which such a router reports that it is not ready; 0 means that it stays
+	// ready.
 	NotReadyAfterS float64 `toml:"not_ready_after_s" validate:"min=0"`
 }
 
-// Tolerate says what may be lost at once.
+// Tolerate holds the numbers of machines, zones and regions that may fail simultaneously.
 type Tolerate struct {
 	Machines int `toml:"machines" validate:"min=0"`
 	Zones    int `toml:"zones" validate:"min=0"`
 	Regions  int `toml:"regions" validate:"min=0"`
 }
 
-// Bounds are the figures of the rules in force.
+// Bounds are the numeric limits of the rules that the routers must keep.
 type Bounds struct {
 	SeedLagS        float64 `toml:"seed_lag_s" validate:"min=0"`
 	ReuseAfterS     float64 `toml:"reuse_after_s" validate:"min=0"`
@@ -101,21 +103,21 @@
 	AgainS          float64 `toml:"again_s" validate:"min=0"`
 }
 
-// ServesTo tells whether the process serves callers of the given sort.
-func (s *Settings) ServesTo(sort string) bool { return slices.Contains(s.Serves, sort) }
+// ServesTo reports whether the process serves the given kind of callers: ServesEdge or ServesControl.
+func (s *Settings) ServesTo(audience string) bool { return slices.Contains(s.Serves, audience) }
 
-// Acceptor tells whether the process holds a replica of the configuration register.
+// Acceptor reports whether the process holds a replica of the configuration register.
 func (s *Settings) Acceptor() bool {
 	return s.CountsForQuorum && s.DataDir != "" && s.ServesTo(ServesControl)
 }
 
-// Warnings lists what is odd about the file without keeping it from being used.
+// Warnings returns findings about the file that do not keep it from being used.
 func (s *Settings) Warnings() []Finding { return s.warnings }
 
-// Milliseconds converts a bound given in milliseconds.
+// Milliseconds converts a number of milliseconds to a duration.
 func Milliseconds(ms int) time.Duration { return time.Duration(ms) * time.Millisecond }
 
-// Seconds converts a bound given in seconds. One that is too long for a time.Duration becomes the longest.
+// Seconds converts a number of seconds to a duration. Values beyond the range of time.Duration become its maximum.
 func Seconds(s float64) time.Duration {
 	nanoseconds := s * float64(time.Second)
 	if nanoseconds >= math.MaxInt64 {
--- a/internal/router/settings/settings_test.go
+++ b/internal/router/settings/settings_test.go
@@ -12,7 +12,7 @@
 	"gotest.tools/v3/assert"
 )
 
-// platformFile is a file with every key, as the platform writes it.
+// platformFile returns the text of a file with every key, as the platform writes it.
 func platformFile(t *testing.T) string {
 	t.Helper()
 	text, err := os.ReadFile(filepath.Join("testdata", "platform.toml"))
@@ -20,8 +20,8 @@
 	return string(text)
 }
 
-// replace exchanges one line of the platform's file, given by its key, for other lines.
-func replace(t *testing.T, text, key, lines string) string {
+// replaceLine replaces the line of the given key with other lines.
+func replaceLine(t *testing.T, text, key, lines string) string {
 	t.Helper()
 	before, rest, found := strings.Cut("\n"+text, "\n"+key+" = ")
 	assert.Assert(t, found, key)
@@ -29,7 +29,7 @@
 	return before + "\n" + lines + "\n" + after
 }
 
-func TestAWholeFileIsTaken(t *testing.T) {
+func TestLoadCompleteFile(t *testing.T) {
 	s, err := Load(filepath.Join("testdata", "platform.toml"))
 	assert.NilError(t, err)
 	assert.Equal(t, len(s.Warnings()), 0, "%v", s.Warnings())
@@ -46,7 +46,7 @@
 	assert.Assert(t, s.Bootstrap && s.Acceptor())
 }
 
-func TestEachFaultNamesItsKey(t *testing.T) {
+func TestFaultsNameTheirKeys(t *testing.T) {
 	cases := []struct{ key, lines, fault string }{
 		{"node", "", "node: is missing"},
 		{"node", "node = 5", "node: is missing"},
@@ -55,7 +55,7 @@
 		{"zone", "", "zone: is missing"},
 		{"port_range", "", "port_range: [] must have 2 items"},
 		{"port_range", "port_range = [7100]", "port_range: [7100] must have 2 items"},
-		{"port_range", "port_range = [7115, 7100]", "port_range: 7115 is after 7100"},
+		{"port_range", "port_range = [7115, 7100]", "port_range: first port 7115 is greater than last port 7100"},
 		{"port_range", "port_range = [0, 7100]", "port_range[0]: 0 is below 1"},
 		{"port_range", "port_range = [7100, 70000]", "port_range[1]: 70000 is above 65535"},
 		{"port_range", "port_range = [8105, 8110]", "listen.control: is the address for messages between routers, the first port of port_range"},
@@ -72,11 +72,11 @@
 	}
 	for _, c := range cases {
 		t.Run(c.fault, func(t *testing.T) {
-			_, err := Parse(replace(t, platformFile(t), c.key, c.lines))
-			var faulty *FaultError
-			assert.Assert(t, errors.As(err, &faulty), "%v", err)
-			assert.Equal(t, len(faulty.Faults), 1, "%v", err)
-			assert.Equal(t, faulty.Faults[0].String(), c.fault)
+			_, err := Parse(replaceLine(t, platformFile(t), c.key, c.lines))
+			var invalid *ValidationError
+			assert.Assert(t, errors.As(err, &invalid), "%v", err)
+			assert.Equal(t, len(invalid.Faults), 1, "%v", err)
+			assert.Equal(t, invalid.Faults[0].String(), c.fault)
 		})
 	}
 }
@@ -87,20 +87,21 @@
 		"port_range: [] must have 2 items; bounds.grace_s: -1 is below 0")
 }
 
-func TestATextThatIsNoTOMLNamesTheLine(t *testing.T) {
+func TestSyntaxErrorNamesTheLine(t *testing.T) {
 	_, err := Parse("node = \"a\"\nip = \n")
-	var faulty *FaultError
-	assert.Assert(t, errors.As(err, &faulty), "%v", err)
-	assert.Equal(t, faulty.Faults[0].Key, "line 2")
+	var invalid *ValidationError
+	assert.Assert(t, errors.As(err, &invalid), "%v", err)
+	assert.Equal(t, invalid.Faults[0].Key, "line 2")
 }
 
-func TestAMissingFileIsNoFaultOfItsText(t *testing.T) {
+func TestMissingFileIsNotValidationError(t *testing.T) {
 	_, err := Load(filepath.Join(t.TempDir(), "none.toml"))
 	assert.Assert(t, errors.Is(err, os.ErrNotExist), "%v", err)
 }
 
-// What a later platform may write must never keep the router from starting.
-func TestTolerance(t *testing.T) {
+// TestUnknownOrMistypedValuesAreTolerated checks that a file of a later platform release, with new keys or other types,
+// never keeps the router from starting.
+func TestUnknownOrMistypedValuesAreTolerated(t *testing.T) {
 	cases := []struct {
 		name, key, lines string
 		warnings         []string
@@ -112,29 +113,29 @@
 		{name: "whole number for a fraction", key: "retry_ratio", lines: "retry_ratio = 1"},
 		{name: "empty lists", key: "contracts", lines: "contracts = []"},
 		{name: "no optional key", key: "heartbeat_ms", lines: ""},
-		{"empty text for a number", "revoke_ms", `revoke_ms = ""`, []string{"bounds.revoke_ms:  is not a number; ignored"}},
-		{"text for a flag", "closed", `closed = "no"`, []string{"bounds.closed: no is not true or false; ignored"}},
+		{"empty string for a number", "revoke_ms", `revoke_ms = ""`, []string{"bounds.revoke_ms:  is not a number; ignored"}},
+		{"string for a boolean", "closed", `closed = "no"`, []string{"bounds.closed: no is not true or false; ignored"}},
 		{"no finite number", "pass_ms", "pass_ms = inf", []string{"bounds.pass_ms: +Inf is not a number; ignored"}},
 		{"no finite fraction", "quota_slack", "quota_slack = inf", []string{"bounds.quota_slack: +Inf is not a number; ignored"}},
 		{"not a number", "again_s", "again_s = nan", []string{"bounds.again_s: NaN is not a number; ignored"}},
-		{"list for a text", "role", `role = ["a"]`, []string{"role: [a] is not a text; ignored"}},
-		{"mixed list", "contracts", `contracts = ["a", 1]`, []string{"contracts: [a 1] is not a list of the expected items; ignored"}},
-		{"text for a list", "contracts", `contracts = "a"`, []string{"contracts: a is not a list of the expected items; ignored"}},
+		{"list for a string", "role", `role = ["a"]`, []string{"role: [a] is not a string; ignored"}},
+		{"mixed list", "contracts", `contracts = ["a", 1]`, []string{"contracts: [a 1] is not a list of items of the expected type; ignored"}},
+		{"string for a list", "contracts", `contracts = "a"`, []string{"contracts: a is not a list of items of the expected type; ignored"}},
 		{"no disk", "data_dir", `data_dir = ""`,
-			[]string{"data_dir: is missing, so this router is no acceptor although counts_for_quorum is true"}},
+			[]string{"data_dir: is missing, so this router is not an acceptor although counts_for_quorum is true"}},
 		{"control not served", "serves", `serves = ["edge"]`,
-			[]string{"serves: does not list control, so this router is no acceptor although counts_for_quorum is true"}},
-		{"no ready address", "ready", "", []string{"listen.ready: is missing, so nobody can ask whether the router is ready"}},
+			[]string{"serves: does not list control, so this router is not an acceptor although counts_for_quorum is true"}},
+		{"no ready address", "ready", "", []string{"listen.ready: is missing, so the readiness of the router cannot be queried"}},
 		{"no seeds", "seeds", "seeds = []", []string{
-			"seeds: is empty, so this router finds no other",
-			"seeds: lists 0; losing tolerate.machines at once takes 3 acceptors"}},
+			"seeds: is empty, so this router cannot discover other routers",
+			"seeds: lists 0; tolerating the loss of tolerate.machines needs 3 acceptors"}},
 		{"few seeds", "seeds", `seeds = ["10.7.0.11:8105"]`,
-			[]string{"seeds: lists 1; losing tolerate.machines at once takes 3 acceptors"}},
+			[]string{"seeds: lists 1; tolerating the loss of tolerate.machines needs 3 acceptors"}},
 		{"unlisted zone", "zone", `zone = "dogwood"`, []string{`zone: "dogwood" is not in the table zones`}},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
-			s, err := Parse(replace(t, platformFile(t), c.key, c.lines))
+			s, err := Parse(replaceLine(t, platformFile(t), c.key, c.lines))
 			assert.NilError(t, err)
 			var warnings []string
 			for _, warning := range s.Warnings() {
@@ -148,7 +149,7 @@
 func TestTablesOfOtherTypesAreIgnored(t *testing.T) {
 	s, err := Parse("node = \"a\"\nip = \"10.0.0.1\"\nzone = \"z\"\nport_range = [1, 2]\nlimits = 3\nzones = [1]\n")
 	assert.NilError(t, err)
-	assert.Equal(t, len(s.Warnings()), 3, "%v", s.Warnings()) // and no seeds
+	assert.Equal(t, len(s.Warnings()), 3, "%v", s.Warnings()) // the third is about the missing seeds
 	assert.Equal(t, s.Limits.Cores, DefaultCores)
 }
 
