--- a/internal/router/command/call.go
+++ b/internal/router/command/call.go
@@ -15,21 +15,21 @@
 	"pewterrudder/internal/router/resultcode"
 )
 
-// call is one call of the control interface.
+// call is a request to the control interface.
 type call struct {
 	method string
 	path   string
-	// base is the generation that a change builds on; nil for calls that change nothing.
+	// base is the generation that a change is based on; nil for calls that change nothing or need no base.
 	base *int64
 	body []byte
 }
 
-// timeout bounds one try of the call.
+// timeout returns the time limit of one attempt, which grows with the size of the body.
 func (c *call) timeout() time.Duration {
-	return answerTimeout + time.Duration(len(c.body))*answerTimeoutPerMegabyte/(1<<20)
+	return callTimeout + time.Duration(len(c.body))*callTimeoutPerMegabyte/(1<<20)
 }
 
-// refusedError is a router's refusal, which holds for all of them.
+// refusedError is the error of a call that a router refused. Every other router would refuse it too.
 type refusedError struct {
 	Status int
 	Code   resultcode.Code
@@ -37,12 +37,13 @@
 	Detail string
 }
 
-// Error gives number, name, status and detail.
+// Error returns the result code with its name, the status and the detail.
 func (e *refusedError) Error() string {
-	return "refused: " + describeAnswer(e.Status, e.Code, e.Name, e.Detail)
+	return "refused: " + describeResponse(e.Status, e.Code, e.Name, e.Detail)
 }
 
-// unclearError is the failure of one router to answer clearly: another one may.
+// unclearError is the error of a call to one router that failed without a definitive response. Another router may give
+// one.
 type unclearError struct {
 	Address string
 	Problem string
@@ -50,15 +51,16 @@
 
 func (e *unclearError) Error() string { return "no clear answer: " + e.Address + ": " + e.Problem }
 
-// numbered is the body of an answer with a result code.
-type numbered struct {
+// errorBody is the body of a response with a result code.
+type errorBody struct {
 	Error  string          `json:"error"`
 	Code   resultcode.Code `json:"code"`
 	Detail string          `json:"detail"`
 }
 
-// ask makes one try at one router. Its error is a *refusedError or an *unclearError.
-func (f *fleet) ask(address string, c call) ([]byte, error) {
+// callOne makes one attempt of a call to one router. Its error is a *refusedError or an *unclearError, or a *usageError
+// for an address that gives no valid URL.
+func (f *fleetClient) callOne(address string, c call) ([]byte, error) {
 	ctx, cancel := context.WithTimeout(context.Background(), c.timeout())
 	defer cancel()
 	request, err := newRequest(ctx, address, c)
@@ -70,14 +72,14 @@
 		return nil, &unclearError{Address: address, Problem: err.Error()}
 	}
 	defer response.Body.Close()
-	body, err := io.ReadAll(io.LimitReader(response.Body, maxAnswerBytes))
+	body, err := io.ReadAll(io.LimitReader(response.Body, maxResponseBytes))
 	if err != nil {
-		return nil, &unclearError{Address: address, Problem: errors.Wrap(err, "the answer").Error()}
+		return nil, &unclearError{Address: address, Problem: errors.Wrap(err, "reading the response").Error()}
 	}
-	return body, judge(address, response.StatusCode, body)
+	return body, classifyResponse(address, response.StatusCode, body)
 }
 
-// newRequest makes the HTTP request of a call.
+// newRequest returns the HTTP request of a call.
 func newRequest(ctx context.Context, address string, c call) (*http.Request, error) {
 	request, err := http.NewRequestWithContext(ctx, c.method, "http://"+address+c.path, bytes.NewReader(c.body))
 	if err != nil {
@@ -90,29 +92,29 @@
 	return request, nil
 }
 
-// judge says what an answer means for the call.
-func judge(address string, status int, body []byte) error {
+// classifyResponse returns nil for a successful response, else a *refusedError or an *unclearError.
+func classifyResponse(address string, status int, body []byte) error {
 	if status >= http.StatusOK && status < http.StatusMultipleChoices {
 		return nil
 	}
-	var reason numbered
-	_ = json.Unmarshal(body, &reason) // a body of another form leaves the status
-	if isFinal(status) {
+	var reason errorBody
+	_ = json.Unmarshal(body, &reason) // if the body has another form, only the status is reported
+	if isDefinitive(status) {
 		return &refusedError{Status: status, Code: reason.Code, Name: reason.Error, Detail: reason.Detail}
 	}
-	return &unclearError{Address: address, Problem: describeAnswer(status, reason.Code, reason.Error, reason.Detail)}
+	return &unclearError{Address: address, Problem: describeResponse(status, reason.Code, reason.Error, reason.Detail)}
 }
 
-// isFinal tells whether a status is an answer that another router would give too.
-func isFinal(status int) bool {
+// isDefinitive reports whether another router would respond with the same status.
+func isDefinitive(status int) bool {
 	if status == http.StatusRequestTimeout || status == http.StatusTooManyRequests {
 		return false
 	}
 	return status >= http.StatusBadRequest && status < http.StatusInternalServerError
 }
 
-// describeAnswer gives number, name, status and detail of an answer.
-func describeAnswer(status int, code resultcode.Code, name, detail string) string {
+// describeResponse returns a text with result code, name, status and detail of a response.
+func describeResponse(status int, code resultcode.Code, name, detail string) string {
 	text := "status " + strconv.Itoa(status)
 	if name != "" {
 		text = strconv.Itoa(int(code)) + " " + name + " (" + text + ")"
--- a/internal/router/command/config.go
+++ b/internal/router/command/config.go
@@ -14,25 +14,25 @@
 )
 
 const (
-	// defaultPatience is how long calls about the configuration are repeated.
-	defaultPatience = "10s"
-	// standardInput stands for the standard input among file names.
+	// defaultRetryTimeout is the default time for which calls about the configuration are retried.
+	defaultRetryTimeout = "10s"
+	// standardInput is the file name that means the standard input.
 	standardInput = "-"
 )
 
 // addConfiguration adds the commands that read and change the fleet's configuration.
-func addConfiguration(app *kingpin.Application, known commands) {
+func addConfiguration(app *kingpin.Application, registered commands) {
 	config := app.Command("config", "Read or change the configuration of the fleet.")
-	control := config.Flag("control", "Control addresses of routers, joined by commas; any of them will do.").Required().String()
-	patience := config.Flag("patience", "How long to repeat a call that gets no clear answer.").Default(defaultPatience).Duration()
+	control := config.Flag("control", "Comma-separated control addresses of routers; any of them suffices.").Required().String()
+	retryTimeout := config.Flag("patience", "How long to retry a call that gets no clear answer.").Default(defaultRetryTimeout).Duration()
 
 	get := config.Command("get", "Print the newest configuration.")
-	known[get.FullCommand()] = func(out io.Writer) error { return getConfiguration(out, *control, *patience) }
-	addChange(config, known, change{
-		name: "put", help: "Put a whole configuration in force.", path: protocol.PathConfigPut, control: control, patience: patience,
+	registered[get.FullCommand()] = func(out io.Writer) error { return getConfiguration(out, *control, *retryTimeout) }
+	addChange(config, registered, change{
+		name: "put", help: "Put a whole configuration in force.", path: protocol.PathConfigPut, control: control, retryTimeout: retryTimeout,
 	})
-	addChange(config, known, change{
-		name: "patch", help: "Change named items of the configuration.", path: protocol.PathConfigEdit, control: control, patience: patience,
+	addChange(config, registered, change{
+		name: "patch", help: "Change named items of the configuration.", path: protocol.PathConfigEdit, control: control, retryTimeout: retryTimeout,
 	})
 }
 
@@ -40,20 +40,20 @@
 type change struct {
 	name, help, path string
 	control          *string
-	patience         *time.Duration
+	retryTimeout     *time.Duration
 }
 
-// addChange adds such a command.
-func addChange(config *kingpin.CmdClause, known commands, c change) {
+// addChange adds a command that changes the configuration.
+func addChange(config *kingpin.CmdClause, registered commands, c change) {
 	command := config.Command(c.name, c.help)
 	base := command.Flag("base", "Generation that the change builds on; 0 for the first configuration.").Default("0").Int64()
 	file := command.Arg("file", "File with the JSON body; - is the standard input.").Required().String()
-	known[command.FullCommand()] = func(out io.Writer) error { return c.send(out, *base, *file) }
+	registered[command.FullCommand()] = func(out io.Writer) error { return c.send(out, *base, *file) }
 }
 
-// send makes the change.
+// send sends the change to the fleet and prints the acknowledgement.
 func (c *change) send(out io.Writer, base int64, file string) error {
-	routers, err := newFleet(*c.control, *c.patience)
+	routers, err := newFleetClient(*c.control, *c.retryTimeout)
 	if err != nil {
 		return err
 	}
@@ -68,9 +68,9 @@
 	return err
 }
 
-// getConfiguration prints the newest configuration as the operator has sent it.
-func getConfiguration(out io.Writer, control string, patience time.Duration) error {
-	routers, err := newFleet(control, patience)
+// getConfiguration prints the newest configuration as the router returns it.
+func getConfiguration(out io.Writer, control string, retryTimeout time.Duration) error {
+	routers, err := newFleetClient(control, retryTimeout)
 	if err != nil {
 		return err
 	}
--- a/internal/router/command/exit.go
+++ b/internal/router/command/exit.go
@@ -10,32 +10,32 @@
 	"pewterrudder/internal/router/settings"
 )
 
-// The statuses with which the process ends. README.md lists them.
+// Exit statuses of the process. README.md lists them.
 const (
-	exitDone    = 0
-	exitFault   = 1 // a file or the settings have a fault, or the router failed
-	exitUsage   = 2 // the command line has a fault
-	exitRefused = 3 // the fleet refused the order for good
-	exitStale   = 4 // another revision than the named base is current
-	exitUnclear = 5 // no router gave a clear answer; the order may or may not take effect
+	exitOK      = 0
+	exitFailure = 1 // a file or the settings are invalid, or the router failed
+	exitUsage   = 2 // the command line is invalid
+	exitRefused = 3 // the fleet refused the change, and a retry would be refused too
+	exitStale   = 4 // the current revision is not the base of the change
+	exitUnclear = 5 // no router gave a clear answer; the change may or may not take effect
 )
 
-// usageError is a fault of the command line.
+// usageError is an error in the command line.
 type usageError struct{ cause error }
 
 func (e *usageError) Error() string { return e.cause.Error() }
 func (e *usageError) Unwrap() error { return e.cause }
 
-// report prints an error and returns the status for it.
+// report prints an error, if there is one, and returns the exit status for it.
 func report(out io.Writer, err error) int {
 	if err == nil {
-		return exitDone
+		return exitOK
 	}
 	printError(out, err)
 	return statusOf(err)
 }
 
-// printError prints an error, and the faults of settings one a line.
+// printError prints an error. The faults of a settings file are printed one per line.
 func printError(out io.Writer, err error) {
 	var invalid *settings.ValidationError
 	if !errors.As(err, &invalid) {
@@ -47,7 +47,7 @@
 	}
 }
 
-// statusOf is the status of the process for an error.
+// statusOf returns the exit status for an error.
 func statusOf(err error) int {
 	var usage *usageError
 	var refused *refusedError
@@ -62,6 +62,6 @@
 	case errors.As(err, &unclear):
 		return exitUnclear
 	default:
-		return exitFault
+		return exitFailure
 	}
 }
--- a/internal/router/command/explain.go
+++ b/internal/router/command/explain.go
@@ -11,14 +11,14 @@
 	"pewterrudder/internal/router/summary"
 )
 
-// addExplain adds the command that sums up the result codes in routers' logs.
-func addExplain(app *kingpin.Application, known commands) {
+// addExplain adds the command that sums up the result codes in the logs of routers.
+func addExplain(app *kingpin.Application, registered commands) {
 	command := app.Command("explain", "Sum up the result codes of requests from routers' logs.")
 	files := command.Arg("file", "Log files; - is the standard input.").Required().Strings()
-	known[command.FullCommand()] = func(out io.Writer) error { return explain(out, *files) }
+	registered[command.FullCommand()] = func(out io.Writer) error { return explain(out, *files) }
 }
 
-// explain reads the files and prints the sums with the meaning of each code.
+// explain reads the files and prints the totals with the meaning of each code.
 func explain(out io.Writer, files []string) error {
 	totals := summary.NewTotals()
 	for _, file := range files {
@@ -29,7 +29,7 @@
 	return printTotals(out, totals)
 }
 
-// addFile adds the lines of one file.
+// addFile adds the counts of one log file to the totals.
 func addFile(totals *summary.Totals, name string) error {
 	if name == standardInput {
 		return totals.Read(os.Stdin)
@@ -42,7 +42,7 @@
 	return totals.Read(file)
 }
 
-// printTotals prints the sums.
+// printTotals prints the totals as a table.
 func printTotals(out io.Writer, totals *summary.Totals) error {
 	if totals.Lines == 0 {
 		_, err := fmt.Fprintln(out, "no line counts result codes")
@@ -59,7 +59,7 @@
 	return table.Flush()
 }
 
-// describeCode finds the description of a code; one of another release has none.
+// describeCode returns the description of a code, with a placeholder for a code that only another release knows.
 func describeCode(code resultcode.Code) resultcode.Entry {
 	if entry, found := resultcode.Lookup(code); found {
 		return entry
--- a/internal/router/command/explain_test.go
+++ b/internal/router/command/explain_test.go
@@ -17,14 +17,14 @@
 
 func TestExplainSumsUpLogs(t *testing.T) {
 	r := runCommand("explain", writeFile(t, firstLog), writeFile(t, secondLog))
-	assert.Equal(t, r.status, exitDone, r.errors)
+	assert.Equal(t, r.status, exitOK, r.errors)
 	golden.Assert(t, r.out, "explain.txt")
 }
 
-func TestExplainSaysThatThereIsNothing(t *testing.T) {
-	assert.DeepEqual(t, runCommand("explain", writeFile(t, "ready\n")), result{exitDone, "no line counts result codes\n", ""}, exported)
+func TestExplainWithoutCounts(t *testing.T) {
+	assert.DeepEqual(t, runCommand("explain", writeFile(t, "ready\n")), result{exitOK, "no line counts result codes\n", ""}, allowUnexported)
 }
 
-func TestExplainNeedsItsFiles(t *testing.T) {
-	assert.Equal(t, runCommand("explain", t.TempDir()+"/none").status, exitFault)
+func TestExplainFailsForMissingFile(t *testing.T) {
+	assert.Equal(t, runCommand("explain", t.TempDir()+"/none").status, exitFailure)
 }
--- a/internal/router/command/fixture_test.go
+++ b/internal/router/command/fixture_test.go
@@ -15,37 +15,37 @@
 	"gotest.tools/v3/assert"
 )
 
-// received is a call as a stand-in router read it.
-type received struct {
+// receivedCall is a call as a fakeRouter received it.
+type receivedCall struct {
 	method, path, base, body string
 }
 
-// standIn is a control interface that gives one answer to all calls.
-type standIn struct {
+// fakeRouter is a control interface that sends the same response to all calls.
+type fakeRouter struct {
 	address string
 	status  int
 	body    string
 	header  http.Header
 
 	mutex sync.Mutex
-	calls []received
+	calls []receivedCall
 }
 
-// newStandIn starts a stand-in router.
-func newStandIn(t *testing.T, status int, body string) *standIn {
+// newFakeRouter starts a fakeRouter that responds with the given status and body.
+func newFakeRouter(t *testing.T, status int, body string) *fakeRouter {
 	t.Helper()
-	s := &standIn{status: status, body: body, header: http.Header{}}
+	s := &fakeRouter{status: status, body: body, header: http.Header{}}
 	server := httptest.NewServer(s)
 	t.Cleanup(server.Close)
 	s.address = strings.TrimPrefix(server.URL, "http://")
 	return s
 }
 
-func (s *standIn) ServeHTTP(w http.ResponseWriter, r *http.Request) {
+func (s *fakeRouter) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	body, _ := io.ReadAll(r.Body)
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
-	s.calls = append(s.calls, received{r.Method, r.URL.Path, r.Header.Get("X-Pewterrudder-Base-Revision"), string(body)})
+	s.calls = append(s.calls, receivedCall{r.Method, r.URL.Path, r.Header.Get("X-Pewterrudder-Base-Revision"), string(body)})
 	for name, values := range s.header {
 		w.Header()[name] = values
 	}
@@ -53,14 +53,14 @@
 	_, _ = io.WriteString(w, s.body)
 }
 
-func (s *standIn) received() []received {
+func (s *fakeRouter) received() []receivedCall {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
-	return append([]received(nil), s.calls...)
+	return append([]receivedCall(nil), s.calls...)
 }
 
-// deadAddress is an address at which nobody listens.
-func deadAddress(t *testing.T) string {
+// closedAddress returns an address on which nothing listens.
+func closedAddress(t *testing.T) string {
 	t.Helper()
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	assert.NilError(t, err)
@@ -68,21 +68,21 @@
 	return listener.Addr().String()
 }
 
-// result is the end of a command.
+// result is the exit status and the output of a command.
 type result struct {
 	status int
 	out    string
 	errors string
 }
 
-// runCommand runs a command line.
+// runCommand runs a command with the given arguments.
 func runCommand(arguments ...string) result {
 	var out, errors bytes.Buffer
 	status := run(arguments, &out, &errors)
 	return result{status, out.String(), errors.String()}
 }
 
-// writeFile writes a file of a test and returns its path.
+// writeFile writes a temporary file and returns its path.
 func writeFile(t *testing.T, text string) string {
 	t.Helper()
 	path := filepath.Join(t.TempDir(), "file")
--- a/internal/router/command/fleet.go
+++ b/internal/router/command/fleet.go
@@ -10,40 +10,40 @@
 )
 
 const (
-	// answerTimeout bounds one call to one router.
-	answerTimeout = 2 * time.Second
-	// answerTimeoutPerMegabyte is added for large bodies.
-	answerTimeoutPerMegabyte = time.Second
-	// firstPause is the pause after a round through all routers; it doubles with each round.
-	firstPause = 200 * time.Millisecond
-	// longestPause bounds it.
-	longestPause = 2 * time.Second
-	// maxRedirects is how many redirects a call follows.
+	// callTimeout bounds one call to one router.
+	callTimeout = 2 * time.Second
+	// callTimeoutPerMegabyte is added to callTimeout for each MiB of the request body.
+	callTimeoutPerMegabyte = time.Second
+	// minRetryDelay is the delay after the first round of calls to all routers. It doubles after each round.
+	minRetryDelay = 200 * time.Millisecond
+	// maxRetryDelay is the maximum delay between rounds.
+	maxRetryDelay = 2 * time.Second
+	// maxRedirects is the number of redirects that a call follows.
 	maxRedirects = 2
-	// maxAnswerBytes bounds what is read of an answer.
-	maxAnswerBytes = 64 << 20
+	// maxResponseBytes is the maximum number of bytes that are read of a response.
+	maxResponseBytes = 64 << 20
 )
 
-// fleet is the control interface of some routers. A call goes to one after the other until one gives a clear answer.
-type fleet struct {
-	addresses []string
-	client    *http.Client
-	patience  time.Duration // until no further round begins
-	now       func() time.Time
-	pause     func(time.Duration)
+// fleetClient calls the control interface of a list of routers. It tries them in turn until one gives a clear answer.
+type fleetClient struct {
+	addresses    []string
+	client       *http.Client
+	retryTimeout time.Duration // no new round starts after this time; 0 means a single round
+	now          func() time.Time
+	sleep        func(time.Duration)
 }
 
-// newFleet makes the interface of the routers in a list joined by commas.
-func newFleet(list string, patience time.Duration) (*fleet, error) {
+// newFleetClient returns a client for a comma-separated list of router addresses.
+func newFleetClient(list string, retryTimeout time.Duration) (*fleetClient, error) {
 	addresses, err := splitAddresses(list)
 	if err != nil {
 		return nil, err
 	}
 	client := &http.Client{CheckRedirect: limitRedirects}
-	return &fleet{addresses: addresses, client: client, patience: patience, now: time.Now, pause: time.Sleep}, nil
+	return &fleetClient{addresses: addresses, client: client, retryTimeout: retryTimeout, now: time.Now, sleep: time.Sleep}, nil
 }
 
-// splitAddresses reads addresses with ports, joined by commas.
+// splitAddresses splits a comma-separated list of addresses and checks that each has a port.
 func splitAddresses(list string) ([]string, error) {
 	addresses := strings.Split(list, ",")
 	for i, address := range addresses {
@@ -55,7 +55,7 @@
 	return addresses, nil
 }
 
-// limitRedirects ends a call that is sent on too often.
+// limitRedirects fails a call that is redirected more than maxRedirects times.
 func limitRedirects(_ *http.Request, via []*http.Request) error {
 	if len(via) > maxRedirects {
 		return errors.Errorf("more than %d redirects", maxRedirects)
@@ -63,25 +63,25 @@
 	return nil
 }
 
-// call makes a call until a router gives a clear answer or the patience is over.
-func (f *fleet) call(c call) ([]byte, error) {
-	begin := f.now()
-	pause := firstPause
+// call repeats a call until a router gives a clear answer or retryTimeout has passed.
+func (f *fleetClient) call(c call) ([]byte, error) {
+	start := f.now()
+	delay := minRetryDelay
 	for {
-		answer, err := f.round(c)
+		answer, err := f.callEach(c)
 		var unclear *unclearError
-		if !errors.As(err, &unclear) || f.now().Sub(begin)+pause >= f.patience {
+		if !errors.As(err, &unclear) || f.now().Sub(start)+delay >= f.retryTimeout {
 			return answer, err
 		}
-		f.pause(pause)
-		pause = min(2*pause, longestPause)
+		f.sleep(delay)
+		delay = min(2*delay, maxRetryDelay)
 	}
 }
 
-// round asks each router once, until one gives a clear answer.
-func (f *fleet) round(c call) (answer []byte, err error) {
+// callEach calls each router once, until one gives a clear answer.
+func (f *fleetClient) callEach(c call) (answer []byte, err error) {
 	for _, address := range f.addresses {
-		answer, err = f.ask(address, c)
+		answer, err = f.callOne(address, c)
 		var unclear *unclearError
 		if !errors.As(err, &unclear) {
 			return answer, err
--- a/internal/router/command/inspect_test.go
+++ b/internal/router/command/inspect_test.go
@@ -12,7 +12,7 @@
 	"pewterrudder/internal/router/status"
 )
 
-// exampleStatus is the status of a router in trouble.
+// exampleStatus returns the status of a router that is not ready and has no quorum.
 func exampleStatus() status.Status {
 	return status.Status{
 		Node: "edge-alder-1", Zone: "alder", Version: "v1", UptimeS: 3725.4, Reason: "waiting for a configuration",
@@ -31,31 +31,31 @@
 	}
 }
 
-// encoded is a value as a router sends it.
-func encoded(t *testing.T, value any) string {
+// encodeJSON returns a value as a router sends it.
+func encodeJSON(t *testing.T, value any) string {
 	t.Helper()
 	text, err := json.Marshal(value)
 	assert.NilError(t, err)
 	return string(text)
 }
 
-func TestStatusForPeople(t *testing.T) {
-	router := newStandIn(t, http.StatusOK, encoded(t, exampleStatus()))
+func TestStatusOutput(t *testing.T) {
+	router := newFakeRouter(t, http.StatusOK, encodeJSON(t, exampleStatus()))
 	r := runCommand("status", "--control", router.address)
-	assert.Equal(t, r.status, exitDone, r.errors)
+	assert.Equal(t, r.status, exitOK, r.errors)
 	golden.Assert(t, r.out, "status.txt")
-	assert.DeepEqual(t, router.received(), []received{{method: http.MethodGet, path: "/v1/status"}}, exported)
+	assert.DeepEqual(t, router.received(), []receivedCall{{method: http.MethodGet, path: "/v1/status"}}, allowUnexported)
 }
 
-func TestStatusOfARouterThatKnowsNothingYet(t *testing.T) {
-	young := status.Status{Node: "edge-alder-1", Reason: "starting", Register: status.Register{Replica: status.ReplicaOpening}}
-	r := runCommand("status", "--control", newStandIn(t, http.StatusOK, encoded(t, young)).address)
+func TestStatusOfStartingRouter(t *testing.T) {
+	starting := status.Status{Node: "edge-alder-1", Reason: "starting", Register: status.Register{Replica: status.ReplicaOpening}}
+	r := runCommand("status", "--control", newFakeRouter(t, http.StatusOK, encodeJSON(t, starting)).address)
 	assert.Assert(t, strings.Contains(r.out, "no acceptor set known; own replica: opening"), r.out)
 	assert.Assert(t, strings.Contains(r.out, "no: starting"), r.out)
 }
 
-// TestWhoDividesTheQuotas is told for each case that a router may be in.
-func TestWhoDividesTheQuotas(t *testing.T) {
+// TestDescribeShares covers each state: this router leads, no coordinator known, coordinator not heard yet, and heard.
+func TestDescribeShares(t *testing.T) {
 	for wanted, shares := range map[string]status.Shares{
 		"NO COORDINATOR KNOWN":                       {SilentS: -1},
 		"divided here, term 3":                       {Coordinator: "10.0.0.1:7100", Leads: true, Term: 3},
@@ -67,48 +67,48 @@
 	}
 }
 
-func TestMembersForPeople(t *testing.T) {
+func TestMembersOutput(t *testing.T) {
 	members := []status.Member{
 		{Node: "edge-alder-1", Status: "alive", Zone: "alder", Region: "north", Control: "10.0.0.1:8105", Address: "10.0.0.1:7100", Acceptor: "a"},
 		{Node: "edge-birch-1", Status: "failed", Zone: "birch", Region: "north", Control: "10.0.0.2:8105", Address: "10.0.0.2:7100", SilentS: 65},
 	}
-	r := runCommand("members", "--control", newStandIn(t, http.StatusOK, encoded(t, members)).address)
-	assert.Equal(t, r.status, exitDone, r.errors)
+	r := runCommand("members", "--control", newFakeRouter(t, http.StatusOK, encodeJSON(t, members)).address)
+	assert.Equal(t, r.status, exitOK, r.errors)
 	golden.Assert(t, r.out, "members.txt")
 }
 
-func TestInstancesForPeople(t *testing.T) {
+func TestInstancesOutput(t *testing.T) {
 	instances := []status.Instance{
 		{ID: "i-1", Backend: "pool-a", State: "ready", Slots: 16, Zone: "alder", Address: "10.1.0.1:8080", Generation: "v1", Seq: 4, Holder: "edge-alder-1"},
 		{ID: "i-22", Backend: "pool-b", State: "draining", Slots: 8, Zone: "birch", Address: "10.1.0.2:8080", Seq: 9, Holder: "edge-birch-1"},
 	}
-	r := runCommand("instances", "--control", newStandIn(t, http.StatusOK, encoded(t, instances)).address)
-	assert.Equal(t, r.status, exitDone, r.errors)
+	r := runCommand("instances", "--control", newFakeRouter(t, http.StatusOK, encodeJSON(t, instances)).address)
+	assert.Equal(t, r.status, exitOK, r.errors)
 	golden.Assert(t, r.out, "instances.txt")
 }
 
-func TestRawAnswers(t *testing.T) {
-	router := newStandIn(t, http.StatusOK, `[{"id":"i-1"}]`)
-	assert.DeepEqual(t, runCommand("instances", "--json", "--control", router.address), result{exitDone, "[{\"id\":\"i-1\"}]\n", ""}, exported)
+func TestJSONOutput(t *testing.T) {
+	router := newFakeRouter(t, http.StatusOK, `[{"id":"i-1"}]`)
+	assert.DeepEqual(t, runCommand("instances", "--json", "--control", router.address), result{exitOK, "[{\"id\":\"i-1\"}]\n", ""}, allowUnexported)
 }
 
-// One silent router must not hide what the others say.
-func TestEachRouterIsAsked(t *testing.T) {
-	first, last := newStandIn(t, http.StatusOK, "1"), newStandIn(t, http.StatusOK, "2")
-	silent := deadAddress(t)
+// TestEachRouterIsQueried checks that an unreachable router does not hide the responses of the others.
+func TestEachRouterIsQueried(t *testing.T) {
+	first, last := newFakeRouter(t, http.StatusOK, "1"), newFakeRouter(t, http.StatusOK, "2")
+	silent := closedAddress(t)
 	r := runCommand("status", "--json", "--control", first.address+","+silent+","+last.address)
 	assert.Equal(t, r.status, exitUnclear)
 	assert.Equal(t, r.out, "1\n2\n")
 	assert.Assert(t, strings.Contains(r.errors, silent), r.errors)
 }
 
-func TestAnAnswerOfAnotherFormIsAFault(t *testing.T) {
-	r := runCommand("members", "--control", newStandIn(t, http.StatusOK, "<html>").address)
-	assert.Equal(t, r.status, exitFault)
+func TestMalformedResponseIsAFailure(t *testing.T) {
+	r := runCommand("members", "--control", newFakeRouter(t, http.StatusOK, "<html>").address)
+	assert.Equal(t, r.status, exitFailure)
 }
 
 func TestVersions(t *testing.T) {
 	assert.Equal(t, runCommand("version").out, "this program "+status.Version()+"\n")
-	router := newStandIn(t, http.StatusOK, encoded(t, exampleStatus()))
+	router := newFakeRouter(t, http.StatusOK, encodeJSON(t, exampleStatus()))
 	assert.Equal(t, runCommand("version", "--control", router.address).out, "this program "+status.Version()+"\nedge-alder-1 v1\n")
 }
--- a/internal/router/command/print.go
+++ b/internal/router/command/print.go
@@ -13,10 +13,10 @@
 // mebibyte is the unit of printed sizes.
 const mebibyte = 1 << 20
 
-// newTable makes a writer that lines up columns.
+// newTable returns a writer that aligns tab-separated columns.
 func newTable(out io.Writer) *tabwriter.Writer { return tabwriter.NewWriter(out, 0, 0, 2, ' ', 0) }
 
-// printStatus prints a router's status for people.
+// printStatus prints the status of a router in human-readable form.
 func printStatus(out io.Writer, s status.Status) error {
 	table := newTable(out)
 	row := func(name, format string, values ...any) {
@@ -24,7 +24,7 @@
 	}
 	row("node", "%s in %s", s.Node, s.Zone)
 	row("version", "%s", s.Version)
-	row("up", "%s", seconds(s.UptimeS))
+	row("up", "%s", formatSeconds(s.UptimeS))
 	row("ready", "%s", describeReadiness(s))
 	row("configuration", "generation %d, revision %d", s.Configuration.Generation, s.Configuration.Revision)
 	row("register", "%s", describeRegister(&s.Register))
@@ -46,8 +46,8 @@
 	return table.Flush()
 }
 
-// seconds writes a time to the second.
-func seconds(s float64) string {
+// formatSeconds formats a number of seconds as a duration, rounded to the second.
+func formatSeconds(s float64) string {
 	return time.Duration(s * float64(time.Second)).Round(time.Second).String()
 }
 
@@ -119,40 +119,40 @@
 	return text + fmt.Sprintf("; %d goroutines", m.Goroutines)
 }
 
-// printMembers prints the routers for people.
+// printMembers prints the routers as a table.
 func printMembers(out io.Writer, members []status.Member) error {
 	table := newTable(out)
 	fmt.Fprintln(table, "node\tstatus\tzone\tregion\tcontrol\taddress\tacceptor\tsilent")
 	for _, m := range members {
-		columns := []string{m.Node, m.Status, m.Zone, m.Region, m.Control, m.Address, orDash(m.Acceptor), silence(m.SilentS)}
+		columns := []string{m.Node, m.Status, m.Zone, m.Region, m.Control, m.Address, dashIfEmpty(m.Acceptor), formatSilence(m.SilentS)}
 		fmt.Fprintln(table, strings.Join(columns, "\t"))
 	}
 	fmt.Fprintln(table)
 	return table.Flush()
 }
 
-// printInstances prints the model instances for people.
+// printInstances prints the model instances as a table.
 func printInstances(out io.Writer, instances []status.Instance) error {
 	table := newTable(out)
 	fmt.Fprintln(table, "id\tbackend\tstate\tslots\tzone\taddress\tgeneration\tseq\tholder")
 	for _, i := range instances {
 		fmt.Fprintf(table, "%s\t%s\t%s\t%d\t%s\t%s\t%s\t%d\t%s\n",
-			i.ID, i.Backend, i.State, i.Slots, i.Zone, i.Address, orDash(i.Generation), i.Seq, i.Holder)
+			i.ID, i.Backend, i.State, i.Slots, i.Zone, i.Address, dashIfEmpty(i.Generation), i.Seq, i.Holder)
 	}
 	fmt.Fprintln(table)
 	return table.Flush()
 }
 
-func orDash(text string) string {
+func dashIfEmpty(text string) string {
 	if text == "" {
 		return "-"
 	}
 	return text
 }
 
-func silence(s float64) string {
+func formatSilence(s float64) string {
 	if s == 0 {
 		return "-"
 	}
-	return seconds(s)
+	return formatSeconds(s)
 }
--- a/internal/router/command/reload.go
+++ b/internal/router/command/reload.go
@@ -10,32 +10,32 @@
 	"pewterrudder/internal/router/settings"
 )
 
-// settingsPollEvery is the pause between two looks whether the settings file has changed without a signal.
-const settingsPollEvery = 2 * time.Second
+// settingsPollInterval is the interval at which the settings file is checked for changes that no SIGHUP announced.
+const settingsPollInterval = 2 * time.Second
 
-// follow waits for the signal to end, and takes over changed settings meanwhile.
-func follow(running *node.Node, path string, terminated, hangups <-chan os.Signal, log logrus.FieldLogger) {
-	ticker := time.NewTicker(settingsPollEvery)
+// reloadUntilTerminated reloads the settings on SIGHUP and when their file changes, until a termination signal arrives.
+func reloadUntilTerminated(router *node.Node, path string, terminated, hangups <-chan os.Signal, log logrus.FieldLogger) {
+	ticker := time.NewTicker(settingsPollInterval)
 	defer ticker.Stop()
-	seen := modified(path)
+	seen := modificationTime(path)
 	for {
 		select {
 		case <-terminated:
 			return
 		case <-hangups:
-			seen = modified(path)
-			reload(running, path, log)
+			seen = modificationTime(path)
+			reload(router, path, log)
 		case <-ticker.C:
-			if now := modified(path); !now.Equal(seen) {
+			if now := modificationTime(path); !now.Equal(seen) {
 				seen = now
-				reload(running, path, log)
+				reload(router, path, log)
 			}
 		}
 	}
 }
 
-// modified tells when a file was written last.
-func modified(path string) time.Time {
+// modificationTime returns the modification time of a file; the zero time if it cannot be read.
+func modificationTime(path string) time.Time {
 	info, err := os.Stat(path)
 	if err != nil {
 		return time.Time{}
@@ -43,14 +43,14 @@
 	return info.ModTime()
 }
 
-// reload reads the settings file again; one with a fault changes nothing.
-func reload(running *node.Node, path string, log logrus.FieldLogger) {
+// reload reads the settings file again and applies it. An invalid file changes nothing.
+func reload(router *node.Node, path string, log logrus.FieldLogger) {
 	changed, err := settings.Load(path)
 	if err != nil {
-		log.WithError(err).Error("the changed settings are not taken")
+		log.WithError(err).Error("cannot reload the settings; the previous ones stay in effect")
 		return
 	}
 	logWarnings(log, changed)
-	running.Reload(changed)
-	log.Info("settings taken")
+	router.Reload(changed)
+	log.Info("settings reloaded")
 }
--- a/internal/router/command/router.go
+++ b/internal/router/command/router.go
@@ -17,17 +17,18 @@
 	"pewterrudder/internal/router/settings"
 )
 
-// memoryShare of the machine's memory is the collector's limit; the rest is for stacks, sockets' buffers and code.
-const memoryShare = 0.6
+// memoryLimitFraction is the soft memory limit of the Go runtime as a fraction of the machine's memory. The rest is
+// left for stacks, socket buffers and code.
+const memoryLimitFraction = 0.6
 
 // addRouter adds the command that runs a router.
-func addRouter(app *kingpin.Application, known commands) {
+func addRouter(app *kingpin.Application, registered commands) {
 	command := app.Command("router", "Run one router of the fleet.")
 	path := command.Flag("settings", "Settings file (TOML).").Envar(settings.EnvironmentVariable).Required().String()
-	checkOnly := command.Flag("check-settings", "Check the settings file and end.").Bool()
-	commonPrefixes := command.Flag("common-prefixes", "Agree on common prompt prefixes, also if the settings don't say so.").Bool()
-	level := command.Flag("log-level", "Least level of log lines.").Default("info").Enum("debug", "info", "warning", "error")
-	known[command.FullCommand()] = func(out io.Writer) error {
+	checkOnly := command.Flag("check-settings", "Check the settings file and exit.").Bool()
+	commonPrefixes := command.Flag("common-prefixes", "Agree on common prompt prefixes, even if the settings do not enable it.").Bool()
+	level := command.Flag("log-level", "Minimum level of log lines.").Default("info").Enum("debug", "info", "warning", "error")
+	registered[command.FullCommand()] = func(out io.Writer) error {
 		if *checkOnly {
 			return checkSettings(out, *path)
 		}
@@ -35,7 +36,7 @@
 	}
 }
 
-// checkSettings checks a file and lists what is odd about it.
+// checkSettings checks a settings file and prints its warnings.
 func checkSettings(out io.Writer, path string) error {
 	loaded, err := settings.Load(path)
 	if err != nil {
@@ -48,7 +49,7 @@
 	return nil
 }
 
-// runRouter runs the router until it is told to end.
+// runRouter runs the router until a termination signal arrives.
 func runRouter(path, level string, commonPrefixes bool) error {
 	loaded, err := settings.Load(path)
 	if err != nil {
@@ -64,17 +65,17 @@
 	hangups := make(chan os.Signal, 1)
 	signal.Notify(hangups, syscall.SIGHUP)
 	logWarnings(log, loaded)
-	fitMachine(loaded)
-	running, err := node.Start(loaded, log)
+	applyMachineLimits(loaded)
+	router, err := node.Start(loaded, log)
 	if err != nil {
 		return err
 	}
-	follow(running, path, terminated, hangups, log)
-	running.Stop()
+	reloadUntilTerminated(router, path, terminated, hangups, log)
+	router.Stop()
 	return nil
 }
 
-// newLog makes the process's log.
+// newLog returns the logger of the process, which writes to the standard error.
 func newLog(s *settings.Settings, level string) (logrus.FieldLogger, error) {
 	parsed, err := logrus.ParseLevel(level)
 	if err != nil {
@@ -87,17 +88,17 @@
 	return log.WithField("node", s.Node), nil
 }
 
-// logWarnings logs what is odd about the settings.
+// logWarnings logs the warnings about the settings.
 func logWarnings(log logrus.FieldLogger, s *settings.Settings) {
 	for _, warning := range s.Warnings() {
 		log.WithField("key", warning.Key).Warn("settings: " + warning.Problem)
 	}
 }
 
-// fitMachine bounds the runtime by what the machine has.
-func fitMachine(s *settings.Settings) {
+// applyMachineLimits sets GOMAXPROCS and the memory limit of the runtime to the limits of the machine.
+func applyMachineLimits(s *settings.Settings) {
 	runtime.GOMAXPROCS(max(1, s.Limits.Cores))
 	if s.Limits.MemoryMB > 0 {
-		debug.SetMemoryLimit(int64(memoryShare * float64(s.Limits.MemoryMB) * (1 << 20)))
+		debug.SetMemoryLimit(int64(memoryLimitFraction * float64(s.Limits.MemoryMB) * (1 << 20)))
 	}
 }
--- a/internal/router/command/snapshot.go
+++ b/internal/router/command/snapshot.go
@@ -12,34 +12,34 @@
 	"pewterrudder/internal/router/protocol"
 )
 
-// addSnapshots adds the commands that take the register's state out of a fleet and put it into one.
-func addSnapshots(app *kingpin.Application, known commands) {
-	snapshot := app.Command("snapshot", "Print the newest state of the configuration register, for a file that restore takes.")
-	take := addFleet(snapshot)
-	known[snapshot.FullCommand()] = take.snapshot
+// addSnapshots adds the commands that export the state of the register from a fleet and import it into one.
+func addSnapshots(app *kingpin.Application, registered commands) {
+	snapshot := app.Command("snapshot", "Print the newest state of the configuration register, in the format that restore accepts.")
+	snapshotFlags := addFleetFlags(snapshot)
+	registered[snapshot.FullCommand()] = snapshotFlags.snapshot
 
-	restore := app.Command("restore", "Put a snapshot in force, on a fleet whose register is behind it.")
-	put := addFleet(restore)
+	restore := app.Command("restore", "Restore a snapshot on a fleet whose register is older.")
+	restoreFlags := addFleetFlags(restore)
 	file := restore.Arg("file", "File with the snapshot; - is the standard input.").Required().String()
-	known[restore.FullCommand()] = func(out io.Writer) error { return put.restore(out, *file) }
+	registered[restore.FullCommand()] = func(out io.Writer) error { return restoreFlags.restore(out, *file) }
 }
 
 // fleetFlags are the flags of a command that calls any router of a fleet.
 type fleetFlags struct {
-	control  *string
-	patience *time.Duration
+	control      *string
+	retryTimeout *time.Duration
 }
 
-func addFleet(command *kingpin.CmdClause) fleetFlags {
+func addFleetFlags(command *kingpin.CmdClause) fleetFlags {
 	return fleetFlags{
-		control:  command.Flag("control", "Control addresses of routers, joined by commas; any of them will do.").Required().String(),
-		patience: command.Flag("patience", "How long to repeat a call that gets no clear answer.").Default(defaultPatience).Duration(),
+		control:      command.Flag("control", "Comma-separated control addresses of routers; any of them suffices.").Required().String(),
+		retryTimeout: command.Flag("patience", "How long to retry a call that gets no clear answer.").Default(defaultRetryTimeout).Duration(),
 	}
 }
 
-// snapshot prints the newest state.
+// snapshot prints the newest state of the register.
 func (f fleetFlags) snapshot(out io.Writer) error {
-	routers, err := newFleet(*f.control, *f.patience)
+	routers, err := newFleetClient(*f.control, *f.retryTimeout)
 	if err != nil {
 		return err
 	}
@@ -51,9 +51,9 @@
 	return err
 }
 
-// restore sends a snapshot until it is acknowledged or refused.
+// restore sends a snapshot, and retries until it is acknowledged, refused or out of time.
 func (f fleetFlags) restore(out io.Writer, file string) error {
-	routers, err := newFleet(*f.control, *f.patience)
+	routers, err := newFleetClient(*f.control, *f.retryTimeout)
 	if err != nil {
 		return err
 	}
