--- a/internal/router/controlapi/controlapi.go
+++ b/internal/router/controlapi/controlapi.go
@@ -105,7 +105,7 @@
 		resultcode.Write(w, resultcode.New(resultcode.HeartbeatNotSpread, "%v", err))
 		return
 	}
-	writeJSON(w, &protocol.HeartbeatAnswer{BeatURL: a.options.BeatURL})
+	writeJSON(w, &protocol.HeartbeatResponse{BeatURL: a.options.BeatURL})
 }
 
 // deregister handles the deregistration of an instance.
--- a/internal/router/periodic/periodic.go
+++ b/internal/router/periodic/periodic.go
@@ -1,4 +1,4 @@
-// Package periodic repeats work at a fixed pace.
+// Package periodic runs work at fixed intervals.
 package periodic
 
 import (
@@ -6,7 +6,8 @@
 	"time"
 )
 
-// Run calls work once per period until the context ends, and never after that. Work that takes longer than a period skips the calls that it misses.
+// Run calls work once per period until ctx is done, and never after that. If a call takes longer than a period, the calls
+// missed meanwhile are skipped.
 func Run(ctx context.Context, period time.Duration, work func()) {
 	ticker := time.NewTicker(period)
 	defer ticker.Stop()
--- a/internal/router/periodic/periodic_test.go
+++ b/internal/router/periodic/periodic_test.go
@@ -9,7 +9,7 @@
 	"gotest.tools/v3/assert"
 )
 
-func TestWorkIsRepeatedUntilTheContextEnds(t *testing.T) {
+func TestWorkIsRepeatedUntilContextEnds(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		ctx, cancel := context.WithCancel(t.Context())
 		calls := 0
@@ -18,7 +18,7 @@
 			defer close(done)
 			Run(ctx, time.Second, func() { calls++ })
 		}()
-		time.Sleep(5500 * time.Millisecond) // virtual
+		time.Sleep(5500 * time.Millisecond) // simulated time
 		cancel()
 		<-done
 		assert.Equal(t, calls, 5)
@@ -32,7 +32,7 @@
 		calls := 0
 		Run(ctx, time.Second, func() {
 			calls++
-			time.Sleep(2500 * time.Millisecond) // virtual
+			time.Sleep(2500 * time.Millisecond) // simulated time
 		})
 		assert.Equal(t, calls, 4) // at 1, 3.5, 6 and 8.5 seconds
 	})
--- a/internal/router/protocol/prefixes.go
+++ b/internal/router/protocol/prefixes.go
@@ -1,12 +1,12 @@
 package protocol
 
-// PathPrefixes is where a router describes the agreed common prompt prefixes.
+// PathPrefixes is the path at which a router serves a PrefixStatus.
 const PathPrefixes = "/v1/prefixes"
 
-// PrefixStatus is what a router knows of the common prompt prefixes.
+// PrefixStatus is the set of agreed common prompt prefixes as known to a router.
 type PrefixStatus struct {
 	Enabled bool `json:"enabled"`
-	// Version is the one of the set that this router's picks use.
+	// Version is the version of the set that this router uses to select instances.
 	Version  uint64                     `json:"version"`
 	Prefixes []PrefixInfo               `json:"prefixes"`
 	Tenants  map[string]PrefixUseByName `json:"tenants"`
@@ -18,11 +18,13 @@
 	Backend   string   `json:"backend"`
 	Tenant    string   `json:"tenant,omitempty"`
 	Tokens    int      `json:"tokens"`
-	Share     float64  `json:"share"` // of the backend's prompt tokens
+	Share     float64  `json:"share"` // fraction of the backend's prompt tokens
 	Instances []string `json:"instances"`
 }
 
-// PrefixUseByName counts the requests of a tenant that carried a common prefix, as this router saw them.
+// PrefixUseByName counts a tenant's requests with a common prefix at this router. Hits are those sent to an instance that
+// this router had sent the prefix to before. TokensReadAgain counts the prefix tokens that instances processed anew for
+// the others.
 type PrefixUseByName struct {
 	Requests        uint64 `json:"requests"`
 	Hits            uint64 `json:"hits"`
--- a/internal/router/protocol/protocol.go
+++ b/internal/router/protocol/protocol.go
@@ -1,8 +1,8 @@
-// Package protocol holds the names that clients, model instances and the operator speak: headers, paths and
-// the values of their fields.
+// Package protocol defines the HTTP interfaces to clients, model instances and operators: headers, paths, and the values
+// and bodies that they carry.
 package protocol
 
-// Headers of requests and answers, in canonical form.
+// Header names of requests and responses in canonical form, and content types.
 const (
 	HeaderRequestID        = "X-Pewterrudder-Request-Id"
 	HeaderDeadlineMs       = "X-Pewterrudder-Deadline-Ms"
@@ -26,7 +26,7 @@
 	ContentTypeEventStream = "text/event-stream"
 )
 
-// Paths of the system's own interfaces and of an instance's report.
+// Paths of the router's interfaces, and of the report that an instance serves.
 const (
 	PathReady      = "/v1/readyz"
 	PathHeartbeat  = "/v1/instances/{id}/heartbeat"
@@ -42,13 +42,13 @@
 	PathInstances  = "/v1/instances"
 )
 
-// States that an instance announces.
+// States that an instance reports in its heartbeats.
 const (
 	StateReady    = "ready"
 	StateDraining = "draining"
 )
 
-// Model is one model that an instance serves.
+// Model is one model served by an instance.
 type Model struct {
 	Name       string   `json:"name" msgpack:"name"`
 	Generation int64    `json:"generation" msgpack:"generation"`
@@ -69,12 +69,12 @@
 	Seq        int64   `json:"seq"`
 }
 
-// HeartbeatAnswer acknowledges a heartbeat.
-type HeartbeatAnswer struct {
+// HeartbeatResponse acknowledges a heartbeat. BeatURL is where to send later heartbeats; empty means any router.
+type HeartbeatResponse struct {
 	BeatURL string `json:"beat_url,omitempty"`
 }
 
-// Report is the body of an instance's answer to GET /v1/report.
+// Report is the body of an instance's response to GET /v1/report.
 type Report struct {
 	Phase   string  `json:"phase"`
 	Models  []Model `json:"models"`
--- a/internal/router/resultcode/codes.go
+++ b/internal/router/resultcode/codes.go
@@ -1,9 +1,9 @@
 package resultcode
 
-// Code numbers a result. The thousands name the group; a number never changes its meaning.
+// Code is the number of a result. The thousands digit identifies the group. A number never changes its meaning.
 type Code int
 
-// The request path.
+// Codes of client requests.
 const (
 	NoRoute              Code = 1001
 	MissingKey           Code = 1002
@@ -28,7 +28,7 @@
 	KeysUnconfirmed      Code = 1021
 )
 
-// The operator's configuration.
+// Codes of the operator's configuration calls.
 const (
 	ConfigurationUnreadable Code = 2001
 	FieldInvalid            Code = 2002
@@ -51,7 +51,7 @@
 	SnapshotOutdated        Code = 2019
 )
 
-// Calls of model instances.
+// Codes of calls by model instances.
 const (
 	HeartbeatUnreadable Code = 3001
 	HeartbeatInvalid    Code = 3002
@@ -61,7 +61,7 @@
 	HeartbeatNotSpread  Code = 3006
 )
 
-// The cluster and the process itself.
+// Codes of the cluster and of the process itself.
 const (
 	Internal           Code = 4001
 	ClusterUnreachable Code = 4002
--- a/internal/router/resultcode/error.go
+++ b/internal/router/resultcode/error.go
@@ -1,5 +1,5 @@
-// Package resultcode numbers the results that a router answers with when it does not pass on an instance's
-// answer. Each code has a name, an HTTP status and an explanation; docs/result-codes.md lists them.
+// Package resultcode defines the numbered results that a router responds with when it does not forward the response of
+// an instance. Each code has a name, an HTTP status and an explanation; docs/result-codes.md lists them.
 package resultcode
 
 import (
@@ -8,26 +8,26 @@
 	"github.com/pkg/errors"
 )
 
-// Error is an error with a result code. Detail says what was wrong with the case at hand.
+// Error is an error with a result code. Detail describes the specific case and is sent to the caller; the cause is not.
 type Error struct {
 	Code   Code
 	Detail string
 	cause  error
 }
 
-// New makes an error with a code and a formatted detail.
+// New returns an error with a code and a formatted detail.
 func New(code Code, format string, args ...any) *Error {
 	return &Error{Code: code, Detail: fmt.Sprintf(format, args...)}
 }
 
-// Wrap makes an error with a code, a formatted detail and the error that caused it.
+// Wrap returns an error with a code, a formatted detail and the error that caused it.
 func Wrap(cause error, code Code, format string, args ...any) *Error {
 	wrapped := New(code, format, args...)
 	wrapped.cause = cause
 	return wrapped
 }
 
-// Of finds the error with a result code in err's chain.
+// Of returns the first error with a result code in err's chain, and whether there is one.
 func Of(err error) (*Error, bool) {
 	var coded *Error
 	if errors.As(err, &coded) && coded != nil {
@@ -36,7 +36,7 @@
 	return nil, false
 }
 
-// Error gives name, number, detail and cause on one line.
+// Error returns name, number, detail and cause on one line.
 func (e *Error) Error() string {
 	text := fmt.Sprintf("%s (%d)", e.Code, int(e.Code))
 	if e.Detail != "" {
@@ -48,8 +48,8 @@
 	return text
 }
 
-// Unwrap gives the cause; nil: none.
+// Unwrap returns the cause, or nil.
 func (e *Error) Unwrap() error { return e.cause }
 
-// Status gives the HTTP status of the code.
+// Status returns the HTTP status of the code.
 func (e *Error) Status() int { return e.Code.Status() }
--- a/internal/router/resultcode/resultcode_test.go
+++ b/internal/router/resultcode/resultcode_test.go
@@ -13,7 +13,8 @@
 	"gotest.tools/v3/golden"
 )
 
-// The page of the codes, from the golden package's folder testdata. "go test -update" writes it anew.
+// page is the path of the documentation of the codes, relative to testdata, where the golden package looks for files.
+// "go test -update" regenerates it.
 const page = "../../../../docs/result-codes.md"
 
 const pageIntroduction = `# Result codes
@@ -31,7 +32,7 @@
 	4: "The cluster and the process itself",
 }
 
-func TestPageShowsTheTable(t *testing.T) {
+func TestPageMatchesTable(t *testing.T) {
 	golden.Assert(t, renderPage(), page)
 }
 
@@ -49,7 +50,7 @@
 	return text.String()
 }
 
-func TestTableIsWhole(t *testing.T) {
+func TestTableEntriesAreComplete(t *testing.T) {
 	names := map[string]bool{}
 	for _, entry := range Table() {
 		assert.Assert(t, !names[entry.Name], entry.Name)
@@ -60,18 +61,18 @@
 	}
 }
 
-func TestOnlyStatusesThatPromiseNothingStandForRequestsThatMayHaveRun(t *testing.T) {
+func TestRequestsThatMayHaveRunGetStatus502Or504(t *testing.T) {
 	for _, code := range []Code{AttemptFailed, TimeoutExceeded, StreamBroken} {
 		assert.Assert(t, code.Status() == http.StatusBadGateway || code.Status() == http.StatusGatewayTimeout, code.String())
 	}
 }
 
-func TestUnknownNumbersAreInternal(t *testing.T) {
+func TestUnknownCodesAreInternal(t *testing.T) {
 	assert.Equal(t, Code(77).String(), "internal")
 	assert.Equal(t, Code(77).Status(), http.StatusInternalServerError)
 }
 
-func TestErrorTellsItsCodeAndCause(t *testing.T) {
+func TestErrorIncludesCodeAndCause(t *testing.T) {
 	cause := errors.New("cause")
 	err := Wrap(cause, NoRoute, "host %q", "h")
 	assert.Equal(t, err.Error(), `no_route (1001): host "h": cause`)
@@ -80,7 +81,7 @@
 	assert.ErrorIs(t, err, cause)
 }
 
-func TestOfFindsTheCodeInAChain(t *testing.T) {
+func TestOfFindsCodeInChain(t *testing.T) {
 	coded := New(UnknownKey, "key")
 	found, ok := Of(errors.Wrap(coded, "outer"))
 	assert.Assert(t, ok)
--- a/internal/router/resultcode/table.go
+++ b/internal/router/resultcode/table.go
@@ -7,7 +7,8 @@
 	"slices"
 )
 
-// StatusClientClosedRequest is recorded where a client went away before its answer; nobody receives it.
+// StatusClientClosedRequest is recorded for a request whose client closed the connection before the response. It is never
+// sent.
 const StatusClientClosedRequest = 499
 
 // Entry describes one result code.
@@ -18,24 +19,24 @@
 	Explanation string
 }
 
-// Table lists all result codes by rising number.
+// Table returns all result codes in ascending order.
 func Table() []Entry {
 	return slices.SortedFunc(maps.Values(entries), func(a, b Entry) int { return cmp.Compare(a.Code, b.Code) })
 }
 
-// Lookup finds the description of a code.
+// Lookup returns the description of a code, and whether the code is known.
 func Lookup(code Code) (Entry, bool) {
 	entry, found := entries[code]
 	return entry, found
 }
 
-// String gives the name of the code.
+// String returns the name of the code.
 func (c Code) String() string { return c.entry().Name }
 
-// Status gives the HTTP status that the code is answered with.
+// Status returns the HTTP status of a response with the code.
 func (c Code) Status() int { return c.entry().Status }
 
-// entry finds the code's description; a number that is not in the table counts as an internal error.
+// entry returns the description of the code. An unknown code is treated as Internal.
 func (c Code) entry() Entry {
 	if known, found := entries[c]; found {
 		return known
@@ -43,7 +44,7 @@
 	return entries[Internal]
 }
 
-var entries = byCode(
+var entries = indexByCode(
 	Entry{NoRoute, "no_route", http.StatusNotFound, "No route has this host and path."},
 	Entry{MissingKey, "missing_key", http.StatusUnauthorized, "The route asks for an API key and the request has none."},
 	Entry{UnknownKey, "unknown_key", http.StatusUnauthorized, "No tenant has this API key."},
@@ -100,11 +101,11 @@
 	Entry{MessageUnreadable, "message_unreadable", http.StatusBadRequest, "A message of another router cannot be decoded."},
 )
 
-func byCode(list ...Entry) map[Code]Entry {
+func indexByCode(list ...Entry) map[Code]Entry {
 	table := make(map[Code]Entry, len(list))
 	for _, entry := range list {
 		if _, taken := table[entry.Code]; taken {
-			panic("resultcode: number given twice: " + entry.Name)
+			panic("resultcode: duplicate code: " + entry.Name)
 		}
 		table[entry.Code] = entry
 	}
--- a/internal/router/resultcode/write.go
+++ b/internal/router/resultcode/write.go
@@ -6,14 +6,14 @@
 	"strconv"
 )
 
-// answer is the JSON body of an error.
-type answer struct {
+// responseBody is the JSON body of an error response.
+type responseBody struct {
 	Error  string `json:"error"`
 	Code   Code   `json:"code"`
 	Detail string `json:"detail,omitempty"`
 }
 
-// Write answers a call with the error's status and a small JSON body. Header fields that are already set stay.
+// Write responds with the status of the error and a small JSON body. Other header fields that are already set are kept.
 func Write(w http.ResponseWriter, err *Error) {
 	body := Body(err)
 	header := w.Header()
@@ -22,12 +22,12 @@
 	header.Set("Cache-Control", "no-store")
 	header.Set("Content-Length", strconv.Itoa(len(body)))
 	w.WriteHeader(err.Status())
-	_, _ = w.Write(body) // the status is out: a caller that went away cannot be told
+	_, _ = w.Write(body) // the status has been sent, so a failure cannot be reported to the caller
 }
 
-// Body gives the JSON body of an error's answer.
+// Body returns the JSON body of the response to an error.
 func Body(err *Error) []byte {
-	body, encodeErr := json.Marshal(answer{Error: err.Code.String(), Code: err.Code, Detail: err.Detail})
+	body, encodeErr := json.Marshal(responseBody{Error: err.Code.String(), Code: err.Code, Detail: err.Detail})
 	if encodeErr != nil {
 		return []byte(`{"error":"internal"}`)
 	}
--- a/internal/router/status/member.go
+++ b/internal/router/status/member.go
@@ -1,6 +1,6 @@
 package status
 
-// Member is one router in the answer to GET /v1/members.
+// Member is one router in the response to GET /v1/members.
 type Member struct {
 	Node    string `json:"node"`
 	Status  string `json:"status"`
@@ -8,8 +8,8 @@
 	Control string `json:"control"`
 	Zone    string `json:"zone"`
 	Region  string `json:"region"`
-	// Acceptor is the identity of its replica of the register, if it holds one.
+	// Acceptor is the ID of the router's replica of the register; empty if it has none.
 	Acceptor string `json:"acceptor,omitempty"`
-	// SilentS is the time since it was last heard of, in seconds; 0 for live members.
+	// SilentS is the time since the last sign of life, in seconds; 0 for live members.
 	SilentS float64 `json:"silent_s"`
 }
--- a/internal/router/status/status.go
+++ b/internal/router/status/status.go
@@ -1,15 +1,16 @@
-// Package status holds what a router tells of itself to operators: the JSON bodies of the control interface's read-only calls.
+// Package status defines the JSON bodies of the read-only calls of the control interface, through which operators inspect
+// a router.
 package status
 
-// Status is the answer to GET /v1/status.
+// Status is the response to GET /v1/status.
 type Status struct {
 	Node    string `json:"node"`
 	Zone    string `json:"zone"`
 	Version string `json:"version"`
-	// UptimeS is the time since the start, in seconds.
+	// UptimeS is the time since the start of the process, in seconds.
 	UptimeS float64 `json:"uptime_s"`
 	Ready   bool    `json:"ready"`
-	// Reason says why the router is not ready.
+	// Reason explains why the router is not ready; empty if it is ready.
 	Reason        string        `json:"reason,omitempty"`
 	Configuration Configuration `json:"configuration"`
 	Register      Register      `json:"register"`
@@ -21,25 +22,26 @@
 	Memory        Memory        `json:"memory"`
 }
 
-// Configuration says which configuration is in force at the router.
+// Configuration identifies the configuration that the router applies.
 type Configuration struct {
-	// Generation is the operator's number; 0: none is in force yet.
+	// Generation is the number assigned by the operator; 0 means that there is no configuration yet.
 	Generation int64 `json:"generation"`
-	// Revision counts the chosen changes.
+	// Revision is the number of changes that the register has chosen.
 	Revision uint64 `json:"revision"`
 }
 
-// Register says how the router sees the configuration register.
+// Register is the configuration register as seen by the router.
 type Register struct {
-	// Epoch rises with each change of the acceptor set.
+	// Epoch increases with each change of the acceptor set.
 	Epoch uint64 `json:"epoch"`
-	// Voters are the acceptors in force; none: the router knows no set yet.
+	// Voters are the acceptors of the current set; empty if the router knows no set yet.
 	Voters []Acceptor `json:"voters"`
-	// Previous lists the voters before a change under way, which count too until it is over.
+	// Previous lists the voters of the previous set during a membership change. Until the change completes, a quorum of
+	// them is needed as well.
 	Previous []Acceptor `json:"previous,omitempty"`
-	// Quorum says whether enough acceptors are live for a change.
+	// Quorum reports whether enough acceptors are live to choose a change.
 	Quorum bool `json:"quorum"`
-	// Replica says how this router's own replica is.
+	// Replica is the state of the router's own replica.
 	Replica Replica `json:"replica"`
 }
 
@@ -48,39 +50,42 @@
 
 // States of a replica.
 const (
-	ReplicaNone    Replica = "none"    // the router holds none
-	ReplicaOpening Replica = "opening" // its disk has not answered yet
+	ReplicaNone    Replica = "none"    // the router has no replica
+	ReplicaOpening Replica = "opening" // the disk has not completed the first read yet
 	ReplicaOpen    Replica = "open"
-	// ReplicaStalled means that its disk has not answered a write for over a second.
+	// ReplicaStalled means that a write to the disk has been pending for more than one second.
 	ReplicaStalled Replica = "stalled"
-	// ReplicaRefusing means that its disk refused the last write.
+	// ReplicaRefusing means that the last write to the disk failed.
 	ReplicaRefusing Replica = "refusing"
 )
 
-// Shares says who divides the quotas and the retry budget among the routers, and what this router has of them.
+// Shares describes how the quotas and the retry budget are divided among the routers: the coordinator that divides them,
+// and the shares of this router.
 type Shares struct {
-	// Coordinator is the transport address of the router that divides them, as last heard; empty: none is known.
+	// Coordinator is the transport address of the last known coordinator; empty if none is known.
 	Coordinator string `json:"coordinator"`
-	// Leads says that this router is the coordinator.
+	// Leads reports whether this router is the coordinator.
 	Leads bool `json:"leads"`
-	// Term is the coordinator's lease term as last heard.
+	// Term is the last known lease term of the coordinator.
 	Term uint64 `json:"term"`
-	// SilentS is the time since the coordinator's last answer, in seconds; negative: there was none since the start.
+	// SilentS is the time since the last response of the coordinator, in seconds; negative if there was none since the
+	// start.
 	SilentS float64 `json:"silent_s"`
-	// Tenants are those with the most requests here, at most 20.
+	// Tenants are the tenants with the most requests at this router, at most 20.
 	Tenants []TenantShare `json:"tenants"`
 }
 
-// TenantShare is what a router has of a tenant's quota, in requests or tokens, as the quota is.
+// TenantShare is a router's share of a tenant's quota. Its unit is that of the quota, requests or tokens.
 type TenantShare struct {
 	Tenant string `json:"tenant"`
-	// PerS is the tenant's limit a second over the whole fleet.
+	// PerS is the tenant's limit per second across the fleet.
 	PerS float64 `json:"per_s"`
-	// Balance may still be admitted without asking; negative after an overdraft.
+	// Balance is the amount that the router may still admit without asking the coordinator; negative after an overdraft.
 	Balance float64 `json:"balance"`
-	// StandingPerS is the rate with which the router supplies itself while it hears nothing.
+	// StandingPerS is the rate per second at which the router refills its balance while it hears nothing from the
+	// coordinator.
 	StandingPerS float64 `json:"standing_per_s"`
-	// AtLimit says that the tenant uses its whole limit.
+	// AtLimit reports that the tenant uses its whole limit.
 	AtLimit bool `json:"at_limit"`
 }
 
@@ -88,56 +93,56 @@
 type Acceptor struct {
 	ID      string `json:"id"`
 	Address string `json:"address"`
-	// Live says whether the router counts as alive.
+	// Live reports whether the router is considered alive.
 	Live bool `json:"live"`
-	// Volatile says that the replica is in memory and gone with its process.
+	// Volatile reports that the replica is held only in memory and is lost when its process ends.
 	Volatile bool `json:"volatile,omitempty"`
 }
 
-// MemberCount counts the routers.
+// MemberCount is the number of routers by state.
 type MemberCount struct {
 	Live   int `json:"live"`
 	Failed int `json:"failed"`
 }
 
-// InstanceCount counts the model instances.
+// InstanceCount is the number of model instances by state.
 type InstanceCount struct {
 	Ready    int `json:"ready"`
 	Draining int `json:"draining"`
 }
 
-// Requests counts clients' requests and attempts at instances since the start.
+// Requests counts client requests and attempts to send them to instances, both since the start.
 type Requests struct {
 	Succeeded    uint64 `json:"succeeded"`
 	ClientErrors uint64 `json:"client_errors"`
 	ServerErrors uint64 `json:"server_errors"`
-	// Broken counts answers that were broken off, Gone requests whose client left.
+	// Broken counts responses that were aborted midway. Gone counts requests whose client disconnected.
 	Broken uint64 `json:"broken"`
 	Gone   uint64 `json:"gone"`
-	// NeverSent, Rejected and MayHaveRun count attempts that brought no answer.
+	// NeverSent, Rejected and MayHaveRun count attempts without a response, by what is known of their execution.
 	NeverSent  uint64 `json:"attempts_never_sent"`
 	Rejected   uint64 `json:"attempts_rejected"`
 	MayHaveRun uint64 `json:"attempts_may_have_run"`
-	// Connections of clients are open now.
+	// Connections is the number of open client connections.
 	Connections int `json:"connections"`
-	// BodyBytes of requests are held now.
+	// BodyBytes is the current size of buffered request bodies, in bytes.
 	BodyBytes int64 `json:"body_bytes"`
 }
 
-// CodeCount says how often the router has answered with a result code since its start.
+// CodeCount is the number of responses with a result code since the start.
 type CodeCount struct {
 	Code  int    `json:"code"`
 	Name  string `json:"name"`
 	Count uint64 `json:"count"`
 }
 
-// Memory is what the process uses, in bytes.
+// Memory is the memory usage of the process, in bytes.
 type Memory struct {
-	// Heap is held by live and not yet collected objects.
+	// Heap is the memory of live and not yet collected objects.
 	Heap uint64 `json:"heap_bytes"`
-	// Total is all that the runtime has taken from the system and not given back.
+	// Total is the memory that the runtime has obtained from the operating system and not returned.
 	Total uint64 `json:"total_bytes"`
-	// Limit is the collector's goal; 0: none.
+	// Limit is the soft memory limit of the garbage collector; 0 means none.
 	Limit      uint64 `json:"limit_bytes"`
 	Goroutines uint64 `json:"goroutines"`
 }
--- a/internal/router/status/version.go
+++ b/internal/router/status/version.go
@@ -5,10 +5,10 @@
 	"sync"
 )
 
-// unknownVersion stands for a program that was built without information on its source.
+// unknownVersion is the version of a program that was built without version information.
 const unknownVersion = "unknown"
 
-// Version names the source that the program was built from.
+// Version returns the source revision of the program, or else the version of its main module.
 var Version = sync.OnceValue(func() string {
 	info, found := debug.ReadBuildInfo()
 	if !found {
--- a/internal/router/steadyclock/boottime.go
+++ b/internal/router/steadyclock/boottime.go
@@ -6,7 +6,7 @@
 	"golang.org/x/sys/unix"
 )
 
-// readBootTime reads the kernel's clock that goes on while the machine is suspended.
+// readBootTime reads CLOCK_BOOTTIME, which advances while the machine is suspended.
 func readBootTime() (time.Duration, bool) {
 	var reading unix.Timespec
 	if err := unix.ClockGettime(unix.CLOCK_BOOTTIME, &reading); err != nil {
--- a/internal/router/steadyclock/clock.go
+++ b/internal/router/steadyclock/clock.go
@@ -1,9 +1,10 @@
-// Package steadyclock measures the time since a process's start, the time for which its machine was suspended included.
+// Package steadyclock measures the time since the start of a process, including time for which the machine was suspended.
 //
-// The monotonic clock of the runtime stands still while a machine sleeps, so that a lease which is counted by it alone outlives its
-// end. The kernel has a second clock that goes on (CLOCK_BOOTTIME). A Clock compares the two: what the second one has gained on the
-// first is the time for which the machine was suspended. Where the second clock can't be read, that time is not known and counts as
-// zero; nor is it known of a virtual machine whose host has paused it, since both clocks stand still then.
+// The monotonic clock of the Go runtime stops while the machine is suspended, so a lease timed by it alone would
+// outlive its expiry. CLOCK_BOOTTIME, a second clock of the kernel, keeps running. A Clock compares the two: the amount
+// by which the second clock has gained on the first is the time for which the machine was suspended. If the second
+// clock cannot be read, suspensions are not detected and count as zero. The same holds when a host pauses a virtual
+// machine, because both clocks stop then.
 package steadyclock
 
 import (
@@ -11,36 +12,36 @@
 	"time"
 )
 
-// SampleEvery bounds how long a suspension may stay unnoticed after its end, in time for which the process runs. Whoever relies on the
-// clock leaves a margin of more than that.
+// SampleEvery is the longest time for which a suspension may go undetected after its end, counted while the process runs.
+// Users of the clock must allow for a larger error than this.
 const SampleEvery = 20 * time.Millisecond
 
-// Source reads a clock that goes on while the machine is suspended; false: it can't be read.
+// Source reads a clock that advances while the machine is suspended, and reports whether it could be read.
 type Source func() (time.Duration, bool)
 
-// Clock measures the time since it was made. Its methods may be called from any goroutine.
+// Clock measures the time since its creation. Its methods are safe for concurrent use.
 type Clock struct {
 	started time.Time
 	source  Source
 
-	mu        sync.Mutex
-	base      time.Duration // reading of the source at the start
-	sampledAt time.Duration // by the monotonic clock, since the start
-	suspended time.Duration
+	mu         sync.Mutex
+	sourceBase time.Duration // reading of source at the start
+	lastSample time.Duration // monotonic time since the start at which source was last read
+	suspended  time.Duration
 }
 
-// New returns a clock that reads the kernel's clocks.
+// New returns a clock that detects suspensions with CLOCK_BOOTTIME.
 func New() *Clock { return newClock(time.Now(), readBootTime) }
 
-// NewWithSource returns a clock that compares the monotonic clock with another one than the kernel's.
+// NewWithSource returns a clock that detects suspensions with the given source.
 func NewWithSource(source Source) *Clock { return newClock(time.Now(), source) }
 
-// Monotonic returns a clock that knows of no suspension.
+// Monotonic returns a clock that does not detect suspensions.
 func Monotonic() *Clock {
 	return newClock(time.Now(), func() (time.Duration, bool) { return 0, false })
 }
 
-// newClock starts a clock at a moment that was read just before.
+// newClock returns a clock that started at the given moment, which the caller has just read.
 func newClock(started time.Time, source Source) *Clock {
 	c := &Clock{started: started, source: source}
 	base, ok := source()
@@ -48,43 +49,43 @@
 		c.source = nil
 		return c
 	}
-	c.base = base
+	c.sourceBase = base
 	return c
 }
 
-// Now returns the time since the start.
+// Now returns the time since the start, including suspensions detected so far.
 func (c *Clock) Now() time.Duration {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	running := time.Since(c.started)
-	if c.source != nil && running-c.sampledAt >= SampleEvery {
-		running = c.sample()
+	if c.source != nil && running-c.lastSample >= SampleEvery {
+		running = c.sampleLocked()
 	}
 	return running + c.suspended
 }
 
-// At returns the time at a moment that was read lately from the runtime's clock.
+// At converts a recent reading of the runtime's clock to the time since the start.
 func (c *Clock) At(moment time.Time) time.Duration {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return moment.Sub(c.started) + c.suspended
 }
 
-// Suspended returns the time for which the machine was suspended, as far as it is known.
+// Suspended returns the total time of the suspensions detected so far.
 func (c *Clock) Suspended() time.Duration {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.suspended
 }
 
-// sample compares the clocks and returns the reading of the monotonic one. The source is read first, so that a pause between the two
-// readings is not taken for a suspension; the sum of suspensions never falls.
-func (c *Clock) sample() time.Duration {
+// sampleLocked compares the clocks and returns the reading of the monotonic one. The source is read first, so that a delay
+// between the two readings is not mistaken for a suspension. The total of suspensions never decreases. The caller holds c.mu.
+func (c *Clock) sampleLocked() time.Duration {
 	reading, ok := c.source()
 	running := time.Since(c.started)
-	c.sampledAt = running
+	c.lastSample = running
 	if ok {
-		c.suspended = max(c.suspended, reading-c.base-running)
+		c.suspended = max(c.suspended, reading-c.sourceBase-running)
 	}
 	return running
 }
--- a/internal/router/steadyclock/clock_test.go
+++ b/internal/router/steadyclock/clock_test.go
@@ -8,30 +8,30 @@
 	"gotest.tools/v3/assert"
 )
 
-// machine has a second clock, which is ahead of the monotonic one by the time for which the machine was suspended.
-type machine struct {
+// fakeMachine provides a second clock that is ahead of the monotonic one by the time of the simulated suspensions.
+type fakeMachine struct {
 	booted    time.Time
 	suspended time.Duration
-	pause     time.Duration // between the second clock's reading and its end
+	readDelay time.Duration // between reading the second clock and returning
 	broken    bool
 	reads     int
 }
 
-func (m *machine) read() (time.Duration, bool) {
+func (m *fakeMachine) read() (time.Duration, bool) {
 	m.reads++
 	reading := time.Since(m.booted) + m.suspended
-	time.Sleep(m.pause)
+	time.Sleep(m.readDelay)
 	return reading, !m.broken
 }
 
-func newMachine() (*machine, *Clock) {
-	m := &machine{booted: time.Now().Add(-time.Hour)}
+func newFakeMachine() (*fakeMachine, *Clock) {
+	m := &fakeMachine{booted: time.Now().Add(-time.Hour)}
 	return m, NewWithSource(m.read)
 }
 
 func TestClockCountsSuspensions(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		m, clock := newMachine()
+		m, clock := newFakeMachine()
 		time.Sleep(time.Second)
 		assert.Equal(t, clock.Now(), time.Second)
 		m.suspended += 10 * time.Second
@@ -45,19 +45,19 @@
 	})
 }
 
-func TestPauseBetweenReadingsIsNoSuspension(t *testing.T) {
+func TestDelayBetweenReadingsIsNotSuspension(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		m, clock := newMachine()
-		m.pause = 3 * time.Second
+		m, clock := newFakeMachine()
+		m.readDelay = 3 * time.Second
 		time.Sleep(time.Second)
 		assert.Equal(t, clock.Now(), 4*time.Second)
 		assert.Equal(t, clock.Suspended(), time.Duration(0))
 	})
 }
 
-func TestClockNeverGoesBack(t *testing.T) {
+func TestClockNeverGoesBackwards(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		m, clock := newMachine()
+		m, clock := newFakeMachine()
 		m.suspended = time.Minute
 		time.Sleep(time.Second)
 		before := clock.Now()
@@ -69,7 +69,7 @@
 
 func TestClockWithoutSecondClock(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		m := &machine{booted: time.Now(), suspended: time.Minute, broken: true}
+		m := &fakeMachine{booted: time.Now(), suspended: time.Minute, broken: true}
 		clock := NewWithSource(m.read)
 		time.Sleep(time.Second)
 		assert.Equal(t, clock.Now(), time.Second)
@@ -78,9 +78,9 @@
 	})
 }
 
-func TestSecondClockIsReadNowAndThen(t *testing.T) {
+func TestSecondClockIsSampled(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		m, clock := newMachine()
+		m, clock := newFakeMachine()
 		for range 1000 {
 			time.Sleep(time.Millisecond)
 			clock.Now()
@@ -89,9 +89,9 @@
 	})
 }
 
-func TestKernelClocksAgreeWhileTheMachineRuns(t *testing.T) {
+func TestKernelClocksAgreeWhileRunning(t *testing.T) {
 	clock := New()
-	assert.Assert(t, clock.source != nil, "no CLOCK_BOOTTIME here")
+	assert.Assert(t, clock.source != nil, "CLOCK_BOOTTIME is not available")
 	for clock.Now() < 2*SampleEvery {
 	}
 	assert.Assert(t, clock.Suspended() < time.Millisecond, "%v", clock.Suspended())
--- a/internal/router/summary/logline.go
+++ b/internal/router/summary/logline.go
@@ -5,8 +5,8 @@
 	"strings"
 )
 
-// parseLine reads the fields of a log line, written as key=value joined by spaces; values with spaces are quoted. What cannot be
-// read ends the line.
+// parseLine parses a log line of key=value fields separated by spaces; values with spaces are quoted. Parsing stops at
+// the first malformed field.
 func parseLine(line string) map[string]string {
 	fields := map[string]string{}
 	for rest := strings.TrimSpace(line); rest != ""; {
@@ -24,7 +24,7 @@
 	return fields
 }
 
-// cutValue takes the value at the start of a text.
+// cutValue splits the value off the start of a text.
 func cutValue(text string) (value, rest string, readable bool) {
 	if !strings.HasPrefix(text, `"`) {
 		value, rest, _ = strings.Cut(text, " ")
@@ -34,6 +34,6 @@
 	if err != nil {
 		return "", "", false
 	}
-	value, _ = strconv.Unquote(quoted) // QuotedPrefix has found it well formed
+	value, _ = strconv.Unquote(quoted) // QuotedPrefix has checked the syntax
 	return value, text[len(quoted):], true
 }
--- a/internal/router/summary/main_test.go
+++ b/internal/router/summary/main_test.go
@@ -6,5 +6,5 @@
 	"pewterrudder/internal/lab/walks"
 )
 
-// TestMain has the drawn cases be the same in each run.
+// TestMain uses fixed random seeds, so that each run draws the same test cases.
 func TestMain(m *testing.M) { walks.Main(m, 0, 0) }
--- a/internal/router/summary/summary.go
+++ b/internal/router/summary/summary.go
@@ -1,5 +1,5 @@
-// Package summary writes and reads the log lines in which routers count the result codes of requests. Each line holds what has
-// been counted since the router's line before it, so that lines can be added up, whatever part of a log is at hand.
+// Package summary formats and parses the log lines in which routers report result code counts. Each line holds the counts
+// since the previous line of the same router, so the lines of any part of a log can be summed.
 package summary
 
 import (
@@ -13,23 +13,23 @@
 	"pewterrudder/internal/router/resultcode"
 )
 
-// Message is the message of the lines.
+// Message is the log message of a summary line.
 const Message = "result codes"
 
-// Fields of the lines.
+// Fields of a summary line.
 const (
-	// FieldCodes holds the counts, as code:count joined by spaces.
+	// FieldCodes holds the counts, as code:count pairs separated by spaces.
 	FieldCodes = "codes"
-	// FieldSucceeded holds the number of answers 2xx in the same time.
+	// FieldSucceeded holds the number of 2xx responses in the same period.
 	FieldSucceeded = "succeeded"
-	// FieldNode names the router.
+	// FieldNode holds the name of the router.
 	FieldNode = "node"
 )
 
-// Counts are numbers of requests by their result code.
+// Counts holds the number of requests per result code.
 type Counts map[resultcode.Code]uint64
 
-// Since lists what has been added to earlier counts. Codes whose counts are the same are left out.
+// Since returns the increase from earlier to now. Codes whose count did not increase are omitted.
 func Since(earlier, now Counts) Counts {
 	changes := Counts{}
 	for code, count := range now {
@@ -40,10 +40,10 @@
 	return changes
 }
 
-// Codes lists the codes by rising number.
+// Codes returns the codes in ascending order.
 func (c Counts) Codes() []resultcode.Code { return slices.Sorted(maps.Keys(c)) }
 
-// Format writes counts as the value of a field.
+// Format returns the counts as the value of FieldCodes.
 func Format(counts Counts) string {
 	parts := make([]string, 0, len(counts))
 	for _, code := range counts.Codes() {
@@ -52,7 +52,7 @@
 	return strings.Join(parts, " ")
 }
 
-// Parse reads what Format has written.
+// Parse parses the output of Format.
 func Parse(value string) (Counts, error) {
 	counts := Counts{}
 	for _, part := range strings.Fields(value) {
--- a/internal/router/summary/summary_test.go
+++ b/internal/router/summary/summary_test.go
@@ -12,7 +12,7 @@
 	"pewterrudder/internal/router/resultcode"
 )
 
-func TestSinceListsWhatWasAdded(t *testing.T) {
+func TestSinceReturnsIncreases(t *testing.T) {
 	earlier := Counts{resultcode.NoRoute: 2, resultcode.QuotaExceeded: 7}
 	now := Counts{resultcode.NoRoute: 2, resultcode.QuotaExceeded: 9, resultcode.NoInstance: 1}
 	assert.DeepEqual(t, Since(earlier, now), Counts{resultcode.QuotaExceeded: 2, resultcode.NoInstance: 1})
@@ -36,15 +36,15 @@
 	})
 }
 
-func TestParseRefusesOtherTexts(t *testing.T) {
+func TestParseRejectsMalformedText(t *testing.T) {
 	for _, text := range []string{"1001", "1001:", ":3", "1001:-3", "a:3", "1001:3 x", "1001:3:4"} {
 		_, err := Parse(text)
 		assert.Assert(t, err != nil, text)
 	}
 }
 
-// logged is a line as a router writes it.
-func logged(node, message string, fields logrus.Fields) string {
+// logLine returns a log line as a router writes it.
+func logLine(node, message string, fields logrus.Fields) string {
 	var text bytes.Buffer
 	log := logrus.New()
 	log.SetOutput(&text)
@@ -53,17 +53,17 @@
 	return text.String()
 }
 
-func TestTotalsAddUpTheLinesOfLogs(t *testing.T) {
-	log := logged("edge 1", Message, logrus.Fields{FieldCodes: "1001:3 1007:5", FieldSucceeded: 40}) +
+func TestTotalsSumLogLines(t *testing.T) {
+	log := logLine("edge 1", Message, logrus.Fields{FieldCodes: "1001:3 1007:5", FieldSucceeded: 40}) +
 		"a panic or other text without fields\n" +
-		logged("edge 1", "ready", nil) +
-		logged("edge 1", "attempts failed", logrus.Fields{"error": `x="result codes" codes=1001:99`}) +
-		logged("edge 1", "other", logrus.Fields{"note": Message, FieldCodes: "1001:99"}) +
-		logged("edge-2", Message, logrus.Fields{FieldCodes: "1007:1", FieldSucceeded: 2}) +
-		`time="2026-01-01T00:00:00Z" level=info msg="result codes" codes="1001:50 10` // cut off
+		logLine("edge 1", "ready", nil) +
+		logLine("edge 1", "attempts failed", logrus.Fields{"error": `x="result codes" codes=1001:99`}) +
+		logLine("edge 1", "other", logrus.Fields{"note": Message, FieldCodes: "1001:99"}) +
+		logLine("edge-2", Message, logrus.Fields{FieldCodes: "1007:1", FieldSucceeded: 2}) +
+		`time="2026-01-01T00:00:00Z" level=info msg="result codes" codes="1001:50 10` // truncated
 	totals := NewTotals()
 	assert.NilError(t, totals.Read(strings.NewReader(log)))
-	assert.NilError(t, totals.Read(strings.NewReader(logged("edge-2", Message, logrus.Fields{FieldCodes: "1001:1"}))))
+	assert.NilError(t, totals.Read(strings.NewReader(logLine("edge-2", Message, logrus.Fields{FieldCodes: "1001:1"}))))
 	assert.Equal(t, totals.Lines, 3)
 	assert.Equal(t, totals.Succeeded, uint64(42))
 	assert.DeepEqual(t, totals.Codes, Counts{1001: 4, 1007: 6})
@@ -72,12 +72,12 @@
 	assert.Equal(t, totals.Routers(1008), 0)
 }
 
-func TestTheLongestLineIsBounded(t *testing.T) {
+func TestLineLengthIsLimited(t *testing.T) {
 	err := NewTotals().Read(strings.NewReader(strings.Repeat("x", maxLineBytes+1)))
 	assert.ErrorContains(t, err, "too long")
 }
 
-func FuzzReadingNeverFails(f *testing.F) {
+func FuzzParseLine(f *testing.F) {
 	f.Add(`msg="result codes" codes="1001:3" node=a`)
 	f.Add(`msg="result codes`)
 	f.Add(`=`)
--- a/internal/router/summary/totals.go
+++ b/internal/router/summary/totals.go
@@ -9,25 +9,25 @@
 	"pewterrudder/internal/router/resultcode"
 )
 
-// maxLineBytes bounds a log line. Longer ones end the reading with an error.
+// maxLineBytes is the maximum length of a log line. Reading fails at a longer one.
 const maxLineBytes = 1 << 20
 
-// Totals are the sums of the lines of one or more logs.
+// Totals holds the sums over the summary lines of one or more logs.
 type Totals struct {
-	// Lines is the number of lines with counts.
+	// Lines is the number of summary lines.
 	Lines int
-	// Codes are the sums.
+	// Codes are the counts of all routers together.
 	Codes Counts
-	// Succeeded is the number of answers 2xx.
+	// Succeeded is the number of 2xx responses.
 	Succeeded uint64
-	// Nodes are the counts of each router.
+	// Nodes holds the counts per router name.
 	Nodes map[string]Counts
 }
 
-// NewTotals returns empty sums.
+// NewTotals returns totals without any lines.
 func NewTotals() *Totals { return &Totals{Codes: Counts{}, Nodes: map[string]Counts{}} }
 
-// Read adds the lines of a log. Lines of other sorts are passed over.
+// Read adds the summary lines of a log and skips all other lines.
 func (t *Totals) Read(log io.Reader) error {
 	lines := bufio.NewScanner(log)
 	lines.Buffer(nil, maxLineBytes)
@@ -39,7 +39,7 @@
 	return lines.Err()
 }
 
-// addLine adds a line if it counts result codes.
+// addLine adds a line if it is a summary line.
 func (t *Totals) addLine(line string) {
 	fields := parseLine(line)
 	if fields["msg"] != Message {
@@ -47,7 +47,7 @@
 	}
 	counts, err := Parse(fields[FieldCodes])
 	if err != nil || len(counts) == 0 {
-		return // a line that was cut off
+		return // a truncated line
 	}
 	t.Lines++
 	t.addCounts(fields[FieldNode], counts)
@@ -56,7 +56,7 @@
 	}
 }
 
-// addCounts adds the counts of a router.
+// addCounts adds counts of one router.
 func (t *Totals) addCounts(node string, counts Counts) {
 	if t.Nodes[node] == nil {
 		t.Nodes[node] = Counts{}
@@ -67,7 +67,7 @@
 	}
 }
 
-// Routers counts the routers that have answered with a code.
+// Routers returns the number of routers that have responded with the code.
 func (t *Totals) Routers(code resultcode.Code) int {
 	routers := 0
 	for _, counts := range t.Nodes {
