--- a/internal/router/command/fleet.go
+++ b/internal/router/command/fleet.go
@@ -68,10 +68,10 @@
 	start := f.now()
 	delay := minRetryDelay
 	for {
-		answer, err := f.callEach(c)
+		response, err := f.callEach(c)
 		var unclear *unclearError
 		if !errors.As(err, &unclear) || f.now().Sub(start)+delay >= f.retryTimeout {
-			return answer, err
+			return response, err
 		}
 		f.sleep(delay)
 		delay = min(2*delay, maxRetryDelay)
@@ -79,12 +79,12 @@
 }
 
 // callEach calls each router once, until one gives a clear answer.
-func (f *fleetClient) callEach(c call) (answer []byte, err error) {
+func (f *fleetClient) callEach(c call) (response []byte, err error) {
 	for _, address := range f.addresses {
-		answer, err = f.callOne(address, c)
+		response, err = f.callOne(address, c)
 		var unclear *unclearError
 		if !errors.As(err, &unclear) {
-			return answer, err
+			return response, err
 		}
 	}
 	return nil, err
--- a/internal/router/command/inspect.go
+++ b/internal/router/command/inspect.go
@@ -28,11 +28,11 @@
 	raw := command.Flag("json", "Print the JSON responses unchanged.").Bool()
 	registered[command.FullCommand()] = func(out io.Writer) error {
 		if *raw {
-			return queryEach(*control, path, func(answer []byte) error { return printRaw(out, answer) })
+			return queryEach(*control, path, func(response []byte) error { return printRaw(out, response) })
 		}
-		return queryEach(*control, path, func(answer []byte) error {
+		return queryEach(*control, path, func(response []byte) error {
 			var value T
-			if err := json.Unmarshal(answer, &value); err != nil {
+			if err := json.Unmarshal(response, &value); err != nil {
 				return fmt.Errorf("decoding the response: %w", err)
 			}
 			return print(out, value)
@@ -49,9 +49,9 @@
 		if *control == "" {
 			return nil
 		}
-		return queryEach(*control, protocol.PathStatus, func(answer []byte) error {
+		return queryEach(*control, protocol.PathStatus, func(response []byte) error {
 			var state status.Status
-			if err := json.Unmarshal(answer, &state); err != nil {
+			if err := json.Unmarshal(response, &state); err != nil {
 				return fmt.Errorf("decoding the response: %w", err)
 			}
 			_, err := fmt.Fprintln(out, state.Node, state.Version)
@@ -61,16 +61,16 @@
 }
 
 // queryEach queries each router once. The failure of one router does not prevent the others from being queried.
-func queryEach(control, path string, handle func(answer []byte) error) error {
+func queryEach(control, path string, handle func(response []byte) error) error {
 	routers, err := newFleetClient(control, 0)
 	if err != nil {
 		return err
 	}
 	var failures []error
 	for _, address := range routers.addresses {
-		answer, err := routers.callOne(address, call{method: http.MethodGet, path: path})
+		response, err := routers.callOne(address, call{method: http.MethodGet, path: path})
 		if err == nil {
-			err = handle(answer)
+			err = handle(response)
 		}
 		failures = append(failures, err)
 	}
@@ -78,7 +78,7 @@
 }
 
 // printRaw prints the body of a response on its own line.
-func printRaw(out io.Writer, answer []byte) error {
-	_, err := fmt.Fprintf(out, "%s\n", answer)
+func printRaw(out io.Writer, response []byte) error {
+	_, err := fmt.Fprintf(out, "%s\n", response)
 	return err
 }
--- a/internal/router/controlapi/change_test.go
+++ b/internal/router/controlapi/change_test.go
@@ -90,8 +90,8 @@
 func TestBaseRevisionMustBeNumber(t *testing.T) {
 	api, register := newTestAPI()
 	for _, base := range []string{"", "five", "1.5", "0x1", "99999999999999999999"} {
-		answer := post(api, protocol.PathConfigPut, base, strings.NewReader(configuration(5, 10)))
-		assert.Equal(t, answer.Code, http.StatusBadRequest, "base %q", base)
+		response := post(api, protocol.PathConfigPut, base, strings.NewReader(configuration(5, 10)))
+		assert.Equal(t, response.Code, http.StatusBadRequest, "base %q", base)
 	}
 	assert.Equal(t, register.proposals, 0)
 }
@@ -169,14 +169,14 @@
 func TestOneOfConcurrentChangesIsApplied(t *testing.T) {
 	api, register := newTestAPI()
 	assert.Equal(t, put(api, 0, configuration(5, 10)), http.StatusOK)
-	answers := make([]int, 8)
+	statuses := make([]int, 8)
 	var running sync.WaitGroup
-	for i := range answers {
-		running.Go(func() { answers[i] = patch(api, 5, upsert(7, fmt.Sprint("r-", i))) })
+	for i := range statuses {
+		running.Go(func() { statuses[i] = patch(api, 5, upsert(7, fmt.Sprint("r-", i))) })
 	}
 	running.Wait()
 	applied := 0
-	for _, status := range answers {
+	for _, status := range statuses {
 		if status == http.StatusOK {
 			applied++
 			continue
--- a/internal/router/controlapi/fixture_test.go
+++ b/internal/router/controlapi/fixture_test.go
@@ -120,9 +120,9 @@
 	if base != "" {
 		request.Header.Set(protocol.HeaderBaseRevision, base)
 	}
-	answer := httptest.NewRecorder()
-	api.Handler().ServeHTTP(answer, request)
-	return answer
+	response := httptest.NewRecorder()
+	api.Handler().ServeHTTP(response, request)
+	return response
 }
 
 // put sends a whole configuration and returns the status.
--- a/internal/router/controlapi/inspect.go
+++ b/internal/router/controlapi/inspect.go
@@ -22,8 +22,8 @@
 	if inspector == nil {
 		return
 	}
-	serve := func(path string, answer func() any) {
-		handler := func(w http.ResponseWriter, _ *http.Request) { writeJSON(w, answer()) }
+	serve := func(path string, result func() any) {
+		handler := func(w http.ResponseWriter, _ *http.Request) { writeJSON(w, result()) }
 		router.HandleFunc(path, handler).Methods(http.MethodGet)
 	}
 	serve(protocol.PathStatus, func() any { return inspector.Status() })
--- a/internal/router/controlapi/inspect_test.go
+++ b/internal/router/controlapi/inspect_test.go
@@ -27,13 +27,13 @@
 // ask makes a request, decodes the JSON body of the response into value unless value is nil, and returns the status.
 func ask(t *testing.T, api *API, method, path string, value any) int {
 	t.Helper()
-	answer := httptest.NewRecorder()
-	api.Handler().ServeHTTP(answer, httptest.NewRequest(method, path, nil))
+	response := httptest.NewRecorder()
+	api.Handler().ServeHTTP(response, httptest.NewRequest(method, path, nil))
 	if value != nil {
-		assert.Equal(t, answer.Header().Get("Content-Type"), protocol.ContentTypeJSON)
-		assert.NilError(t, json.Unmarshal(answer.Body.Bytes(), value))
+		assert.Equal(t, response.Header().Get("Content-Type"), protocol.ContentTypeJSON)
+		assert.NilError(t, json.Unmarshal(response.Body.Bytes(), value))
 	}
-	return answer.Code
+	return response.Code
 }
 
 func TestReadOnlyCallsReturnInspectorState(t *testing.T) {
--- a/internal/router/controlapi/instances_test.go
+++ b/internal/router/controlapi/instances_test.go
@@ -19,9 +19,9 @@
 func TestHeartbeatsReachTheRegistry(t *testing.T) {
 	api, _ := newTestAPI()
 	body := `{"backend":"b","address":"10.0.0.1:80","state":"draining","slots":4,"seq":3,"unknown":1}`
-	answer := post(api, heartbeatPath, "", strings.NewReader(body))
-	assert.Equal(t, answer.Code, http.StatusOK)
-	assert.Equal(t, answer.Body.String(), `{"beat_url":"http://127.0.0.1:1/"}`)
+	response := post(api, heartbeatPath, "", strings.NewReader(body))
+	assert.Equal(t, response.Code, http.StatusOK)
+	assert.Equal(t, response.Body.String(), `{"beat_url":"http://127.0.0.1:1/"}`)
 	expected := protocol.Heartbeat{Backend: "b", Address: "10.0.0.1:80", State: protocol.StateDraining, Slots: 4, Seq: 3}
 	assert.DeepEqual(t, api.options.Instances.(*recordedInstances).heartbeats["i-1"], expected)
 }
@@ -34,9 +34,9 @@
 		`{"seq":"one"}`:          resultcode.HeartbeatUnreadable,
 		strings.Repeat(" ", 1e5): resultcode.CallTooLarge,
 	} {
-		answer := post(api, heartbeatPath, "", strings.NewReader(body))
-		assert.Equal(t, answer.Code, code.Status())
-		assert.Assert(t, strings.Contains(answer.Body.String(), code.String()), answer.Body.String())
+		response := post(api, heartbeatPath, "", strings.NewReader(body))
+		assert.Equal(t, response.Code, code.Status())
+		assert.Assert(t, strings.Contains(response.Body.String(), code.String()), response.Body.String())
 	}
 	assert.Equal(t, len(api.options.Instances.(*recordedInstances).heartbeats), 0)
 }
@@ -53,9 +53,9 @@
 	api, _ := newTestAPI()
 	api.options.Instances.(*recordedInstances).err = errNoQuorum
 	for _, path := range []string{heartbeatPath, deregisterPath} {
-		answer := post(api, path, "", strings.NewReader(`{"backend":"b","state":"draining","seq":3}`))
-		assert.Equal(t, answer.Code, http.StatusServiceUnavailable)
-		assert.Assert(t, strings.Contains(answer.Body.String(), resultcode.HeartbeatNotSpread.String()), answer.Body.String())
+		response := post(api, path, "", strings.NewReader(`{"backend":"b","state":"draining","seq":3}`))
+		assert.Equal(t, response.Code, http.StatusServiceUnavailable)
+		assert.Assert(t, strings.Contains(response.Body.String(), resultcode.HeartbeatNotSpread.String()), response.Body.String())
 	}
 }
 
--- a/internal/router/controlapi/prefixes_test.go
+++ b/internal/router/controlapi/prefixes_test.go
@@ -19,16 +19,16 @@
 		Tenants:  map[string]protocol.PrefixUseByName{"t": {Requests: 3, Hits: 2, TokensReadAgain: 9}},
 	}
 	api := New(Options{Prefixes: func() *protocol.PrefixStatus { return &want }})
-	answer := httptest.NewRecorder()
-	api.Handler().ServeHTTP(answer, httptest.NewRequest(http.MethodGet, protocol.PathPrefixes, nil))
-	assert.Equal(t, answer.Code, http.StatusOK)
+	response := httptest.NewRecorder()
+	api.Handler().ServeHTTP(response, httptest.NewRequest(http.MethodGet, protocol.PathPrefixes, nil))
+	assert.Equal(t, response.Code, http.StatusOK)
 	var got protocol.PrefixStatus
-	assert.NilError(t, json.Unmarshal(answer.Body.Bytes(), &got))
+	assert.NilError(t, json.Unmarshal(response.Body.Bytes(), &got))
 	assert.DeepEqual(t, got, want)
 }
 
 func TestPrefixesAreNotServedByDefault(t *testing.T) {
-	answer := httptest.NewRecorder()
-	New(Options{}).Handler().ServeHTTP(answer, httptest.NewRequest(http.MethodGet, protocol.PathPrefixes, nil))
-	assert.Equal(t, answer.Code, http.StatusNotFound)
+	response := httptest.NewRecorder()
+	New(Options{}).Handler().ServeHTTP(response, httptest.NewRequest(http.MethodGet, protocol.PathPrefixes, nil))
+	assert.Equal(t, response.Code, http.StatusNotFound)
 }
--- a/internal/router/controlapi/snapshot_test.go
+++ b/internal/router/controlapi/snapshot_test.go
@@ -14,10 +14,10 @@
 // takeSnapshot requests a snapshot and returns its text.
 func takeSnapshot(t *testing.T, api *API) string {
 	t.Helper()
-	answer := httptest.NewRecorder()
-	api.Handler().ServeHTTP(answer, httptest.NewRequest(http.MethodGet, protocol.PathSnapshot, nil))
-	assert.Equal(t, answer.Code, http.StatusOK, answer.Body.String())
-	return answer.Body.String()
+	response := httptest.NewRecorder()
+	api.Handler().ServeHTTP(response, httptest.NewRequest(http.MethodGet, protocol.PathSnapshot, nil))
+	assert.Equal(t, response.Code, http.StatusOK, response.Body.String())
+	return response.Body.String()
 }
 
 // restore sends a snapshot and returns the status.
@@ -47,16 +47,16 @@
 
 func TestInvalidSnapshotsAreRefused(t *testing.T) {
 	api, register := newTestAPI()
-	answer := httptest.NewRecorder()
-	api.Handler().ServeHTTP(answer, httptest.NewRequest(http.MethodGet, protocol.PathSnapshot, nil))
-	assert.Equal(t, answer.Code, http.StatusServiceUnavailable, "no configuration to snapshot")
+	response := httptest.NewRecorder()
+	api.Handler().ServeHTTP(response, httptest.NewRequest(http.MethodGet, protocol.PathSnapshot, nil))
+	assert.Equal(t, response.Code, http.StatusServiceUnavailable, "no configuration to snapshot")
 	assert.Equal(t, restore(api, "no snapshot"), http.StatusBadRequest)
 	assert.Equal(t, put(api, 0, configuration(7, 10)), http.StatusOK)
 	snapshot := takeSnapshot(t, api)
 	assert.Equal(t, restore(api, strings.Replace(snapshot, `"generation": 7`, `"generation": 8`, 1)), http.StatusBadRequest)
 	register.fails = true
 	assert.Equal(t, restore(api, snapshot), http.StatusServiceUnavailable)
-	answer = httptest.NewRecorder()
-	api.Handler().ServeHTTP(answer, httptest.NewRequest(http.MethodGet, protocol.PathSnapshot, nil))
-	assert.Equal(t, answer.Code, http.StatusServiceUnavailable)
+	response = httptest.NewRecorder()
+	api.Handler().ServeHTTP(response, httptest.NewRequest(http.MethodGet, protocol.PathSnapshot, nil))
+	assert.Equal(t, response.Code, http.StatusServiceUnavailable)
 }
--- a/internal/router/transport/connection.go
+++ b/internal/router/transport/connection.go
@@ -128,8 +128,8 @@
 		return nil, err
 	}
 	select {
-	case a := <-result:
-		return a.body, a.err
+	case r := <-result:
+		return r.body, r.err
 	case <-ctx.Done():
 		c.cancelCall(callID)
 		return nil, errors.WithStack(ctx.Err())
@@ -158,13 +158,13 @@
 }
 
 // completeCall delivers a response to the waiting caller, if there still is one.
-func (c *connection) completeCall(callID uint32, a response) {
+func (c *connection) completeCall(callID uint32, r response) {
 	c.mu.Lock()
 	result := c.calls[callID]
 	delete(c.calls, callID)
 	c.mu.Unlock()
 	if result != nil {
-		result <- a
+		result <- r
 	}
 }
 
