--- a/internal/router/controlapi/inspect.go
+++ b/internal/router/controlapi/inspect.go
@@ -9,21 +9,21 @@
 	"pewterrudder/internal/router/status"
 )
 
-// Inspector tells what the router is doing. It is asked only when somebody calls.
+// Inspector returns the current state of the router. Its methods are called on demand, once per request.
 type Inspector interface {
 	Status() status.Status
 	Members() []status.Member
 	Instances() []status.Instance
 }
 
-// routeInspection routes the read-only calls.
-func (a *API) routeInspection(router *mux.Router) {
+// addInspectionRoutes adds the routes of the read-only calls, if an Inspector is set.
+func (a *API) addInspectionRoutes(router *mux.Router) {
 	inspector := a.options.Inspector
 	if inspector == nil {
 		return
 	}
-	serve := func(path string, answer func() any) {
-		handler := func(w http.ResponseWriter, _ *http.Request) { writeJSON(w, answer()) }
+	serve := func(path string, result func() any) {
+		handler := func(w http.ResponseWriter, _ *http.Request) { writeJSON(w, result()) }
 		router.HandleFunc(path, handler).Methods(http.MethodGet)
 	}
 	serve(protocol.PathStatus, func() any { return inspector.Status() })
