--- a/internal/router/cluster/cluster.go
+++ b/internal/router/cluster/cluster.go
@@ -1,9 +1,10 @@
-// Package cluster keeps a router in touch with the others: it finds them from seed addresses, knows who is alive, and spreads
-// versioned soft-state records to all.
+// Package cluster implements the membership of the routers and the replication of versioned soft-state records among
+// them. A router discovers the others through seed addresses.
 //
-// A record goes down the relay tree of package relaytree; each relay acknowledges it, and a parent takes over the children of a
-// child that doesn't. Heartbeats carry a hash of the sender's table, and two routers whose hashes keep differing exchange what the
-// other lacks. One goroutine owns the failure detection and the schedule; readers get immutable snapshots.
+// Records are multicast along the relay trees of package relaytree. Each relay acknowledges them, and a parent sends
+// directly to the children of a child that doesn't. Anti-entropy repairs what is lost: heartbeats carry a hash of the
+// sender's table, and two routers whose hashes keep differing exchange the records that either lacks. One event loop
+// goroutine runs the failure detection and the exchange schedule; readers get immutable snapshots.
 package cluster
 
 import (
@@ -21,10 +22,10 @@
 	"pewterrudder/internal/router/transport"
 )
 
-// MemberKind is the kind of the cluster's own records, one for each member. Other kinds are the callers'.
+// MemberKind is the kind of the membership records, one for each member. All other kinds belong to the callers.
 const MemberKind softstate.Kind = 0
 
-// Messenger sends and receives messages. *transport.Transport is one.
+// Messenger sends and receives messages. *transport.Transport implements it.
 type Messenger interface {
 	Handle(kind transport.Kind, handler transport.Handler)
 	HandleInline(kind transport.Kind, handler transport.Handler)
@@ -32,32 +33,33 @@
 	Send(address string, kind transport.Kind, body []byte)
 }
 
-// Options of a cluster.
+// Options configures a Cluster.
 type Options struct {
-	// Self is the own member. An incarnation of 0 is replaced by one drawn from the clock and at random.
+	// Self describes the local member. An incarnation of 0 is replaced by one made of the clock and random bits.
 	Self membership.Member
-	// Seeds are transport addresses at which other members may be found.
+	// Seeds are the transport addresses that are tried to find the first other member.
 	Seeds []string
-	// FirstStart says that the whole fleet starts for the first time, so that a router whose seeds all keep silent may go on.
+	// FirstStart means that the whole fleet starts for the first time, so a router may start up without an answer from
+	// any seed.
 	FirstStart bool
 	Transport  Messenger
 	Log        logrus.FieldLogger
 }
 
-// Cluster is one router's part of the fleet. All methods may be called from any goroutine.
+// Cluster is the local router's view of the fleet and its connection to it. It is safe for concurrent use.
 type Cluster struct {
-	log       logrus.FieldLogger
-	messenger Messenger
-	first     bool
-	epoch     uint64
-	seeds     atomic.Pointer[[]string]
-	view      atomic.Pointer[membership.View]
-	inbox     chan event
-	watchers  *dispatcher
-	ctx       context.Context
-	cancel    context.CancelFunc
-	stopped   chan struct{} // closed when the owner has ended
-	running   sync.WaitGroup
+	log        logrus.FieldLogger
+	messenger  Messenger
+	firstStart bool
+	epoch      uint64
+	seeds      atomic.Pointer[[]string]
+	view       atomic.Pointer[membership.View]
+	events     chan event
+	dispatcher *dispatcher
+	ctx        context.Context
+	cancel     context.CancelFunc
+	stopped    chan struct{} // closed when the event loop has returned
+	goroutines sync.WaitGroup
 
 	synchronized     chan struct{}
 	synchronizedOnce sync.Once
@@ -65,16 +67,16 @@
 	tableMu sync.RWMutex
 	table   *softstate.Table
 
-	relays    sync.WaitGroup // relay calls under way
-	takeovers atomic.Int32   // children taken over lately
+	pendingRelays   sync.WaitGroup // relay calls that have not returned
+	recentTakeovers atomic.Int32   // takeovers within the last takeoverWindow
 
-	owner owner
+	loop eventLoop
 }
 
-// New returns a cluster that answers peers but takes no steps of its own before Start.
+// New returns a cluster that registers its message handlers but sends nothing before Start.
 func New(options Options) *Cluster {
 	if options.Self.Incarnation == 0 {
-		options.Self.Incarnation = drawIncarnation(time.Now())
+		options.Self.Incarnation = newIncarnation(time.Now())
 	}
 	if options.Log == nil {
 		options.Log = logrus.StandardLogger()
@@ -82,92 +84,97 @@
 	c := &Cluster{
 		log:          options.Log,
 		messenger:    options.Transport,
-		first:        options.FirstStart,
+		firstStart:   options.FirstStart,
 		epoch:        options.Self.Incarnation,
-		inbox:        make(chan event, inboxSize),
-		watchers:     newDispatcher(),
+		events:       make(chan event, eventQueueSize),
+		dispatcher:   newDispatcher(),
 		stopped:      make(chan struct{}),
 		synchronized: make(chan struct{}),
 		table:        softstate.NewTable(),
 	}
 	c.ctx, c.cancel = context.WithCancel(context.Background())
-	c.owner = newOwner(c, options.Self, time.Now())
-	c.view.Store(c.owner.detector.View())
+	c.loop = newEventLoop(c, options.Self, time.Now())
+	c.view.Store(c.loop.detector.View())
 	c.SetSeeds(options.Seeds)
 	c.registerHandlers()
 	return c
 }
 
-// inboxSize bounds the events that wait for the owner.
-const inboxSize = 1024
+// eventQueueSize is the capacity of the event loop's queue.
+const eventQueueSize = 1024
 
-// drawIncarnation is mostly above those of earlier starts; a router that hears a higher one of its own jumps above it.
-func drawIncarnation(now time.Time) uint64 {
+// newIncarnation returns an incarnation that normally exceeds those of earlier starts. If the clock went back, the
+// router raises it when it receives a higher incarnation of itself.
+func newIncarnation(now time.Time) uint64 {
 	const randomBits = 20
 	return uint64(now.UnixMilli())<<randomBits | rand.Uint64N(1<<randomBits)
 }
 
-// Start begins to look for the other members.
+// Start starts the cluster's goroutines and joins the fleet through the seeds.
 func (c *Cluster) Start() {
-	c.running.Add(3)
-	go c.runOwner()
-	go c.runWatchers()
+	c.goroutines.Add(3)
+	go c.runEventLoop()
+	go c.runDispatcher()
 	go c.join()
 }
 
-// Stop tells the others that this router leaves, and ends. The transport stays open.
+// Stop announces that this router leaves the fleet, waits up to leaveTimeout for the announcement to be relayed, and
+// then stops the cluster's goroutines. It doesn't close the transport.
 func (c *Cluster) Stop() {
-	left := make(chan struct{})
-	c.post(leaveEvent{done: left})
+	leaveSent := make(chan struct{})
+	c.post(leaveEvent{done: leaveSent})
 	select {
-	case <-left:
+	case <-leaveSent:
 	case <-time.After(leaveTimeout):
 	}
 	c.cancel()
-	c.running.Wait()
+	c.goroutines.Wait()
 }
 
-// leaveTimeout bounds how long Stop waits for the leave message to go out.
+// leaveTimeout is how long Stop waits for the leave message to be relayed.
 const leaveTimeout = 400 * time.Millisecond
 
-// Publish merges the record and spreads it to all members. A zero version is replaced by one above all that are known of the key.
-// The payload must not be changed afterwards.
+// Publish merges the record and sends it to all members. A zero version is replaced by one above every known version of
+// the key. The caller must not modify the payload afterwards.
 func (c *Cluster) Publish(record softstate.Record) {
-	record, merged := c.mergeOwn(record)
+	record, merged := c.mergeLocal(record)
 	if merged {
 		c.post(publishEvent{record: record})
 	}
 }
 
-// Watch registers a function that is called for each newer record of the kind that is merged, own publications included, in order
-// and on one goroutine. It must be called before Start.
-func (c *Cluster) Watch(kind softstate.Kind, f func(softstate.Record)) { c.watchers.watch(kind, f) }
+// Watch registers a callback for each record of the kind that supersedes the one in the table, including those that
+// this router publishes. Callbacks run in merge order on a single goroutine. Watch must be called before Start.
+func (c *Cluster) Watch(kind softstate.Kind, callback func(softstate.Record)) {
+	c.dispatcher.watch(kind, callback)
+}
 
-// OnView registers a function that is called with each new view, on the goroutine of the watchers. It must be called before Start.
-func (c *Cluster) OnView(f func(*membership.View)) { c.watchers.onView(f) }
+// OnView registers a callback for new views; it runs on the goroutine of the Watch callbacks, and views that a newer
+// one supersedes first are skipped. OnView must be called before Start.
+func (c *Cluster) OnView(callback func(*membership.View)) { c.dispatcher.onView(callback) }
 
-// Records returns the records of a kind that are not removed, by key.
+// Records returns the records of a kind, without the removed ones, ordered by key.
 func (c *Cluster) Records(kind softstate.Kind) []softstate.Record {
 	c.tableMu.RLock()
 	defer c.tableMu.RUnlock()
 	return c.table.Records(kind)
 }
 
-// Get returns the record of a key; a removed one is returned too.
+// Get returns the record of a key, even if it is marked as removed.
 func (c *Cluster) Get(kind softstate.Kind, key string) (softstate.Record, bool) {
 	c.tableMu.RLock()
 	defer c.tableMu.RUnlock()
 	return c.table.Get(kind, key)
 }
 
-// View is the current snapshot of the members.
+// View returns the current snapshot of the members.
 func (c *Cluster) View() *membership.View { return c.view.Load() }
 
-// UpdateSelf changes what this router says of itself. The function runs on the owner's goroutine.
+// UpdateSelf changes the local member and publishes it. The change is applied asynchronously on the event loop.
 func (c *Cluster) UpdateSelf(change func(*membership.Member)) { c.post(updateEvent{change: change}) }
 
-// Synchronized is closed once the whole state of a peer has been taken over, or when no seed has answered at the fleet's first
-// start.
+// Synchronized returns a channel that is closed once a peer's whole table has been merged, or, at the fleet's first
+// start, when no seed has answered. It is closed as well when the cluster stops first.
 func (c *Cluster) Synchronized() <-chan struct{} { return c.synchronized }
 
 // SetSeeds replaces the seed addresses.
--- a/internal/router/cluster/confirm.go
+++ b/internal/router/cluster/confirm.go
@@ -9,26 +9,28 @@
 	"pewterrudder/internal/router/softstate"
 )
 
-// confirmDelay leaves the relay tree the time to bring a record to the replicas, so that these need not spread it once more.
+// confirmDelay gives the relay tree time to deliver a record to the replicas first. A replica that received it through
+// Confirm instead would relay it to the fleet a second time.
 const confirmDelay = 40 * time.Millisecond
 
-// ErrNotConfirmed is the error of a record of which too few replicas have said in time that they hold it.
-var ErrNotConfirmed = errors.New("cluster: too few replicas hold the record")
+// ErrNotConfirmed is returned by Confirm if too few replicas acknowledged the record in time.
+var ErrNotConfirmed = errors.New("cluster: too few replicas acknowledged the record")
 
-// Confirm returns nil once enough replicas have said that they hold the present record of a key, or a newer one. Replicas are transport
-// addresses; this router's own may be among them. The function isEnough judges those that have confirmed so far.
-func (c *Cluster) Confirm(ctx context.Context, id softstate.ID, replicas []string, isEnough func(holds func(string) bool) bool) error {
+// Confirm returns nil once enough replicas have acknowledged that they hold the current record of a key or a newer one.
+// Replicas are transport addresses and may include this router's own. isQuorum decides whether the replicas that have
+// acknowledged so far suffice.
+func (c *Cluster) Confirm(ctx context.Context, id softstate.ID, replicas []string, isQuorum func(hasConfirmed func(string) bool) bool) error {
 	record, known := c.Get(id.Kind, id.Key)
 	if !known {
-		return errors.Wrapf(ErrNotConfirmed, "no record of %q", id.Key)
+		return errors.Wrapf(ErrNotConfirmed, "no record with key %q", id.Key)
 	}
 	own := c.View().Self().Address
 	confirmed := map[string]bool{own: true}
-	holds := func(address string) bool { return confirmed[address] }
-	if isEnough(holds) {
+	hasConfirmed := func(address string) bool { return confirmed[address] }
+	if isQuorum(hasConfirmed) {
 		return nil
 	}
-	if !wait(ctx, confirmDelay) {
+	if !sleep(ctx, confirmDelay) {
 		return ErrNotConfirmed
 	}
 	ctx, cancel := context.WithCancel(ctx)
@@ -37,7 +39,7 @@
 	body := encode(&pushMessage{Records: []softstate.Record{record}})
 	for _, address := range replicas {
 		if address != own {
-			go c.askConfirmation(ctx, address, body, answers)
+			go c.requestConfirmation(ctx, address, body, answers)
 		}
 	}
 	for {
@@ -47,14 +49,15 @@
 		case <-ctx.Done():
 			return ErrNotConfirmed
 		}
-		if isEnough(holds) {
+		if isQuorum(hasConfirmed) {
 			return nil
 		}
 	}
 }
 
-// askConfirmation brings a record to a replica and reports once it holds it.
-func (c *Cluster) askConfirmation(ctx context.Context, address string, body []byte, answers chan<- string) {
+// requestConfirmation sends a record to a replica and reports the replica's address once it has acknowledged the
+// record.
+func (c *Cluster) requestConfirmation(ctx context.Context, address string, body []byte, answers chan<- string) {
 	if _, err := c.messenger.Call(ctx, address, kindConfirm, body); err != nil {
 		return
 	}
@@ -64,18 +67,18 @@
 	}
 }
 
-// handleConfirm answers once the records are merged.
+// handleConfirm replies once the records are merged.
 func (c *Cluster) handleConfirm(_ context.Context, body []byte) ([]byte, error) {
 	var message pushMessage
 	if err := decode(body, &message); err != nil {
 		return nil, err
 	}
-	c.learn(message.Records)
+	c.mergeAndWait(message.Records)
 	return nil, errors.WithStack(c.ctx.Err())
 }
 
-// wait pauses and tells whether the context still stands.
-func wait(ctx context.Context, pause time.Duration) bool {
+// sleep pauses and reports whether the pause ended before the context.
+func sleep(ctx context.Context, pause time.Duration) bool {
 	timer := time.NewTimer(pause)
 	defer timer.Stop()
 	select {
--- a/internal/router/cluster/dispatcher.go
+++ b/internal/router/cluster/dispatcher.go
@@ -7,11 +7,11 @@
 	"pewterrudder/internal/router/softstate"
 )
 
-// dispatcher hands records and views to the functions that watch them, without holding up those who merge.
+// dispatcher queues records and views for the registered callbacks, so that a merge never waits for a callback.
 type dispatcher struct {
 	watchers     map[softstate.Kind][]func(softstate.Record)
 	viewWatchers []func(*membership.View)
-	wake         chan struct{}
+	ready        chan struct{}
 
 	mu      sync.Mutex
 	records []softstate.Record
@@ -19,16 +19,18 @@
 }
 
 func newDispatcher() *dispatcher {
-	return &dispatcher{watchers: make(map[softstate.Kind][]func(softstate.Record)), wake: make(chan struct{}, 1)}
+	return &dispatcher{watchers: make(map[softstate.Kind][]func(softstate.Record)), ready: make(chan struct{}, 1)}
 }
 
-func (d *dispatcher) watch(kind softstate.Kind, f func(softstate.Record)) {
-	d.watchers[kind] = append(d.watchers[kind], f)
+func (d *dispatcher) watch(kind softstate.Kind, callback func(softstate.Record)) {
+	d.watchers[kind] = append(d.watchers[kind], callback)
 }
 
-func (d *dispatcher) onView(f func(*membership.View)) { d.viewWatchers = append(d.viewWatchers, f) }
+func (d *dispatcher) onView(callback func(*membership.View)) {
+	d.viewWatchers = append(d.viewWatchers, callback)
+}
 
-// addRecord queues a record if somebody watches its kind.
+// addRecord queues a record if a callback is registered for its kind.
 func (d *dispatcher) addRecord(record softstate.Record) {
 	if len(d.watchers[record.Kind]) == 0 {
 		return
@@ -39,7 +41,7 @@
 	d.signal()
 }
 
-// setView queues a view; it replaces one that still waits.
+// setView queues a view. It replaces one that has not been dispatched yet.
 func (d *dispatcher) setView(view *membership.View) {
 	if len(d.viewWatchers) == 0 {
 		return
@@ -52,36 +54,36 @@
 
 func (d *dispatcher) signal() {
 	select {
-	case d.wake <- struct{}{}:
+	case d.ready <- struct{}{}:
 	default:
 	}
 }
 
-// deliver calls the watchers with all that waits.
-func (d *dispatcher) deliver() {
+// dispatch calls the callbacks with the queued view and records.
+func (d *dispatcher) dispatch() {
 	d.mu.Lock()
 	records, view := d.records, d.view
 	d.records, d.view = nil, nil
 	d.mu.Unlock()
 	if view != nil {
-		for _, f := range d.viewWatchers {
-			f(view)
+		for _, callback := range d.viewWatchers {
+			callback(view)
 		}
 	}
 	for _, record := range records {
-		for _, f := range d.watchers[record.Kind] {
-			f(record)
+		for _, callback := range d.watchers[record.Kind] {
+			callback(record)
 		}
 	}
 }
 
-// runWatchers delivers until the cluster stops.
-func (c *Cluster) runWatchers() {
-	defer c.running.Done()
+// runDispatcher dispatches until the cluster stops.
+func (c *Cluster) runDispatcher() {
+	defer c.goroutines.Done()
 	for {
 		select {
-		case <-c.watchers.wake:
-			c.watchers.deliver()
+		case <-c.dispatcher.ready:
+			c.dispatcher.dispatch()
 		case <-c.ctx.Done():
 			return
 		}
--- a/internal/router/cluster/events.go
+++ b/internal/router/cluster/events.go
@@ -7,98 +7,99 @@
 	"pewterrudder/internal/router/softstate"
 )
 
-// event is something that the owner takes in.
-type event interface{ apply(o *owner) }
+// event is a piece of work for the event loop.
+type event interface{ apply(l *eventLoop) }
 
-// post hands an event to the owner, waiting while its inbox is full.
+// post queues an event. It blocks while the queue is full, and drops the event if the cluster stops.
 func (c *Cluster) post(e event) {
 	select {
-	case c.inbox <- e:
+	case c.events <- e:
 	case <-c.ctx.Done():
 	}
 }
 
-// publishEvent says that this router has published a record, which is in the table already.
+// publishEvent relays a record that this router published and has merged already.
 type publishEvent struct{ record softstate.Record }
 
-func (e publishEvent) apply(o *owner) {
-	o.publish(e.record)
+func (e publishEvent) apply(l *eventLoop) {
+	l.publish(e.record)
 }
 
-// relayEvent brings records from a parent of the relay tree.
+// relayEvent carries records that a parent in the relay tree sent.
 type relayEvent struct {
 	sender string
 	groups []group
 }
 
-func (e relayEvent) apply(o *owner) {
+func (e relayEvent) apply(l *eventLoop) {
 	for _, g := range e.groups {
 		for _, record := range g.Records {
-			o.takeRelayed(route{origin: g.Origin, repair: g.Repair}, record)
+			l.mergeRelayed(relayKey{origin: g.Origin, repair: g.Repair}, record)
 		}
 		for _, summary := range g.Announced {
-			o.takeAnnounced(e.sender, summary)
+			l.handleAnnouncement(e.sender, summary)
 		}
 	}
 }
 
-// learnedEvent brings records from an exchange; done, if not nil, is closed when they are merged.
-type learnedEvent struct {
+// mergeEvent carries records that a peer sent outside the relay tree: in an exchange, a push or a confirmation. If
+// done is not nil, it is closed when the records are merged.
+type mergeEvent struct {
 	records []softstate.Record
 	done    chan struct{}
 }
 
-func (e learnedEvent) apply(o *owner) {
+func (e mergeEvent) apply(l *eventLoop) {
 	for _, record := range e.records {
-		o.takeLearned(record)
+		l.mergeExchanged(record)
 	}
 	if e.done != nil {
 		close(e.done)
 	}
 }
 
-// heartbeatEvent brings a sign of life.
+// heartbeatEvent carries a received heartbeat.
 type heartbeatEvent struct {
 	heartbeat  heartbeat
-	exchanging bool // the sender compares the tables right now
+	fromDigest bool // it came with a digest request: the sender is comparing the tables
 }
 
-func (e heartbeatEvent) apply(o *owner) {
-	doubted := o.detector.Heard(e.heartbeat.Node, e.heartbeat.Incarnation, time.Now())
-	if !e.exchanging {
-		o.compare(e.heartbeat, doubted)
+func (e heartbeatEvent) apply(l *eventLoop) {
+	suspected := l.detector.Heard(e.heartbeat.Node, e.heartbeat.Incarnation, time.Now())
+	if !e.fromDigest {
+		l.checkTableHash(e.heartbeat, suspected)
 	}
 }
 
-// aliveEvent brings a proof that a member answers.
+// aliveEvent reports that a probed member answered.
 type aliveEvent struct {
 	node        string
 	incarnation uint64
 }
 
-func (e aliveEvent) apply(o *owner) { o.detector.Heard(e.node, e.incarnation, time.Now()) }
+func (e aliveEvent) apply(l *eventLoop) { l.detector.Heard(e.node, e.incarnation, time.Now()) }
 
-// exchangeEvent brings the outcome of an exchange.
-type exchangeEvent struct {
+// exchangeDoneEvent reports the outcome of an exchange.
+type exchangeDoneEvent struct {
 	address string
 	err     error
 }
 
-func (e exchangeEvent) apply(o *owner) { o.endExchange(e.address, e.err) }
+func (e exchangeDoneEvent) apply(l *eventLoop) { l.finishExchange(e.address, e.err) }
 
-// updateEvent changes the own member.
+// updateEvent changes the local member.
 type updateEvent struct{ change func(*membership.Member) }
 
-func (e updateEvent) apply(o *owner) { o.publishEntry(o.detector.UpdateSelf(e.change)) }
+func (e updateEvent) apply(l *eventLoop) { l.publishEntry(l.detector.UpdateSelf(e.change)) }
 
-// leaveEvent announces that this router leaves; done is closed when the messages are out.
+// leaveEvent announces that this router leaves. done is closed when all relay calls have returned.
 type leaveEvent struct{ done chan struct{} }
 
-func (e leaveEvent) apply(o *owner) {
-	o.publishEntry(o.detector.Leave())
-	o.flush()
+func (e leaveEvent) apply(l *eventLoop) {
+	l.publishEntry(l.detector.Leave())
+	l.flush()
 	go func() {
-		o.cluster.relays.Wait()
+		l.cluster.pendingRelays.Wait()
 		close(e.done)
 	}()
 }
--- a/internal/router/cluster/exchange.go
+++ b/internal/router/cluster/exchange.go
@@ -8,23 +8,23 @@
 )
 
 const (
-	// exchangeTimeout bounds each call of an exchange, besides the time for the bytes.
+	// exchangeTimeout bounds the calls of an exchange that carry no records, and the direct notification of a member.
 	exchangeTimeout = 450 * time.Millisecond
 	// transferTimeout bounds the calls that carry records.
 	transferTimeout = 4 * time.Second
-	// maxRounds bounds the answers in which one exchange may come.
-	maxRounds = 16
+	// maxPulls bounds the number of pull requests in one exchange.
+	maxPulls = 16
 )
 
-// exchange compares this router's table with a peer's, and each takes what the other holds newer. fresh asks for large records too
-// that the peer has only just got.
+// exchange compares this router's table with a peer's, and each side merges the records of which the other holds a
+// newer version. If fresh is set, the peer also sends large records that it received only recently.
 func (c *Cluster) exchange(address string, fresh bool) error {
-	answer, err := c.askDigest(address)
+	answer, err := c.requestDigest(address)
 	if err != nil || len(answer.Differing) == 0 {
 		return err
 	}
-	for range maxRounds {
-		request := c.differences(answer)
+	for range maxPulls {
+		request := c.differingPullRequest(answer)
 		request.Fresh = fresh
 		more, err := c.pull(address, request)
 		if err != nil || !more {
@@ -34,10 +34,10 @@
 	return nil
 }
 
-// takeWhole takes over the whole table of a peer, as a router does that joins.
-func (c *Cluster) takeWhole(address string) error {
-	for range maxRounds {
-		more, err := c.pull(address, c.wholeRequest())
+// pullTable merges the whole table of a peer. A joining router uses it.
+func (c *Cluster) pullTable(address string) error {
+	for range maxPulls {
+		more, err := c.pull(address, c.fullPullRequest())
 		if err != nil || !more {
 			return err
 		}
@@ -45,7 +45,7 @@
 	return nil
 }
 
-func (c *Cluster) askDigest(address string) (*digestAnswer, error) {
+func (c *Cluster) requestDigest(address string) (*digestAnswer, error) {
 	body := encode(c.digestRequest())
 	ctx, cancel := context.WithTimeout(c.ctx, exchangeTimeout)
 	defer cancel()
@@ -64,7 +64,7 @@
 	return &digestRequest{Sender: sender, Kinds: c.table.Digest()}
 }
 
-// heartbeat is this router's sign of life.
+// heartbeat returns the heartbeat of this router.
 func (c *Cluster) heartbeat() heartbeat {
 	self := c.View().Self()
 	return heartbeat{
@@ -76,20 +76,21 @@
 	}
 }
 
-func (c *Cluster) differences(answer *digestAnswer) *pullRequest {
+func (c *Cluster) differingPullRequest(answer *digestAnswer) *pullRequest {
 	c.tableMu.RLock()
 	defer c.tableMu.RUnlock()
 	buckets := c.table.DifferingBuckets(answer.Differing)
 	return &pullRequest{Buckets: buckets, Summaries: c.table.Summaries(buckets)}
 }
 
-func (c *Cluster) wholeRequest() *pullRequest {
+func (c *Cluster) fullPullRequest() *pullRequest {
 	c.tableMu.RLock()
 	defer c.tableMu.RUnlock()
 	return &pullRequest{All: true, Summaries: c.table.Summaries(c.table.AllBuckets())}
 }
 
-// pull takes what the peer holds newer and sends what it wants. more tells that not everything fitted.
+// pull merges the records that are newer at the peer and sends those that the peer requests. more reports that the
+// answer was cut short by the size limit.
 func (c *Cluster) pull(address string, request *pullRequest) (more bool, err error) {
 	ctx, cancel := context.WithTimeout(c.ctx, transferTimeout)
 	defer cancel()
@@ -101,35 +102,35 @@
 	if err := decode(result, &answer); err != nil {
 		return false, err
 	}
-	c.learn(answer.Records)
+	c.mergeAndWait(answer.Records)
 	return answer.More, c.push(ctx, address, answer.Wanted)
 }
 
-// learn hands records to the owner and waits until they are merged.
-func (c *Cluster) learn(records []softstate.Record) {
+// mergeAndWait passes received records to the event loop and waits until they are merged.
+func (c *Cluster) mergeAndWait(records []softstate.Record) {
 	if len(records) == 0 {
 		return
 	}
 	done := make(chan struct{})
-	c.post(learnedEvent{records: records, done: done})
+	c.post(mergeEvent{records: records, done: done})
 	select {
 	case <-done:
 	case <-c.ctx.Done():
 	}
 }
 
-// push sends the records that a peer wants.
+// push sends the records that a peer requested.
 func (c *Cluster) push(ctx context.Context, address string, wanted []softstate.ID) error {
 	c.tableMu.RLock()
-	records := c.withoutFreshLocked(c.table.Select(wanted))
+	records := c.withoutFreshLargeLocked(c.table.Select(wanted))
 	c.tableMu.RUnlock()
 	for len(records) > 0 {
-		fitting := fit(records)
-		body := encode(&pushMessage{Records: records[:fitting]})
+		count := countFitting(records)
+		body := encode(&pushMessage{Records: records[:count]})
 		if _, err := c.messenger.Call(ctx, address, kindPush, body); err != nil {
 			return err
 		}
-		records = records[fitting:]
+		records = records[count:]
 	}
 	return nil
 }
--- a/internal/router/cluster/fakenet_test.go
+++ b/internal/router/cluster/fake_network_test.go
@@ -11,45 +11,45 @@
 	"pewterrudder/internal/router/transport"
 )
 
-// What the network does to those who wait for a silent peer.
+// Timeouts of a sender whose peer is silent, and the overhead of a message.
 const (
-	dialSilence  = 400 * time.Millisecond
-	stallSilence = 700 * time.Millisecond
-	frameBytes   = 11 + 52 // header of a frame, and of the packets around it
+	dialTimeout        = 400 * time.Millisecond
+	stallTimeout       = 700 * time.Millisecond
+	frameOverheadBytes = 11 + 52 // frame header and packet headers
 )
 
-// fakeNetwork carries messages between endpoints in virtual time.
+// fakeNetwork delivers messages between endpoints in virtual time.
 type fakeNetwork struct {
 	mu        sync.Mutex
 	endpoints map[string]*endpoint
-	cuts      map[link]bool // directions in which nothing passes
-	loss      float64       // share of messages whose connection breaks
+	blocked   map[link]bool // directions in which no message passes
+	loss      float64       // probability that a message's connection breaks
 	delay     func(from, to *endpoint) time.Duration
-	drawn     *rand.Rand
+	rng       *rand.Rand
 }
 
 type link struct{ from, to string }
 
 // endpoint is one router's Messenger.
 type endpoint struct {
-	network  *fakeNetwork
-	address  string
-	zone     string
-	handlers map[transport.Kind]transport.Handler
-	down     bool // the process is dead: its port resets
-	dark     bool // the machine has no power: it says nothing
-	thaw     time.Time
-	messages int
-	bytes    int
-	outside  int // bytes sent into other zones
+	network        *fakeNetwork
+	address        string
+	zone           string
+	handlers       map[transport.Kind]transport.Handler
+	down           bool // the process has ended: its port refuses connections
+	poweredOff     bool // the machine has no power: connections time out
+	frozenUntil    time.Time
+	messages       int
+	bytes          int
+	crossZoneBytes int // bytes sent to other zones
 }
 
 func newFakeNetwork(seed uint64) *fakeNetwork {
 	return &fakeNetwork{
 		endpoints: make(map[string]*endpoint),
-		cuts:      make(map[link]bool),
+		blocked:   make(map[link]bool),
 		delay:     zoneDelay,
-		drawn:     rand.New(rand.NewPCG(seed, 1)),
+		rng:       rand.New(rand.NewPCG(seed, 1)),
 	}
 }
 
@@ -60,7 +60,7 @@
 	return 8 * time.Millisecond
 }
 
-// endpoint returns a new endpoint at the address, in place of one that was there.
+// endpoint returns a new endpoint at the address. It replaces an earlier one.
 func (n *fakeNetwork) endpoint(address, zone string) *endpoint {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -69,11 +69,11 @@
 	return e
 }
 
-// cut stops or restores what goes from one address to another.
-func (n *fakeNetwork) cut(from, to string, broken bool) {
+// setBlocked blocks or restores the direction from one address to another.
+func (n *fakeNetwork) setBlocked(from, to string, broken bool) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	n.cuts[link{from, to}] = broken
+	n.blocked[link{from, to}] = broken
 }
 
 func (n *fakeNetwork) setLoss(loss float64) {
@@ -82,7 +82,7 @@
 	n.loss = loss
 }
 
-func (e *endpoint) set(change func(e *endpoint)) {
+func (e *endpoint) update(change func(e *endpoint)) {
 	e.network.mu.Lock()
 	defer e.network.mu.Unlock()
 	change(e)
@@ -94,40 +94,41 @@
 	e.handlers[kind] = handler
 }
 
-// route tells how a message fares; it is counted if it is sent.
-func (n *fakeNetwork) route(from *endpoint, address string, size int) (to *endpoint, wait time.Duration, err error) {
+// transmit returns the receiver of a message and its delay, or an error and how long the sender waits for it. It counts
+// the message if it is sent.
+func (n *fakeNetwork) transmit(from *endpoint, address string, size int) (to *endpoint, wait time.Duration, err error) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	to = n.endpoints[address]
-	if from.down || from.dark {
+	if from.down || from.poweredOff {
 		return nil, 0, transport.ErrClosed
 	}
-	if to == nil || to.dark || n.cuts[link{from.address, address}] || n.cuts[link{address, from.address}] && to.down {
-		return nil, dialSilence, transport.ErrUnreachable
+	if to == nil || to.poweredOff || n.blocked[link{from.address, address}] || n.blocked[link{address, from.address}] && to.down {
+		return nil, dialTimeout, transport.ErrUnreachable
 	}
 	wait = n.delay(from, to)
 	if to.down {
 		return nil, 2 * wait, transport.ErrUnreachable
 	}
-	from.count(to, size)
-	if n.loss > 0 && n.drawn.Float64() < n.loss {
+	from.countMessage(to, size)
+	if n.loss > 0 && n.rng.Float64() < n.loss {
 		return nil, 2 * wait, transport.ErrBroken
 	}
 	now := time.Now()
-	wait = max(wait, from.thaw.Sub(now), to.thaw.Sub(now))
+	wait = max(wait, from.frozenUntil.Sub(now), to.frozenUntil.Sub(now))
 	return to, wait, nil
 }
 
-func (e *endpoint) count(to *endpoint, size int) {
+func (e *endpoint) countMessage(to *endpoint, size int) {
 	e.messages++
-	e.bytes += size + frameBytes
+	e.bytes += size + frameOverheadBytes
 	if e.zone != to.zone {
-		e.outside += size + frameBytes
+		e.crossZoneBytes += size + frameOverheadBytes
 	}
 }
 
 func (e *endpoint) Send(address string, kind transport.Kind, body []byte) {
-	to, wait, err := e.network.route(e, address, len(body))
+	to, wait, err := e.network.transmit(e, address, len(body))
 	if err != nil {
 		return
 	}
@@ -139,7 +140,7 @@
 	}()
 }
 
-// sent is the number of messages so far.
+// sent returns the number of messages sent so far.
 func (e *endpoint) sent() int {
 	e.network.mu.Lock()
 	defer e.network.mu.Unlock()
@@ -149,7 +150,7 @@
 func (e *endpoint) alive() bool {
 	e.network.mu.Lock()
 	defer e.network.mu.Unlock()
-	return !e.down && !e.dark
+	return !e.down && !e.poweredOff
 }
 
 type reply struct {
@@ -159,7 +160,7 @@
 
 func (e *endpoint) Call(ctx context.Context, address string, kind transport.Kind, body []byte) ([]byte, error) {
 	replies := make(chan reply, 1)
-	go func() { replies <- e.ask(ctx, address, kind, body) }()
+	go func() { replies <- e.roundTrip(ctx, address, kind, body) }()
 	select {
 	case r := <-replies:
 		return r.body, r.err
@@ -168,24 +169,24 @@
 	}
 }
 
-// ask takes the request there and the answer back.
-func (e *endpoint) ask(ctx context.Context, address string, kind transport.Kind, body []byte) reply {
-	to, wait, err := e.network.route(e, address, len(body))
+// roundTrip delivers the request and the answer.
+func (e *endpoint) roundTrip(ctx context.Context, address string, kind transport.Kind, body []byte) reply {
+	to, wait, err := e.network.transmit(e, address, len(body))
 	time.Sleep(wait)
 	if err != nil {
 		return reply{err: err}
 	}
 	if !to.alive() {
-		time.Sleep(stallSilence)
+		time.Sleep(stallTimeout)
 		return reply{err: transport.ErrStalled}
 	}
 	answer, err := to.handlers[kind](ctx, body)
 	if err != nil {
 		return reply{err: &transport.RemoteError{Message: err.Error()}}
 	}
-	_, wait, err = e.network.route(to, e.address, len(answer))
+	_, wait, err = e.network.transmit(to, e.address, len(answer))
 	if err != nil {
-		time.Sleep(stallSilence)
+		time.Sleep(stallTimeout)
 		return reply{err: transport.ErrStalled}
 	}
 	time.Sleep(wait)
--- a/internal/router/cluster/fleet_test.go
+++ b/internal/router/cluster/fleet_test.go
@@ -18,11 +18,11 @@
 
 const testKind softstate.Kind = 17
 
-// fleet is a number of routers on a fake network.
+// fleet is a set of routers on a fake network.
 type fleet struct {
 	t       testing.TB
 	network *fakeNetwork
-	drawn   *rand.Rand
+	rng     *rand.Rand
 	log     logrus.FieldLogger
 	zones   int
 	seeds   []string
@@ -38,7 +38,7 @@
 	frozenUntil time.Time
 }
 
-// inBubble runs a test in virtual time.
+// inBubble runs a test in a synctest bubble, that is, in virtual time.
 func inBubble(t *testing.T, test func(t *testing.T)) {
 	t.Helper()
 	synctest.Test(t, test)
@@ -47,7 +47,7 @@
 func newFleet(t testing.TB, size, zones int, seed uint64) *fleet {
 	log := logrus.New()
 	log.SetOutput(io.Discard)
-	f := &fleet{t: t, network: newFakeNetwork(seed), drawn: rand.New(rand.NewPCG(seed, 2)), log: log, zones: zones}
+	f := &fleet{t: t, network: newFakeNetwork(seed), rng: rand.New(rand.NewPCG(seed, 2)), log: log, zones: zones}
 	for i := range size {
 		f.add(i)
 	}
@@ -68,7 +68,7 @@
 	return r
 }
 
-// start starts one router, for the first time or again.
+// start starts or restarts a router.
 func (f *fleet) start(r *router, firstStart bool) {
 	r.endpoint = f.network.endpoint(r.member.Address, r.member.Zone)
 	r.cluster = New(Options{
@@ -83,9 +83,9 @@
 	r.cluster.Start()
 }
 
-// startAll starts all routers within 0.3 s in any order.
+// startAll starts all routers within 0.3 s in random order.
 func (f *fleet) startAll() {
-	order := f.drawn.Perm(len(f.routers))
+	order := f.rng.Perm(len(f.routers))
 	for i, k := range order {
 		f.start(f.routers[k], true)
 		if i < len(order)-1 {
@@ -94,44 +94,45 @@
 	}
 }
 
-// startSettled starts all routers and lets them settle.
-func (f *fleet) startSettled() {
+// startAndSettle starts all routers and waits until they agree and are stable.
+func (f *fleet) startAndSettle() {
 	f.startAll()
-	f.within(3*time.Second, "settle", f.agreed)
+	f.eventually(3*time.Second, "settle", f.converged)
 	time.Sleep(2 * time.Second)
 }
 
-// kill ends a router's process; without power, its machine says nothing from then on.
+// kill ends a router's process. If power is false, its machine is off as well, so connections to it time out instead of
+// being refused.
 func (f *fleet) kill(r *router, power bool) {
-	r.endpoint.set(func(e *endpoint) { e.down, e.dark = power, !power })
+	r.endpoint.update(func(e *endpoint) { e.down, e.poweredOff = power, !power })
 	r.running = false
 	r.cluster.cancel()
 }
 
-// freeze holds a router's process up, unless it is frozen already.
+// freeze suspends a router's process, unless it is frozen already.
 func (f *fleet) freeze(r *router, duration time.Duration) {
 	if time.Now().Before(r.frozenUntil) {
 		return
 	}
 	r.frozenUntil = time.Now().Add(duration)
-	r.endpoint.set(func(e *endpoint) { e.thaw = time.Now().Add(duration) })
+	r.endpoint.update(func(e *endpoint) { e.frozenUntil = time.Now().Add(duration) })
 	r.cluster.post(frozenEvent{duration: duration})
 }
 
 type frozenEvent struct{ duration time.Duration }
 
-func (e frozenEvent) apply(*owner) { time.Sleep(e.duration) }
+func (e frozenEvent) apply(*eventLoop) { time.Sleep(e.duration) }
 
-// cut breaks or mends the links between two groups of routers.
-func (f *fleet) cut(a, b []*router, broken bool) {
-	f.cutOneWay(a, b, broken)
-	f.cutOneWay(b, a, broken)
+// setPartition breaks or restores the links between two groups of routers.
+func (f *fleet) setPartition(a, b []*router, broken bool) {
+	f.setOneWayPartition(a, b, broken)
+	f.setOneWayPartition(b, a, broken)
 }
 
-func (f *fleet) cutOneWay(from, to []*router, broken bool) {
+func (f *fleet) setOneWayPartition(from, to []*router, broken bool) {
 	for _, x := range from {
 		for _, y := range to {
-			f.network.cut(x.member.Address, y.member.Address, broken)
+			f.network.setBlocked(x.member.Address, y.member.Address, broken)
 		}
 	}
 }
@@ -144,14 +145,14 @@
 	for _, r := range f.routers {
 		if r.cluster != nil {
 			r.cluster.cancel()
-			r.cluster.running.Wait()
+			r.cluster.goroutines.Wait()
 		}
 	}
-	time.Sleep(20 * time.Second) // messages under way and frozen members end
+	time.Sleep(20 * time.Second) // until messages in flight are delivered and frozen members have resumed
 }
 
-// within fails the test unless the condition holds within the time, and returns how long it took.
-func (f *fleet) within(limit time.Duration, what string, condition func() error) time.Duration {
+// eventually waits until the condition returns nil and returns how long that took. It fails the test after the limit.
+func (f *fleet) eventually(limit time.Duration, what string, condition func() error) time.Duration {
 	f.t.Helper()
 	started := time.Now()
 	err := condition()
@@ -163,8 +164,8 @@
 	return time.Since(started)
 }
 
-// agreed tells whether all running routers know exactly one another, and hold the same records.
-func (f *fleet) agreed() error {
+// converged returns nil if each running router sees exactly the running routers as live, and all hold the same records.
+func (f *fleet) converged() error {
 	running := f.running()
 	for _, r := range running {
 		if live := len(r.cluster.View().Live()); live != len(running) {
@@ -177,8 +178,8 @@
 	return nil
 }
 
-// holds tells whether all the routers hold the value.
-func holds(routers []*router, key, value string) func() error {
+// allHold returns a condition that is met if all the routers hold the value.
+func allHold(routers []*router, key, value string) func() error {
 	return func() error {
 		for _, r := range routers {
 			record, _ := r.cluster.Get(testKind, key)
@@ -194,12 +195,12 @@
 	r.cluster.Publish(softstate.Record{Kind: testKind, Key: key, Payload: []byte(value)})
 }
 
-// nobodyLost tells whether each of the routers sees all the others of them as alive.
-func nobodyLost(routers []*router) error {
+// allAlive returns nil if each of the routers sees all the others of them as alive.
+func allAlive(routers []*router) error {
 	for _, r := range routers {
 		for _, other := range routers {
 			if _, live := r.cluster.View().Get(other.member.Node); !live {
-				return fmt.Errorf("%s holds %s as lost", r.member.Node, other.member.Node)
+				return fmt.Errorf("%s does not see %s as alive", r.member.Node, other.member.Node)
 			}
 		}
 	}
--- a/internal/router/cluster/handlers.go
+++ b/internal/router/cluster/handlers.go
@@ -6,8 +6,8 @@
 	"pewterrudder/internal/router/softstate"
 )
 
-// maxAnswer is the size of the records' payloads beyond which an answer is cut short.
-const maxAnswer = 4 << 20
+// maxAnswerBytes bounds the total payload of the records in one message, unless a single record exceeds it.
+const maxAnswerBytes = 4 << 20
 
 func (c *Cluster) registerHandlers() {
 	c.messenger.HandleInline(kindHeartbeat, c.handleHeartbeat)
@@ -29,7 +29,7 @@
 	return nil, nil
 }
 
-// handleRelay acknowledges the records as soon as they are queued.
+// handleRelay acknowledges the records as soon as they are queued for the event loop.
 func (c *Cluster) handleRelay(_ context.Context, body []byte) ([]byte, error) {
 	var message relayMessage
 	if err := decode(body, &message); err != nil {
@@ -44,7 +44,7 @@
 	if err := decode(body, &request); err != nil {
 		return nil, err
 	}
-	c.post(heartbeatEvent{heartbeat: request.Sender, exchanging: true})
+	c.post(heartbeatEvent{heartbeat: request.Sender, fromDigest: true})
 	c.tableMu.RLock()
 	defer c.tableMu.RUnlock()
 	return encode(&digestAnswer{
@@ -70,18 +70,18 @@
 	}
 	newer, wanted := c.table.Difference(buckets, request.Summaries)
 	if !request.All && !request.Fresh {
-		newer = c.withoutFreshLocked(newer)
+		newer = c.withoutFreshLargeLocked(newer)
 	}
-	fitting := fit(newer)
-	return &pullAnswer{Records: newer[:fitting], Wanted: wanted, More: fitting < len(newer)}
+	count := countFitting(newer)
+	return &pullAnswer{Records: newer[:count], Wanted: wanted, More: count < len(newer)}
 }
 
-// fit counts the first records that fit into one message; one always does.
-func fit(records []softstate.Record) int {
+// countFitting returns how many of the first records fit into one message: at least one, if there are any.
+func countFitting(records []softstate.Record) int {
 	size := 0
 	for i, record := range records {
 		size += len(record.Payload)
-		if i > 0 && size > maxAnswer {
+		if i > 0 && size > maxAnswerBytes {
 			return i
 		}
 	}
@@ -93,7 +93,7 @@
 	if err := decode(body, &message); err != nil {
 		return nil, err
 	}
-	c.post(learnedEvent{records: message.Records})
+	c.post(mergeEvent{records: message.Records})
 	return nil, nil
 }
 
@@ -101,7 +101,7 @@
 	return encode(&pingAnswer{Incarnation: c.View().Self().Incarnation}), nil
 }
 
-// handlePingOther tries another member on behalf of its monitor.
+// handlePingOther pings another member on behalf of one of its monitors.
 func (c *Cluster) handlePingOther(ctx context.Context, body []byte) ([]byte, error) {
 	var request pingOther
 	if err := decode(body, &request); err != nil {
--- /dev/null
+++ b/internal/router/cluster/idle_sizes_test.go
@@ -0,0 +1,6 @@
+//go:build !race
+
+package cluster
+
+// idleFleetSizes are the fleet sizes of TestIdleTraffic.
+var idleFleetSizes = []int{9, 92, 410}
--- a/internal/router/cluster/rest_test.go
+++ b/internal/router/cluster/idle_traffic_test.go
@@ -8,25 +8,26 @@
 	"gotest.tools/v3/assert"
 )
 
-// TestTrafficAtRest checks that what a router sends while nothing happens doesn't grow with the fleet.
-func TestTrafficAtRest(t *testing.T) {
+// TestIdleTraffic checks that the traffic that each router sends in an idle fleet doesn't grow with the size of the
+// fleet.
+func TestIdleTraffic(t *testing.T) {
 	const (
 		records            = 100
 		span               = 4 * time.Second
 		messagesPerSecond  = 16.0
 		kilobytesPerSecond = 2.5
 	)
-	for _, size := range restSizes {
+	for _, size := range idleFleetSizes {
 		t.Run(fmt.Sprint(size), func(t *testing.T) {
 			inBubble(t, func(t *testing.T) {
 				f := newFleet(t, size, 4, 3)
 				f.startAll()
-				t.Logf("all agree after %v", f.within(time.Second, "start", f.agreed))
+				t.Logf("all agree after %v", f.eventually(time.Second, "start", f.converged))
 				for i := range records {
 					f.routers[1].publish(fmt.Sprintf("record-%04d", i), "value")
 				}
-				time.Sleep(troubleLasts + time.Second)
-				assert.NilError(t, f.agreed())
+				time.Sleep(unstableDuration + time.Second)
+				assert.NilError(t, f.converged())
 				f.resetCounts()
 				time.Sleep(span)
 				messages, bytes, outside := f.counts()
@@ -40,13 +41,13 @@
 	}
 }
 
-// TestRecordCrossesZonesOnce checks what a large record costs between zones, and in all.
+// TestRecordCrossesZonesOnce bounds the bytes that publishing a large record costs between zones and in total.
 func TestRecordCrossesZonesOnce(t *testing.T) {
 	const size = 200_000
 	inBubble(t, func(t *testing.T) {
 		f := newFleet(t, 92, 4, 3)
-		f.startSettled()
-		time.Sleep(troubleLasts)
+		f.startAndSettle()
+		time.Sleep(unstableDuration)
 		const count = 10
 		f.resetCounts()
 		for i := range count {
@@ -61,16 +62,16 @@
 
 func (f *fleet) resetCounts() {
 	for _, r := range f.routers {
-		r.endpoint.set(func(e *endpoint) { e.messages, e.bytes, e.outside = 0, 0, 0 })
+		r.endpoint.update(func(e *endpoint) { e.messages, e.bytes, e.crossZoneBytes = 0, 0, 0 })
 	}
 }
 
 func (f *fleet) counts() (messages, bytes, outside int) {
 	for _, r := range f.routers {
-		r.endpoint.set(func(e *endpoint) {
+		r.endpoint.update(func(e *endpoint) {
 			messages += e.messages
 			bytes += e.bytes
-			outside += e.outside
+			outside += e.crossZoneBytes
 		})
 	}
 	return messages, bytes, outside
--- a/internal/router/cluster/join.go
+++ b/internal/router/cluster/join.go
@@ -7,41 +7,42 @@
 )
 
 const (
-	joinPause        = 60 * time.Millisecond // between rounds through the seeds
-	firstStartWindow = 1500 * time.Millisecond
+	joinRetryInterval = 60 * time.Millisecond // between attempts to reach all seeds
+	firstStartWindow  = 1500 * time.Millisecond
 )
 
-// join takes over the state of a seed, trying them until one answers.
+// join merges the table of the first seed that answers. It retries until one does; at the fleet's first start it gives
+// up after firstStartWindow.
 func (c *Cluster) join() {
-	defer c.running.Done()
+	defer c.goroutines.Done()
 	defer c.markSynchronized()
 	started := time.Now()
 	for c.ctx.Err() == nil {
 		seeds := c.otherSeeds()
-		if len(seeds) == 0 && c.first || c.joinOne(seeds) {
+		if len(seeds) == 0 && c.firstStart || c.joinAnySeed(seeds) {
 			return
 		}
-		if c.first && time.Since(started) >= firstStartWindow {
+		if c.firstStart && time.Since(started) >= firstStartWindow {
 			return
 		}
 		select {
-		case <-time.After(joinPause):
+		case <-time.After(joinRetryInterval):
 		case <-c.ctx.Done():
 		}
 	}
 }
 
-// joinOne tries each seed once.
-func (c *Cluster) joinOne(seeds []string) bool {
+// joinAnySeed tries each seed once, and reports whether one has answered.
+func (c *Cluster) joinAnySeed(seeds []string) bool {
 	for _, seed := range seeds {
-		if err := c.takeWhole(seed); err == nil {
+		if err := c.pullTable(seed); err == nil {
 			return true
 		}
 	}
 	return false
 }
 
-// otherSeeds lists the seeds but the own address, in random order.
+// otherSeeds returns the seeds in random order, without this router's own address.
 func (c *Cluster) otherSeeds() []string {
 	self := c.View().Self().Address
 	list := slices.DeleteFunc(slices.Clone(*c.seeds.Load()), func(seed string) bool { return seed == self })
--- a/internal/router/cluster/loopback_test.go
+++ b/internal/router/cluster/loopback_test.go
@@ -14,7 +14,8 @@
 	"pewterrudder/internal/router/transport"
 )
 
-// TestLoopback runs a fleet over real connections: all find each other, and a record reaches all.
+// TestLoopback runs a fleet over real TCP connections: all members must discover each other, and a record must reach
+// all.
 func TestLoopback(t *testing.T) {
 	const size = 24
 	log := logrus.New()
--- a/internal/router/cluster/merge.go
+++ b/internal/router/cluster/merge.go
@@ -7,7 +7,7 @@
 	"pewterrudder/internal/router/softstate"
 )
 
-// merge takes a record into the table and tells whether it was newer.
+// merge adds a record to the table and reports whether it superseded what the table held.
 func (c *Cluster) merge(record softstate.Record) bool {
 	c.tableMu.Lock()
 	defer c.tableMu.Unlock()
@@ -19,12 +19,12 @@
 	if !c.table.Merge(record, now) {
 		return false
 	}
-	c.watchers.addRecord(record)
+	c.dispatcher.addRecord(record)
 	return true
 }
 
-// mergeOwn merges a record of this router, with a version chosen if it has none.
-func (c *Cluster) mergeOwn(record softstate.Record) (softstate.Record, bool) {
+// mergeLocal merges a record that this router publishes, and assigns a version if it has none.
+func (c *Cluster) mergeLocal(record softstate.Record) (softstate.Record, bool) {
 	c.tableMu.Lock()
 	defer c.tableMu.Unlock()
 	if record.Version.Zero() {
@@ -33,7 +33,8 @@
 	return record, c.mergeLocked(record)
 }
 
-// nextVersionLocked is above all that is known of the key, and mostly above what this router's earlier starts published.
+// nextVersionLocked returns a version above every known version of the key. It normally also exceeds what this router
+// published before its last restart, since its epoch is the incarnation.
 func (c *Cluster) nextVersionLocked(id softstate.ID) softstate.Version {
 	first := softstate.Version{Epoch: c.epoch, Sequence: 1}
 	held, known := c.table.Get(id.Kind, id.Key)
@@ -43,7 +44,7 @@
 	return first
 }
 
-// settleTime is the time in which the relay tree brings a record to all.
+// settleTime is the time that the relay tree needs to deliver a record to all members.
 const settleTime = 80 * time.Millisecond
 
 func (c *Cluster) tableHash() uint64 {
@@ -52,19 +53,19 @@
 	return c.table.Hash()
 }
 
-// settled tells whether the table has not changed lately.
+// settled reports whether the table has not changed for settleTime.
 func (c *Cluster) settled() bool {
 	c.tableMu.RLock()
 	defer c.tableMu.RUnlock()
 	return time.Since(c.table.LastChange()) >= settleTime
 }
 
-// hashRelation is how a hash of another table compares with this one's.
+// hashRelation says how the hash of another router's table compares with the hashes of the local table.
 type hashRelation int
 
 const (
 	hashUnknown hashRelation = iota
-	hashPassed               // this table had it lately
+	hashRecent               // the local table had this hash at one of its latest changes
 	hashEqual
 )
 
@@ -75,18 +76,19 @@
 	case hash == c.table.Hash():
 		return hashEqual
 	case c.table.Passed(hash):
-		return hashPassed
+		return hashRecent
 	}
 	return hashUnknown
 }
 
-// withoutFreshLocked drops large records that the relay tree may be bringing to the peer just now.
-func (c *Cluster) withoutFreshLocked(records []softstate.Record) []softstate.Record {
+// withoutFreshLargeLocked drops the large records that were merged so recently that the relay tree may still be
+// delivering them to the peer.
+func (c *Cluster) withoutFreshLargeLocked(records []softstate.Record) []softstate.Record {
 	return slices.DeleteFunc(records, func(record softstate.Record) bool {
 		learned, _ := c.table.Learned(record.ID())
-		return len(record.Payload) > largePayload && time.Since(learned) < largeSettleTime
+		return len(record.Payload) > largePayloadBytes && time.Since(learned) < largeSettleTime
 	})
 }
 
-// largeSettleTime is the settle time of large records.
+// largeSettleTime is the settle time of records above largePayloadBytes.
 const largeSettleTime = 2 * settleTime
--- a/internal/router/cluster/messages.go
+++ b/internal/router/cluster/messages.go
@@ -8,7 +8,7 @@
 	"pewterrudder/internal/router/transport"
 )
 
-// Kinds of messages; those up to LastTransportKind are the cluster's.
+// Message kinds. Those up to LastTransportKind are reserved for this package.
 const (
 	kindHeartbeat transport.Kind = iota + 1
 	kindRelay
@@ -19,23 +19,25 @@
 	kindPingOther
 	kindConfirm
 
-	// LastTransportKind is the last kind of message that is reserved for the cluster.
+	// LastTransportKind is the highest message kind that is reserved for this package.
 	LastTransportKind transport.Kind = 15
 )
 
-// heartbeat is a sign of life, with the hash of the sender's table.
+// heartbeat shows that its sender is alive and carries the hash of the sender's table.
 type heartbeat struct {
 	Node        string
 	Address     string
 	Incarnation uint64
 	TableHash   uint64
-	// Settled says that the table has not changed lately, so that a differing hash is no matter of records under way.
+	// Settled means that the table has not changed recently, so a differing hash is not due to records that are still
+	// being relayed.
 	Settled bool
 }
 
 const heartbeatFields = 5
 
-// EncodeMsgpack implements msgpack.CustomEncoder, by hand because most messages at rest are heartbeats.
+// EncodeMsgpack implements msgpack.CustomEncoder without reflection, since most messages of an idle fleet are
+// heartbeats.
 func (h *heartbeat) EncodeMsgpack(encoder *msgpack.Encoder) error {
 	if err := encoder.EncodeArrayLen(heartbeatFields); err != nil {
 		return err
@@ -62,7 +64,7 @@
 		return err
 	}
 	if length != heartbeatFields {
-		return errors.Errorf("%d fields instead of %d", length, heartbeatFields)
+		return errors.Errorf("heartbeat has %d fields instead of %d", length, heartbeatFields)
 	}
 	if h.Node, err = decoder.DecodeString(); err != nil {
 		return err
@@ -80,25 +82,27 @@
 	return err
 }
 
-// group is what one origin's relay tree carries.
+// group holds the records that are relayed along the tree of one origin.
 type group struct {
 	_msgpack struct{} `msgpack:",as_array"`
 	Origin   string
-	// Repair says that the origin learned the records in an exchange, so that most others may have them. The origin of the records
-	// themselves has its own group, which is relayed whether or not a repair came first.
+	// Repair means that the origin received the records in an exchange, so most other routers may hold them already.
+	// Records that their publisher relays are in a group of their own, which is relayed even where a repair has
+	// delivered them before.
 	Repair  bool
 	Records []softstate.Record
-	// Announced lists large records without their payloads. Who lacks one exchanges tables with the sender.
+	// Announced lists large records without their payloads. A router that lacks one exchanges tables with the sender.
 	Announced []softstate.Summary
 }
 
+// relayMessage carries records from a parent to a child of one or more relay trees.
 type relayMessage struct {
 	_msgpack struct{} `msgpack:",as_array"`
-	Sender   string   // its address
+	Sender   string   // transport address
 	Groups   []group
 }
 
-// digestRequest asks which parts of the tables differ. The sender's heartbeat comes with it.
+// digestRequest asks which buckets of the tables may differ. It includes the sender's heartbeat.
 type digestRequest struct {
 	_msgpack struct{} `msgpack:",as_array"`
 	Sender   heartbeat
@@ -111,11 +115,12 @@
 	Differing   []softstate.KindBuckets
 }
 
-// pullRequest says what the sender holds in some buckets, or in all, and asks for what it lacks.
+// pullRequest lists the versions that the sender holds in some or all buckets, and asks for the records that are newer
+// at the receiver.
 type pullRequest struct {
 	_msgpack  struct{} `msgpack:",as_array"`
 	All       bool
-	Fresh     bool // large records too that the relay tree may be bringing just now
+	Fresh     bool // include large records that the relay tree may still be delivering
 	Buckets   []softstate.BucketID
 	Summaries []softstate.Summary
 }
@@ -124,7 +129,7 @@
 	_msgpack struct{} `msgpack:",as_array"`
 	Records  []softstate.Record
 	Wanted   []softstate.ID
-	More     bool // the records did not fit
+	More     bool // some records didn't fit into this answer
 }
 
 type pushMessage struct {
@@ -132,7 +137,7 @@
 	Records  []softstate.Record
 }
 
-// pingOther asks a member whether it can reach another.
+// pingOther asks a member to ping the member at Address.
 type pingOther struct {
 	_msgpack struct{} `msgpack:",as_array"`
 	Address  string
@@ -143,7 +148,7 @@
 	Incarnation uint64
 }
 
-// encode can't fail for the types above.
+// encode panics on an error, since the message types above always encode.
 func encode(message any) []byte {
 	body, err := msgpack.Marshal(message)
 	if err != nil {
--- a/internal/router/cluster/probe.go
+++ b/internal/router/cluster/probe.go
@@ -12,15 +12,15 @@
 const (
 	pingTimeout      = 300 * time.Millisecond
 	pingOtherTimeout = 400 * time.Millisecond
-	// helpers is the number of members that are asked whether they reach a silent one.
-	helpers = 3
+	// maxHelpers is the number of members that are asked for an indirect ping of a silent one.
+	maxHelpers = 3
 )
 
-// probe looks for a sign of life of a silent member, directly and through others.
+// probe pings a silent member directly and through other members.
 func (c *Cluster) probe(member membership.Member) {
 	go c.ping(member, member.Address, kindPing, nil, pingTimeout)
 	body := encode(&pingOther{Address: member.Address})
-	for _, helper := range c.drawHelpers(member.Node) {
+	for _, helper := range c.pickHelpers(member.Node) {
 		go c.ping(member, helper.Address, kindPingOther, body, pingOtherTimeout)
 	}
 }
@@ -32,23 +32,24 @@
 	if err != nil {
 		return
 	}
-	var pong pingAnswer
-	if decode(result, &pong) == nil {
-		c.post(aliveEvent{node: member.Node, incarnation: pong.Incarnation})
+	var answer pingAnswer
+	if decode(result, &answer) == nil {
+		c.post(aliveEvent{node: member.Node, incarnation: answer.Incarnation})
 	}
 }
 
-// drawHelpers picks live members, those with a replica of the register first: a member that they reach is in touch.
-func (c *Cluster) drawHelpers(silent string) []membership.Member {
+// pickHelpers picks live members at random. Acceptors of the configuration register come first: a member that they can
+// reach still has access to the register.
+func (c *Cluster) pickHelpers(silentNode string) []membership.Member {
 	view := c.View()
 	var list []membership.Member
 	for _, candidates := range [][]membership.Member{acceptors(view), view.Live()} {
 		for _, i := range rand.Perm(len(candidates)) {
 			member := candidates[i]
-			if member.Node == silent || member.Node == view.Self().Node || contains(list, member.Node) {
+			if member.Node == silentNode || member.Node == view.Self().Node || contains(list, member.Node) {
 				continue
 			}
-			if len(list) == helpers {
+			if len(list) == maxHelpers {
 				return list
 			}
 			list = append(list, member)
--- a/internal/router/cluster/relay.go
+++ b/internal/router/cluster/relay.go
@@ -12,141 +12,142 @@
 )
 
 const (
-	// relayTimeout is how long a child may take to acknowledge, besides the time for the bytes.
+	// relayTimeout is how long a child may take to acknowledge, in addition to the transfer time.
 	relayTimeout = 350 * time.Millisecond
-	// heldUpTime is the delay of a timeout that shows that this router itself was held up.
-	heldUpTime = 100 * time.Millisecond
-	// maxTakeovers bounds the children that are taken over in each takeoverWindow.
+	// stallThreshold is how late a timeout must fire to show that this router itself was stalled.
+	stallThreshold = 100 * time.Millisecond
+	// maxTakeovers bounds the number of children whose subtrees are taken over within takeoverWindow.
 	maxTakeovers   = 12
 	takeoverWindow = 500 * time.Millisecond
-	// largePayload is the size from which a record is not sent to those who may hold it already.
-	largePayload = 8 << 10
-	// relayBytesPerMillisecond is the slowest speed that is expected of a connection.
+	// largePayloadBytes is the payload size above which a record is announced, instead of sent, to routers that may
+	// hold it already.
+	largePayloadBytes = 8 << 10
+	// relayBytesPerMillisecond is the lowest expected bandwidth of a connection.
 	relayBytesPerMillisecond = 2000
 )
 
-// route is a relay tree and what it is used for.
-type route struct {
+// relayKey identifies a batch of records: the origin of its relay tree, and whether it repairs records that were lost.
+type relayKey struct {
 	origin string
 	repair bool
 }
 
-// publish queues a record of this router's own for its relay tree.
-func (o *owner) publish(record softstate.Record) {
-	o.relayed[record.ID()] = record.Version
-	o.spread(route{origin: o.detector.Self().Member.Node}, record)
+// publish queues a record that this router publishes for its own relay tree.
+func (l *eventLoop) publish(record softstate.Record) {
+	l.relayed[record.ID()] = record.Version
+	l.enqueue(relayKey{origin: l.detector.Self().Member.Node}, record)
 }
 
-// spread queues a record for this router's children on the route.
-func (o *owner) spread(r route, record softstate.Record) {
-	queued := o.queue(r)
-	queued.Records = append(queued.Records, record)
+// enqueue queues a record for this router's children in the relay tree.
+func (l *eventLoop) enqueue(key relayKey, record softstate.Record) {
+	pending := l.pendingGroup(key)
+	pending.Records = append(pending.Records, record)
 }
 
-// announce queues a large record that the children may hold already, without its payload.
-func (o *owner) announce(r route, record softstate.Record) {
-	queued := o.queue(r)
+// enqueueSummary announces a large record, without its payload, to children that may hold it already.
+func (l *eventLoop) enqueueSummary(key relayKey, record softstate.Record) {
+	pending := l.pendingGroup(key)
 	summary := softstate.Summary{Kind: record.Kind, Key: record.Key, Version: record.Version}
-	queued.Announced = append(queued.Announced, summary)
+	pending.Announced = append(pending.Announced, summary)
 }
 
-// queue returns the group of the route that is sent next.
-func (o *owner) queue(r route) *group {
-	if !o.flushing {
-		o.flushing = true
-		o.flushAt.Reset(max(flushDelay, flushPause-time.Since(o.flushed)))
+// pendingGroup returns the group that is sent with the next flush, and schedules the flush.
+func (l *eventLoop) pendingGroup(key relayKey) *group {
+	if !l.flushScheduled {
+		l.flushScheduled = true
+		l.flushTimer.Reset(max(flushDelay, minFlushInterval-time.Since(l.lastFlush)))
 	}
-	queued := o.outgoing[r]
-	if queued == nil {
-		queued = &group{Origin: r.origin, Repair: r.repair}
-		o.outgoing[r] = queued
+	pending := l.outgoing[key]
+	if pending == nil {
+		pending = &group{Origin: key.origin, Repair: key.repair}
+		l.outgoing[key] = pending
 	}
-	return queued
+	return pending
 }
 
-// takeRelayed merges a record from the relay tree and passes it on once.
-func (o *owner) takeRelayed(r route, record softstate.Record) {
-	newer := o.takeRecord(record)
-	if r.repair {
-		if newer {
-			o.spread(r, record)
+// mergeRelayed merges a record from the relay tree and relays it once.
+func (l *eventLoop) mergeRelayed(key relayKey, record softstate.Record) {
+	merged := l.mergeReceived(record)
+	if key.repair {
+		if merged {
+			l.enqueue(key, record)
 		}
 		return
 	}
-	if newer || o.onlyLearned(record) {
-		o.relayed[record.ID()] = record.Version
-		o.spread(r, record)
+	if merged || l.isUnrelayed(record) {
+		l.relayed[record.ID()] = record.Version
+		l.enqueue(key, record)
 	}
 }
 
-// onlyLearned tells whether the record is the current one and came by an exchange or a repair, so that others below may
-// lack it.
-func (o *owner) onlyLearned(record softstate.Record) bool {
-	if o.relayed[record.ID()].Compare(record.Version) >= 0 {
+// isUnrelayed reports whether the table holds exactly this version, but received it through an exchange or a repair, so
+// that routers further down the tree may lack it.
+func (l *eventLoop) isUnrelayed(record softstate.Record) bool {
+	if l.relayed[record.ID()].Compare(record.Version) >= 0 {
 		return false
 	}
-	held, known := o.cluster.Get(record.Kind, record.Key)
+	held, known := l.cluster.Get(record.Kind, record.Key)
 	return known && held.Version == record.Version
 }
 
-// takeLearned merges a record from an exchange. Others may lack it too: it goes down this router's own tree, and ends there at the
-// first that had it already.
-func (o *owner) takeLearned(record softstate.Record) {
-	if !o.takeRecord(record) {
+// mergeExchanged merges a record from an exchange. Other routers may lack it too, so it is relayed along this router's
+// own tree, where each branch stops at the first router that holds the record already.
+func (l *eventLoop) mergeExchanged(record softstate.Record) {
+	if !l.mergeReceived(record) {
 		return
 	}
-	repair := route{origin: o.detector.Self().Member.Node, repair: true}
-	if len(record.Payload) > largePayload {
-		o.announce(repair, record)
+	repair := relayKey{origin: l.detector.Self().Member.Node, repair: true}
+	if len(record.Payload) > largePayloadBytes {
+		l.enqueueSummary(repair, record)
 		return
 	}
-	o.spread(repair, record)
+	l.enqueue(repair, record)
 }
 
-// takeAnnounced asks the sender for a large record that this router lacks.
-func (o *owner) takeAnnounced(sender string, summary softstate.Summary) {
-	held, known := o.cluster.Get(summary.Kind, summary.Key)
+// handleAnnouncement starts an exchange with the sender if this router lacks the announced record.
+func (l *eventLoop) handleAnnouncement(sender string, summary softstate.Summary) {
+	held, known := l.cluster.Get(summary.Kind, summary.Key)
 	if !known || held.Version.Compare(summary.Version) < 0 {
-		o.startFreshExchange(sender)
+		l.startFreshExchange(sender)
 	}
 }
 
-// takeRecord merges a record that another router sent.
-func (o *owner) takeRecord(record softstate.Record) bool {
-	if !o.cluster.merge(record) {
+// mergeReceived merges a record that another router sent, and reports whether it was newer.
+func (l *eventLoop) mergeReceived(record softstate.Record) bool {
+	if !l.cluster.merge(record) {
 		return false
 	}
 	if record.Kind == MemberKind {
-		o.takeEntry(record)
+		l.applyMemberRecord(record)
 	}
 	return true
 }
 
-// delivery is what one child is sent.
-type delivery struct {
+// childDelivery holds what is sent to one child.
+type childDelivery struct {
 	child  membership.Member
 	groups []group
 }
 
-// flush sends the queued records.
-func (o *owner) flush() {
-	o.flushing = false
-	o.flushed = time.Now()
-	o.cluster.deliver(o.detector.View(), o.detector.Self().Member.Node, o.takeOutgoing())
+// flush sends the queued records to this router's children.
+func (l *eventLoop) flush() {
+	l.flushScheduled = false
+	l.lastFlush = time.Now()
+	l.cluster.relayToChildren(l.detector.View(), l.detector.Self().Member.Node, l.drainOutgoing())
 }
 
-func (o *owner) takeOutgoing() []group {
-	groups := make([]group, 0, len(o.outgoing))
-	for _, queued := range o.outgoing {
-		queued.Records = newestOnly(queued.Records)
-		groups = append(groups, *queued)
+func (l *eventLoop) drainOutgoing() []group {
+	groups := make([]group, 0, len(l.outgoing))
+	for _, pending := range l.outgoing {
+		pending.Records = dropSuperseded(pending.Records)
+		groups = append(groups, *pending)
 	}
-	clear(o.outgoing)
+	clear(l.outgoing)
 	return groups
 }
 
-// newestOnly drops records that a later one of the list supersedes.
-func newestOnly(records []softstate.Record) []softstate.Record {
+// dropSuperseded keeps only the last record of each key.
+func dropSuperseded(records []softstate.Record) []softstate.Record {
 	newest := make(map[softstate.ID]int, len(records))
 	for i, record := range records {
 		newest[record.ID()] = i
@@ -163,22 +164,23 @@
 	return list
 }
 
-// deliver sends the groups to the children that the node has in the trees of their origins.
-func (c *Cluster) deliver(view *membership.View, node string, groups []group) {
-	encoded := make(map[string][]byte) // many children are sent the same
-	for _, d := range deliveries(view, node, groups) {
-		key := d.originsKey()
-		body, done := encoded[key]
-		if !done {
+// relayToChildren sends the groups to the children that the node has in the trees of their origins. The node is this
+// router, or a child that didn't acknowledge.
+func (c *Cluster) relayToChildren(view *membership.View, node string, groups []group) {
+	encoded := make(map[string][]byte) // several children often get the same groups
+	for _, d := range groupByChild(view, node, groups) {
+		key := d.groupsKey()
+		body, found := encoded[key]
+		if !found {
 			body = encode(&relayMessage{Sender: view.Self().Address, Groups: d.groups})
 			encoded[key] = body
 		}
-		c.relays.Add(1)
+		c.pendingRelays.Add(1)
 		go c.relay(view, d, body)
 	}
 }
 
-func (d delivery) originsKey() string {
+func (d childDelivery) groupsKey() string {
 	var key strings.Builder
 	for _, g := range d.groups {
 		key.WriteString(g.Origin)
@@ -188,15 +190,15 @@
 	return key.String()
 }
 
-// deliveries sorts groups by child.
-func deliveries(view *membership.View, node string, groups []group) []*delivery {
-	byChild := make(map[string]*delivery)
-	var list []*delivery
+// groupByChild collects, for each child of the node, the groups that it is sent.
+func groupByChild(view *membership.View, node string, groups []group) []*childDelivery {
+	byChild := make(map[string]*childDelivery)
+	var list []*childDelivery
 	for _, g := range groups {
 		for _, child := range relaytree.Children(view, g.Origin, node) {
 			d := byChild[child.Node]
 			if d == nil {
-				d = &delivery{child: child}
+				d = &childDelivery{child: child}
 				byChild[child.Node] = d
 				list = append(list, d)
 			}
@@ -206,9 +208,9 @@
 	return list
 }
 
-// relay sends to one child and takes over its children if it doesn't acknowledge.
-func (c *Cluster) relay(view *membership.View, d *delivery, body []byte) {
-	defer c.relays.Done()
+// relay sends the encoded groups to one child, and takes over its children if it doesn't acknowledge.
+func (c *Cluster) relay(view *membership.View, d *childDelivery, body []byte) {
+	defer c.pendingRelays.Done()
 	timeout := relayTimeout + time.Duration(len(body)/relayBytesPerMillisecond)*time.Millisecond
 	ctx, cancel := context.WithTimeout(c.ctx, timeout)
 	defer cancel()
@@ -217,17 +219,17 @@
 	if err == nil || c.ctx.Err() != nil {
 		return
 	}
-	heldUp := time.Since(started) > timeout+heldUpTime
-	if !heldUp {
+	stalled := time.Since(started) > timeout+stallThreshold
+	if !stalled {
 		c.takeOver(view, d)
 	}
 }
 
-// takeOver sends to the children of a child that didn't acknowledge. Few are taken over at once: where many are silent, this
-// router's own word may be late, and the exchange of tables makes up for the rest.
-func (c *Cluster) takeOver(view *membership.View, d *delivery) {
-	if c.takeovers.Add(1) <= maxTakeovers {
-		c.deliver(view, d.child.Node, d.groups)
+// takeOver sends directly to the children of a child that didn't acknowledge. The number of takeovers is bounded: if
+// many children are silent, the fault may lie with this router, and anti-entropy delivers the rest.
+func (c *Cluster) takeOver(view *membership.View, d *childDelivery) {
+	if c.recentTakeovers.Add(1) <= maxTakeovers {
+		c.relayToChildren(view, d.child.Node, d.groups)
 	}
-	time.AfterFunc(takeoverWindow, func() { c.takeovers.Add(-1) })
+	time.AfterFunc(takeoverWindow, func() { c.recentTakeovers.Add(-1) })
 }
--- a/internal/router/cluster/schedule.go
+++ b/internal/router/cluster/schedule.go
@@ -8,111 +8,113 @@
 )
 
 const (
-	// calmTicks is the number of ticks between exchanges with random members while nothing is amiss.
-	calmTicks = 4
-	// reconnectTicks is the number of ticks between attempts to reach lost members and seeds.
+	// randomExchangeTicks is the number of ticks between exchanges with random members while the fleet is stable.
+	randomExchangeTicks = 4
+	// reconnectTicks is the number of ticks between attempts to reach failed members and unknown seeds.
 	reconnectTicks = 2
-	// reconnectsAtOnce bounds these attempts.
-	reconnectsAtOnce = 3
-	// silenceOfTrouble is a monitored member's silence after which something is taken to be amiss.
-	silenceOfTrouble = 450 * time.Millisecond
-	// troubleLasts is how long the router stays watchful afterwards.
-	troubleLasts = 5 * time.Second
-	// maxRandomExchanges bounds the exchanges under way beside which one with a random member is started.
+	// maxReconnects bounds the addresses that are tried at each attempt.
+	maxReconnects = 3
+	// unstableSilence is how long a monitored member must be silent for the fleet to count as unstable.
+	unstableSilence = 450 * time.Millisecond
+	// unstableDuration is how long the fleet counts as unstable after the last sign of instability.
+	unstableDuration = 5 * time.Second
+	// maxRandomExchanges is the number of running exchanges at which no exchange with a random member is started.
 	maxRandomExchanges = 2
-	// maxExchanges bounds the exchanges under way.
+	// maxExchanges bounds the exchanges that run at the same time.
 	maxExchanges = 6
 )
 
-// schedule says when to exchange tables with whom.
-type schedule struct {
-	ticks        int
-	running      map[string]bool   // addresses of the exchanges under way
-	hashes       map[string]uint64 // of the tables of the members that sent heartbeats
-	troubleUntil time.Time
-	failed       int
+// exchangeSchedule holds the state that decides when to exchange tables with which member.
+type exchangeSchedule struct {
+	ticks         int
+	inProgress    map[string]bool   // by the peer's address
+	lastHashes    map[string]uint64 // table hash of each member's previous heartbeat, by node
+	unstableUntil time.Time
+	failedMembers int
 }
 
-func newSchedule() schedule {
-	return schedule{running: make(map[string]bool), hashes: make(map[string]uint64), ticks: rand.IntN(calmTicks)}
+func newExchangeSchedule() exchangeSchedule {
+	return exchangeSchedule{inProgress: make(map[string]bool), lastHashes: make(map[string]uint64), ticks: rand.IntN(randomExchangeTicks)}
 }
 
-// compare looks at the hash in a heartbeat. While records come and go, hashes differ all the time: a record is lost if this table
-// has not come to the hash that the member had one heartbeat ago, or if the tables differ after both have settled. A member that the
-// fleet doubts is told at once.
-func (o *owner) compare(message heartbeat, doubted bool) {
-	before, compared := o.schedule.hashes[message.Node]
-	o.schedule.hashes[message.Node] = message.TableHash
-	now := o.cluster.compareHash(message.TableHash)
-	lost := now == hashUnknown && compared && o.cluster.compareHash(before) == hashUnknown ||
-		now != hashEqual && message.Settled && o.cluster.settled()
-	if lost || doubted || !o.detector.Knows(message.Node) {
-		delete(o.schedule.hashes, message.Node)
-		o.startExchange(message.Address)
+// checkTableHash compares the hash in a heartbeat with the local table. While records change, hashes differ all the
+// time. A record is taken to be lost if the local table has had neither this hash nor that of the member's previous
+// heartbeat, or if the tables differ although both have settled. An exchange also starts with an unknown member, and
+// with a suspected one, which learns of the suspicion that way.
+func (l *eventLoop) checkTableHash(message heartbeat, suspected bool) {
+	previous, known := l.schedule.lastHashes[message.Node]
+	l.schedule.lastHashes[message.Node] = message.TableHash
+	relation := l.cluster.compareHash(message.TableHash)
+	lost := relation == hashUnknown && known && l.cluster.compareHash(previous) == hashUnknown ||
+		relation != hashEqual && message.Settled && l.cluster.settled()
+	if lost || suspected || !l.detector.Knows(message.Node) {
+		delete(l.schedule.lastHashes, message.Node)
+		l.startExchange(message.Address)
 	}
 }
 
-// exchangeSome starts the exchanges that are due: with a random member now and then, more often and also with the register's
-// replicas while something is amiss, and with lost members.
-func (o *owner) exchangeSome(now time.Time) {
-	o.schedule.ticks++
-	o.noteTrouble(now)
-	if o.inTrouble(now) || o.schedule.ticks%calmTicks == 0 {
-		o.exchangeWithRandom(o.detector.View().Live())
+// startScheduledExchanges starts the exchanges that are due: with a random member every randomExchangeTicks, or, while
+// the fleet is unstable, every tick and also with a random acceptor; and with failed members every reconnectTicks.
+func (l *eventLoop) startScheduledExchanges(now time.Time) {
+	l.schedule.ticks++
+	l.updateStability(now)
+	if l.unstable(now) || l.schedule.ticks%randomExchangeTicks == 0 {
+		l.exchangeWithRandom(l.detector.View().Live())
 	}
-	if o.inTrouble(now) && o.schedule.ticks%2 == 0 {
-		o.exchangeWithRandom(acceptors(o.detector.View()))
+	if l.unstable(now) && l.schedule.ticks%2 == 0 {
+		l.exchangeWithRandom(acceptors(l.detector.View()))
 	}
-	if o.schedule.ticks%reconnectTicks == 0 {
-		o.reconnect()
+	if l.schedule.ticks%reconnectTicks == 0 {
+		l.reconnect()
 	}
 }
 
-func (o *owner) noteTrouble(now time.Time) {
-	failed := len(o.detector.View().Failed())
-	if failed != o.schedule.failed || o.detector.SilentMonitored(now, silenceOfTrouble) > 0 {
-		o.schedule.troubleUntil = now.Add(troubleLasts)
+func (l *eventLoop) updateStability(now time.Time) {
+	failed := len(l.detector.View().Failed())
+	if failed != l.schedule.failedMembers || l.detector.SilentMonitored(now, unstableSilence) > 0 {
+		l.schedule.unstableUntil = now.Add(unstableDuration)
 	}
-	o.schedule.failed = failed
+	l.schedule.failedMembers = failed
 }
 
-func (o *owner) inTrouble(now time.Time) bool { return now.Before(o.schedule.troubleUntil) }
+func (l *eventLoop) unstable(now time.Time) bool { return now.Before(l.schedule.unstableUntil) }
 
-func (o *owner) exchangeWithRandom(members []membership.Member) {
-	if len(members) == 0 || len(o.schedule.running) >= maxRandomExchanges {
+func (l *eventLoop) exchangeWithRandom(members []membership.Member) {
+	if len(members) == 0 || len(l.schedule.inProgress) >= maxRandomExchanges {
 		return
 	}
 	member := members[rand.IntN(len(members))]
-	if member.Node != o.detector.Self().Member.Node {
-		o.startExchange(member.Address)
+	if member.Node != l.detector.Self().Member.Node {
+		l.startExchange(member.Address)
 	}
 }
 
-// reconnect tries a few of the lost members and unknown seeds for which this router is responsible.
-func (o *owner) reconnect() {
-	addresses := o.lostAddresses()
+// reconnect tries a few of the failed members and unknown seeds for which this router is responsible.
+func (l *eventLoop) reconnect() {
+	addresses := l.reconnectAddresses()
 	rand.Shuffle(len(addresses), func(i, j int) { addresses[i], addresses[j] = addresses[j], addresses[i] })
-	for _, address := range addresses[:min(len(addresses), reconnectsAtOnce)] {
-		o.startExchange(address)
+	for _, address := range addresses[:min(len(addresses), maxReconnects)] {
+		l.startExchange(address)
 	}
 }
 
-func (o *owner) lostAddresses() []string {
+func (l *eventLoop) reconnectAddresses() []string {
 	var list []string
-	for _, member := range o.detector.Reconnect() {
+	for _, member := range l.detector.Reconnect() {
 		list = append(list, member.Address)
 	}
-	view := o.detector.View()
-	for _, seed := range *o.cluster.seeds.Load() {
-		if o.responsibleForSeed(view, seed) {
+	view := l.detector.View()
+	for _, seed := range *l.cluster.seeds.Load() {
+		if l.responsibleForSeed(view, seed) {
 			list = append(list, seed)
 		}
 	}
 	return list
 }
 
-// responsibleForSeed tells whether this router is one of the two that look for a seed that is no live member.
-func (o *owner) responsibleForSeed(view *membership.View, seed string) bool {
+// responsibleForSeed reports whether the seed is not a live member, and this router is one of the two that try to reach
+// it.
+func (l *eventLoop) responsibleForSeed(view *membership.View, seed string) bool {
 	for _, member := range view.Live() {
 		if member.Address == seed {
 			return false
@@ -129,32 +131,32 @@
 	return false
 }
 
-// startExchange exchanges tables with the router at the address, unless that is under way.
-func (o *owner) startExchange(address string) { o.runExchange(address, false) }
+// startExchange exchanges tables with the router at the address, unless an exchange with it is running.
+func (l *eventLoop) startExchange(address string) { l.runExchange(address, false) }
 
-// startFreshExchange also asks for large records that the peer has only just got.
-func (o *owner) startFreshExchange(address string) { o.runExchange(address, true) }
+// startFreshExchange is startExchange that also asks for large records that the peer received only recently.
+func (l *eventLoop) startFreshExchange(address string) { l.runExchange(address, true) }
 
-func (o *owner) runExchange(address string, fresh bool) {
-	if o.schedule.running[address] || len(o.schedule.running) >= maxExchanges {
+func (l *eventLoop) runExchange(address string, fresh bool) {
+	if l.schedule.inProgress[address] || len(l.schedule.inProgress) >= maxExchanges {
 		return
 	}
-	o.schedule.running[address] = true
+	l.schedule.inProgress[address] = true
 	go func() {
-		err := o.cluster.exchange(address, fresh)
-		o.cluster.post(exchangeEvent{address: address, err: err})
+		err := l.cluster.exchange(address, fresh)
+		l.cluster.post(exchangeDoneEvent{address: address, err: err})
 	}()
 }
 
-func (o *owner) endExchange(address string, err error) {
-	delete(o.schedule.running, address)
-	if err != nil && o.isLive(address) {
-		o.schedule.troubleUntil = time.Now().Add(troubleLasts)
+func (l *eventLoop) finishExchange(address string, err error) {
+	delete(l.schedule.inProgress, address)
+	if err != nil && l.isLive(address) {
+		l.schedule.unstableUntil = time.Now().Add(unstableDuration)
 	}
 }
 
-func (o *owner) isLive(address string) bool {
-	for _, member := range o.detector.View().Live() {
+func (l *eventLoop) isLive(address string) bool {
+	for _, member := range l.detector.View().Live() {
 		if member.Address == address {
 			return true
 		}
