--- a/internal/router/cluster/member_records.go
+++ b/internal/router/cluster/member_records.go
@@ -50,7 +50,7 @@
 	if entry.Status == membership.Alive {
 		return
 	}
-	l.cluster.log.WithField("member", entry.Member.Node).WithField("status", entry.Status.String()).Info("member status published")
+	l.cluster.log.WithField("member", entry.Member.Node).WithField("status", entry.Status.String()).Info("member's status published")
 }
 
 // publishRemoval publishes the removal of a member that failed or left long ago.
