--- a/internal/router/cluster/cluster.go
+++ b/internal/router/cluster/cluster.go
@@ -76,7 +76,7 @@
 // New returns a cluster that registers its message handlers but sends nothing before Start.
 func New(options Options) *Cluster {
 	if options.Self.Incarnation == 0 {
-		options.Self.Incarnation = newIncarnation(time.Now())
+		options.Self.Incarnation = drawIncarnation(time.Now())
 	}
 	if options.Log == nil {
 		options.Log = logrus.StandardLogger()
@@ -103,9 +103,9 @@
 // eventQueueSize is the capacity of the event loop's queue.
 const eventQueueSize = 1024
 
-// newIncarnation returns an incarnation that normally exceeds those of earlier starts. If the clock went back, the
+// drawIncarnation returns an incarnation that normally exceeds those of earlier starts. If the clock went back, the
 // router raises it when it receives a higher incarnation of itself.
-func newIncarnation(now time.Time) uint64 {
+func drawIncarnation(now time.Time) uint64 {
 	const randomBits = 20
 	return uint64(now.UnixMilli())<<randomBits | rand.Uint64N(1<<randomBits)
 }
--- a/internal/router/cluster/confirm_test.go
+++ b/internal/router/cluster/confirm_test.go
@@ -74,8 +74,8 @@
 	}
 }
 
-// TestIsolatedRouterConfirmsNothing checks that a router without links to the others gets no confirmation.
-func TestIsolatedRouterConfirmsNothing(t *testing.T) {
+// TestOneThatIsCutOffConfirmsNothing checks that a router without links to the others gets no confirmation.
+func TestOneThatIsCutOffConfirmsNothing(t *testing.T) {
 	inBubble(t, func(t *testing.T) {
 		f := newFleet(t, 7, 3, 1)
 		f.startAndSettle()
@@ -100,10 +100,10 @@
 	return others
 }
 
-// TestConfirmedRecordReachesConnectedRouters cuts every subset of the links between five routers, three of them
+// TestWhatIsConfirmedReachesAllInTouch cuts every subset of the links between five routers, three of them
 // replicas, one subset after the other. A record that is confirmed meanwhile must soon reach every router that can
 // reach all replicas that are linked to a majority of the replicas.
-func TestConfirmedRecordReachesConnectedRouters(t *testing.T) {
+func TestWhatIsConfirmedReachesAllInTouch(t *testing.T) {
 	const size, replicas = 5, 3
 	confirmed, topologies := 0, 0
 	inBubble(t, func(t *testing.T) {
