--- a/internal/acceptor/acceptor.go
+++ b/internal/acceptor/acceptor.go
@@ -1,10 +1,10 @@
-// Package acceptor owns the clients' side: the listening socket, the clients' connections, reading calls and
-// writing final answers, readiness and the drain before an end. Each call becomes one Arrived event, and its
-// RoundTripper waits for the one Answer. It must never choose a server, repeat a call, or make up an answer
-// to a call that the reducer has taken.
+// Package acceptor implements the client side of the balancer: the listening socket, client connections, parsing of
+// requests, writing of final answers, the readiness check and graceful shutdown. Each call becomes one Arrived event,
+// and its RoundTripper waits for the one Answer. The package never chooses a server, never repeats a call, and never
+// makes up an answer to a call that the reducer has accepted.
 //
-// read.go turns requests into calls, answer.go gives them their answers, clients.go counts connections and has the
-// patience with those that do not read.
+// request.go parses requests into calls, response.go builds their responses, clients.go limits connections and times
+// out clients that do not read, and disconnect.go detects clients that have disconnected.
 package acceptor
 
 import (
@@ -25,175 +25,182 @@
 )
 
 const (
-	// A client that takes longer over its header, its first one included, is no client of ours, nor one that takes
-	// longer over the body behind it. Ours send a request in one piece; the others would hold descriptors and
-	// memory that ours need.
-	headerPatience = 2600 * time.Millisecond // ours may take 2 s; who sends no head is to be told within 3 s
-	bodyPatience   = 2 * time.Second
-	// uploadPatience is what a client may fall behind the slowest pace of an upload: one that sends nothing is told within 3 s.
-	uploadPatience = 2500 * time.Millisecond
-	idlePatience   = 3 * time.Second // a connection without a call; a client whose next one crosses the close asks again
-	writePatience  = 2 * time.Second // for taking what is written at a time of an answer that is held
-	maxHeader      = 8 << 10
+	// headerTimeout and bodyTimeout bound the reading of a request header, the first on a connection included, and of
+	// the body behind it. The platform's clients send a request in one piece; a slower client would hold descriptors
+	// and memory that they need.
+	headerTimeout = 2600 * time.Millisecond // clients may take 2 s; one that sends no header must be closed within 3 s
+	bodyTimeout   = 2 * time.Second
+	// maxUploadLag is how far a client may fall behind the minimum rate of an upload (flow.Slowest). A client that sends
+	// nothing must be answered within 3 s.
+	maxUploadLag   = 2500 * time.Millisecond
+	idleTimeout    = 3 * time.Second // for a connection without a call; a client whose next request crosses the close retries
+	writeTimeout   = 2 * time.Second // for one write of a buffered answer
+	maxHeaderBytes = 8 << 10
 	readyPath      = "/health/ready"
-	// drainFor is how long connections are still accepted after the signal to end. The front goes on sending
-	// new ones for a while and clients use those they have; what comes much later may not be finished before
-	// the kill.
-	drainFor = 720 * time.Millisecond
-	// partedWithin is how long connections may take to end by themselves, and partAgain how often those are told to that have
-	// come since.
-	partedWithin = 50 * time.Millisecond
-	partAgain    = 50 * time.Millisecond
-	// finishMost is how long what was taken may take to end after that: the largest body at the slowest pace, and its answer.
-	// Who cannot wait so long kills the process, which then has taken nothing that it could have answered sooner.
-	finishMost = 15 * time.Minute
+	// drainAcceptPeriod is how long connections are still accepted after the termination signal. The front-end load
+	// balancer keeps sending new ones for a while, and clients use those they have. A call that comes much later may not
+	// finish before the process is killed.
+	drainAcceptPeriod = 720 * time.Millisecond
+	// idleCloseTimeout is how long Drain waits for connections without a call to close, and idleCloseInterval how often
+	// it closes those that have become idle or have been opened since.
+	idleCloseTimeout  = 50 * time.Millisecond
+	idleCloseInterval = 50 * time.Millisecond
+	// shutdownTimeout bounds the completion of accepted calls after drainAcceptPeriod: the largest body at the minimum
+	// rate, and its answer. An operator who cannot wait that long kills the process; no call is accepted meanwhile that
+	// could have been answered sooner.
+	shutdownTimeout = 15 * time.Minute
 )
 
-// Acceptor serves clients.
+// Acceptor accepts client connections, turns their requests into calls and writes the answers.
 type Acceptor struct {
 	now     func() time.Duration
 	post    func(reducer.Event)
 	terms   atomic.Pointer[Terms]
-	tenants *tenants.Table // which others change
+	tenants *tenants.Table // changed by other goroutines
 	server  *http.Server
-	conns   *clients
-
-	ready, draining, away atomic.Bool
-	shared                atomic.Bool // another process serves at the same address
-	lastCall              atomic.Uint64
-	mu                    sync.Mutex
-	waiting               map[uint64]chan reducer.Reply
-	bounds                Bounds
+	conns   *connTracker
+
+	ready, draining, outOfRotation atomic.Bool
+	addressShared                  atomic.Bool // another process listens on the same address
+	lastCallID                     atomic.Uint64
+	mu                             sync.Mutex
+	pending                        map[uint64]chan reducer.Reply
+	bounds                         Bounds
 }
 
-// Terms are what a request may say of itself: classes by name with their places, and the classes' deadlines by place, which
-// no call outlasts.
+// Terms are the call classes that a request may name: Classes maps a class name to its index, and Deadlines gives the
+// longest deadline of a call by class index.
 type Terms struct {
 	Classes   map[string]int
 	Deadlines []time.Duration
 }
 
-// Retune puts other terms in force for the requests that are read from now on.
+// Retune replaces the terms for requests that are parsed from now on.
 func (a *Acceptor) Retune(t Terms) { a.terms.Store(&t) }
 
-// Bounds of the bodies that flow.
+// Bounds limits streamed bodies.
 type Bounds struct {
-	Upload     int64         // the longest body taken from a client; up to flow.Hold it is held whole
-	ClientIdle time.Duration // for a client that takes or sends nothing in the middle of a body
+	Upload     int64         // longest request body in bytes; a body of up to flow.Hold is buffered whole
+	ClientIdle time.Duration // timeout for a client that reads or sends nothing in the middle of a body
 }
 
-// New makes an acceptor that holds at most budget connections, kept of them between calls; no call of a class lasts
-// longer than its deadline.
+// New returns an Acceptor that holds at most budget connections, of which at most kept stay open after their first
+// request. The deadlines cap the calls of each class, by class index. now is the clock of the deadlines, and post
+// passes events to the reducer.
 func New(now func() time.Duration, post func(reducer.Event), classes map[string]int,
 	deadlines []time.Duration, tenants *tenants.Table, budget, kept int, bounds Bounds) *Acceptor {
 	a := &Acceptor{now: now, post: post, tenants: tenants, bounds: bounds,
-		conns: newClients(budget, kept), waiting: map[uint64]chan reducer.Reply{}}
+		conns: newConnTracker(budget, kept), pending: map[uint64]chan reducer.Reply{}}
 	a.Retune(Terms{classes, deadlines})
 	proxy := &httputil.ReverseProxy{
 		Rewrite: func(p *httputil.ProxyRequest) {
-			p.Out.URL.RawQuery = p.In.URL.RawQuery // undo the clean-up: a call passes on as it is
+			p.Out.URL.RawQuery = p.In.URL.RawQuery // undo ReverseProxy's cleaning: a call is forwarded unchanged
 		},
 		Transport: a,
 		ModifyResponse: func(resp *http.Response) error {
-			a.lastOne(resp.Header)
+			a.setCloseHeader(resp.Header)
 			return nil
 		},
-		ErrorHandler: a.broken,
-		BufferPool:   &pool{},
-		ErrorLog:     log.New(io.Discard, "", 0), // a line for each answer that breaks off; the reducer says how many
+		ErrorHandler: a.writeError,
+		BufferPool:   &bufferPool{},
+		ErrorLog:     log.New(io.Discard, "", 0), // it would log each truncated answer; the reducer counts them
 	}
 	a.server = &http.Server{
-		// No mux, which would redirect paths that it writes otherwise.
+		// No ServeMux: it would redirect paths that it does not consider clean.
 		Handler: http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
-			if r.ContentLength != 0 { // also for one that is refused: net/http reads on for a while before it closes
-				http.NewResponseController(w).SetReadDeadline(time.Now().Add(bodyPatience))
+			if r.ContentLength != 0 { // also for a rejected request: net/http reads on for a while before it closes
+				http.NewResponseController(w).SetReadDeadline(time.Now().Add(bodyTimeout))
 			}
-			nc := r.Context().Value(clientKey{}).(*client)
-			twice := nc.heads.taken()
+			conn := r.Context().Value(connKey{}).(*clientConn)
+			doubleFramed := conn.headers.nextIsDoubleFramed()
 			if r.URL.Path == readyPath {
 				a.health(w, r)
 				return
 			}
-			if len(r.TransferEncoding) > 0 { // where its body ends is not known but to net/http: nothing is to be read behind it
+			if len(r.TransferEncoding) > 0 { // only net/http knows where the body ends: nothing behind it may be read as a request
 				w.Header().Set("Connection", "close")
 			}
-			call, err := a.read(w, r, twice)
+			call, err := a.parseRequest(w, r, doubleFramed)
 			if err != nil {
-				a.broken(w, r, err)
+				a.writeError(w, r, err)
 				return
 			}
-			up := call.Message.(*message.Call).Upload
-			if up != nil {
-				defer up.Close() // before net/http looks at the body again
+			upload := call.Message.(*message.Call).Upload
+			if upload != nil {
+				defer upload.Close() // before net/http reads the body again
 			}
-			r.Body = http.NoBody // it is in the call
+			r.Body = http.NoBody // the call holds the body
 			proxy.ServeHTTP(w, r.WithContext(context.WithValue(r.Context(), callKey{}, call)))
-			if up != nil && !up.Whole() && !up.Failed() {
-				nc.lingers.Store(true) // the client still sends, and will look for its answer behind that
+			if upload != nil && !upload.Whole() && !upload.Failed() {
+				conn.lingerOnClose.Store(true) // the client is still sending, and reads its answer afterwards
 			}
 		}),
-		ReadHeaderTimeout: headerPatience, IdleTimeout: idlePatience,
-		MaxHeaderBytes: maxHeader, ConnState: a.conns.changed,
+		ReadHeaderTimeout: headerTimeout, IdleTimeout: idleTimeout,
+		MaxHeaderBytes: maxHeaderBytes, ConnState: a.conns.connStateChanged,
 		ConnContext: func(ctx context.Context, nc net.Conn) context.Context {
-			return context.WithValue(ctx, clientKey{}, nc)
+			return context.WithValue(ctx, connKey{}, nc)
 		},
 		ErrorLog: log.New(log.Writer(), "acceptor: ", 0),
 	}
 	return a
 }
 
-// Serve accepts clients until Drain.
+// Serve accepts clients on l until Drain or a failure of the listener.
 func (a *Acceptor) Serve(l net.Listener) error {
-	if err := a.server.Serve(a.conns.limit(l)); !errors.Is(err, http.ErrServerClosed) {
+	if err := a.server.Serve(a.conns.limitListener(l)); !errors.Is(err, http.ErrServerClosed) {
 		return err
 	}
 	return nil
 }
 
-// Ready lets the front in.
+// Ready makes the readiness check succeed, so that the front-end load balancer sends clients.
 func (a *Acceptor) Ready() { a.ready.Store(true) }
 
-// Drain ends the service: every answer from now on closes its connection, new connections are taken for a while yet, and
-// then all that was taken is finished, however long ago: each call ends by its own deadline, under settings that may have
-// changed since, each body by the pace that is asked of its client, each answer by the patience with both sides. What is
-// still open after finishMost is named in the error.
+// Drain shuts down gracefully: every answer from now on closes its connection, new connections are accepted for
+// drainAcceptPeriod, and then all accepted calls are completed, however long ago they came. Each call ends by its own
+// deadline, under settings that may have changed since, each request body by the minimum rate required of its client,
+// and each answer by the timeouts of both sides. If connections are still open after shutdownTimeout, Drain returns an
+// error.
 func (a *Acceptor) Drain() error {
 	a.draining.Store(true)
-	time.Sleep(drainFor)
-	ctx, cancel := context.WithTimeout(context.Background(), finishMost)
+	time.Sleep(drainAcceptPeriod)
+	ctx, cancel := context.WithTimeout(context.Background(), shutdownTimeout)
 	defer cancel()
-	// Those that carry no call end first by themselves, so that a request that has come on one of them is still taken: net/http
-	// closes what it has not read. What says its first word later than this may not be finished before the kill.
-	a.conns.part(true)
-	a.conns.parted(partedWithin)
+	// Connections without a call are closed before Shutdown, by way of their read deadline, so that a request that has
+	// already come on one of them is still served: Shutdown closes such connections without reading. A connection whose
+	// first bytes come later than this is not served, since its call may not finish before the process is killed.
+	a.conns.closeIdle(true)
+	a.conns.waitClosed(idleCloseTimeout)
 	stop := make(chan struct{})
 	defer close(stop)
-	go a.conns.keepParting(stop)
+	go a.conns.closeIdlePeriodically(stop)
 	return a.server.Shutdown(ctx)
 }
 
-// Turn says whether clients are sent away: each answer then ends its connection, and the front is told no.
-func (a *Acceptor) Turn(away bool) { a.away.Store(away) }
+// Turn takes the acceptor out of rotation, or puts it back: while it is out, each answer closes its connection and the
+// readiness check fails.
+func (a *Acceptor) Turn(outOfRotation bool) { a.outOfRotation.Store(outOfRotation) }
 
-// Part closes the connections that carry no call, those that have not said anything too if silent.
-func (a *Acceptor) Part(silent bool) { a.conns.part(silent) }
+// Part closes the connections without a call: the idle ones and, if includeNew, those without a first request too.
+func (a *Acceptor) Part(includeNew bool) { a.conns.closeIdle(includeNew) }
 
-// Share leaves the clients' part of the descriptors to so many processes at the same address.
+// Share divides the connection budget among that many processes that listen on the same address. 1 restores the whole
+// budget.
 func (a *Acceptor) Share(parts int) {
-	a.shared.Store(parts > 1)
-	a.conns.share(parts)
+	a.addressShared.Store(parts > 1)
+	a.conns.setShare(parts)
 }
 
-// lastOne has a client leave the connection after an answer, while clients are to go.
-func (a *Acceptor) lastOne(h http.Header) {
-	if a.draining.Load() || a.away.Load() {
+// setCloseHeader has the connection closed after an answer, while the acceptor drains or is out of rotation.
+func (a *Acceptor) setCloseHeader(h http.Header) {
+	if a.draining.Load() || a.outOfRotation.Load() {
 		h.Set("Connection", "close")
 	}
 }
 
 func (a *Acceptor) health(w http.ResponseWriter, _ *http.Request) {
-	a.lastOne(w.Header())
-	if !a.ready.Load() || a.draining.Load() && !a.shared.Load() || a.away.Load() { // the other one is ready
+	a.setCloseHeader(w.Header())
+	if !a.ready.Load() || a.draining.Load() && !a.addressShared.Load() || a.outOfRotation.Load() { // while draining, the other process on the address is ready
 		w.WriteHeader(http.StatusServiceUnavailable)
 		return
 	}
--- a/internal/acceptor/acceptor_test.go
+++ b/internal/acceptor/acceptor_test.go
@@ -18,24 +18,26 @@
 )
 
 // front is an acceptor on a loopback socket, with the test in the reducer's place.
-type front struct {
+type testAcceptor struct {
 	*Acceptor
 	t      *testing.T
 	addr   string
 	events chan reducer.Event
 }
 
-func newFront(t *testing.T, budget int) *front { return newFrontTaking(t, budget, 0) }
+func startAcceptor(t *testing.T, budget int) *testAcceptor {
+	return startAcceptorWithUploads(t, budget, 0)
+}
 
-func newFrontTaking(t *testing.T, budget int, upload int64) *front {
-	return newFrontWith(t, budget, upload, func(*Acceptor) {})
+func startAcceptorWithUploads(t *testing.T, budget int, upload int64) *testAcceptor {
+	return startAcceptorWith(t, budget, upload, func(*Acceptor) {})
 }
 
 // newFrontWith has the acceptor changed before it serves.
-func newFrontWith(t *testing.T, budget int, upload int64, change func(*Acceptor)) *front {
-	f := &front{t: t, events: make(chan reducer.Event, 100)}
+func startAcceptorWith(t *testing.T, budget int, upload int64, change func(*Acceptor)) *testAcceptor {
+	f := &testAcceptor{t: t, events: make(chan reducer.Event, 100)}
 	f.Acceptor = New(func() time.Duration { return time.Hour }, func(e reducer.Event) { f.events <- e },
-		map[string]int{"lookup": 0, "booking": 1}, []time.Duration{time.Second, time.Second}, acme(), budget, 6, Bounds{Upload: upload, ClientIdle: 2 * time.Second})
+		map[string]int{"lookup": 0, "booking": 1}, []time.Duration{time.Second, time.Second}, acmeTenants(), budget, 6, Bounds{Upload: upload, ClientIdle: 2 * time.Second})
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
@@ -48,16 +50,16 @@
 }
 
 // acme is a table with one tenant.
-func acme() *tenants.Table {
+func acmeTenants() *tenants.Table {
 	t := new(tenants.Table)
 	t.Put("acme", tenants.Terms{Quota: 12.5, Share: 1}, 0, 0)
 	return t
 }
 
-func sent(c *reducer.Call) *message.Call { return c.Message.(*message.Call) }
+func callMessage(c *reducer.Call) *message.Call { return c.Message.(*message.Call) }
 
 // served is an app node's answer, held whole.
-func served(body string, header ...string) reducer.Reply {
+func servedReply(body string, header ...string) reducer.Reply {
 	m := &message.Answer{Status: 200, Header: http.Header{}, Trailer: new(http.Header), Body: []byte(body)}
 	if len(header) > 0 {
 		m.Header.Set(header[0], header[1])
@@ -65,13 +67,13 @@
 	return reducer.Reply{Kind: reducer.Served, Message: m}
 }
 
-type caller struct {
+type testClient struct {
 	net.Conn
 	*bufio.Reader
 	t *testing.T
 }
 
-func (f *front) dial() *caller {
+func (f *testAcceptor) dial() *testClient {
 	f.t.Helper()
 	nc, err := net.Dial("tcp", f.addr)
 	if err != nil {
@@ -79,15 +81,15 @@
 	}
 	f.t.Cleanup(func() { nc.Close() })
 	nc.SetDeadline(time.Now().Add(20 * time.Second)) // a hang is a failure
-	return &caller{nc, bufio.NewReader(nc), f.t}
+	return &testClient{nc, bufio.NewReader(nc), f.t}
 }
 
-func (c *caller) send(head, body string) *caller {
+func (c *testClient) send(head, body string) *testClient {
 	io.WriteString(c, strings.ReplaceAll(head, "\n", "\r\n")+"\r\n"+body)
 	return c
 }
 
-func (c *caller) answer() (*http.Response, string) {
+func (c *testClient) readResponse() (*http.Response, string) {
 	c.t.Helper()
 	resp, err := http.ReadResponse(c.Reader, nil)
 	if err != nil {
@@ -100,50 +102,50 @@
 	return resp, string(body)
 }
 
-const lookup = "GET /lookup/a%2Fb//c?q=1;2&key=k%20v&x=%zz HTTP/1.1\nHost: origin.svc\nX-Request-Id: 9b1f\n" +
+const lookupRequest = "GET /lookup/a%2Fb//c?q=1;2&key=k%20v&x=%zz HTTP/1.1\nHost: origin.svc\nX-Request-Id: 9b1f\n" +
 	"X-Class: lookup\nX-Tenant: acme\nX-Deadline: 480m\n"
 
 // The proxy would drop what it cannot parse of a query and clean paths; an app node must get what the client sent.
-func TestACallIsPassedOnAsItCame(t *testing.T) {
-	f := newFront(t, 10)
+func TestCallIsForwardedUnchanged(t *testing.T) {
+	f := startAcceptor(t, 10)
 	c := f.dial()
-	c.send(lookup, "")
+	c.send(lookupRequest, "")
 	call := (<-f.events).(reducer.Arrived).Call
-	if sent(call).Request.RequestURI != "/lookup/a%2Fb//c?q=1;2&key=k%20v&x=%zz" || call.Key != "k v" ||
+	if callMessage(call).Request.RequestURI != "/lookup/a%2Fb//c?q=1;2&key=k%20v&x=%zz" || call.Key != "k v" ||
 		call.Deadline != time.Hour+480*time.Millisecond || call.Class != 0 || call.Tenant != 0 || call.Quota != 12.5 {
-		t.Errorf("%+v %s", call, sent(call).Request.RequestURI)
+		t.Errorf("%+v %s", call, callMessage(call).Request.RequestURI)
 	}
-	f.Answer(call.ID, served("price\n", "X-Cache", "hit"))
+	f.Answer(call.ID, servedReply("price\n", "X-Cache", "hit"))
 	f.Answer(call.ID, reducer.Reply{Kind: reducer.Failed}) // the first wins
-	if resp, body := c.answer(); resp.StatusCode != 200 || body != "price\n" || resp.Header.Get("X-Cache") != "hit" {
+	if resp, body := c.readResponse(); resp.StatusCode != 200 || body != "price\n" || resp.Header.Get("X-Cache") != "hit" {
 		t.Errorf("%+v %q", resp, body)
 	}
 	c.send("POST /booking HTTP/1.1\nHost: x\nX-Request-Id: 2\nX-Class: booking\nX-Deadline: 900000u\n"+
 		"Idempotency-Key: 5c\nContent-Length: 4\n", "skip")
 	call = (<-f.events).(reducer.Arrived).Call
-	if string(sent(call).Body) != "skip" || call.Tenant != -1 || call.Quota != 0 || sent(call).Request.Header.Get("Idempotency-Key") != "5c" {
+	if string(callMessage(call).Body) != "skip" || call.Tenant != -1 || call.Quota != 0 || callMessage(call).Request.Header.Get("Idempotency-Key") != "5c" {
 		t.Errorf("%+v", call)
 	}
 	f.Answer(call.ID, reducer.Reply{Kind: reducer.Refused, After: 250 * time.Millisecond})
-	if resp, _ := c.answer(); resp.StatusCode != 503 || resp.Header.Get("Retry-After") != "0.250" {
+	if resp, _ := c.readResponse(); resp.StatusCode != 503 || resp.Header.Get("Retry-After") != "0.250" {
 		t.Errorf("%+v", resp)
 	}
 }
 
 // What is not a call never reaches the reducer, and so no app node.
-func TestWhatIsNoCallIsTurnedAway(t *testing.T) {
-	f := newFront(t, 50)
+func TestInvalidRequestIsRejected(t *testing.T) {
+	f := startAcceptor(t, 50)
 	for _, cut := range []struct{ from, to string }{
 		{"X-Request-Id: 9b1f\n", ""}, {"X-Class: lookup\n", ""}, {"X-Class: lookup", "X-Class: other"},
 		{"X-Deadline: 480m\n", ""}, {"480m", "480"}, {"480m", "NaNm"}, {"480m", "-1m"}, {"480m", "soon"},
 	} {
-		if resp, _ := f.dial().send(strings.Replace(lookup, cut.from, cut.to, 1), "").answer(); resp.StatusCode != 400 {
+		if resp, _ := f.dial().send(strings.Replace(lookupRequest, cut.from, cut.to, 1), "").readResponse(); resp.StatusCode != 400 {
 			t.Errorf("%q for %q: %d", cut.to, cut.from, resp.StatusCode)
 		}
 	}
 	c := f.dial()
-	c.send(strings.Replace(lookup, "GET", "POST", 1)+"Content-Length: 65537\n", strings.Repeat("x", 65537))
-	if resp, _ := c.answer(); resp.StatusCode != 413 {
+	c.send(strings.Replace(lookupRequest, "GET", "POST", 1)+"Content-Length: 65537\n", strings.Repeat("x", 65537))
+	if resp, _ := c.readResponse(); resp.StatusCode != 413 {
 		t.Errorf("%d for a body over the limit", resp.StatusCode)
 	}
 	if len(f.events) != 0 {
@@ -153,17 +155,17 @@
 
 // A body framed both ways may hide a request behind the end that one of the two gives. Neither the call nor what
 // stands behind it may pass on, and the connection ends.
-func TestABodyFramedBothWaysEndsTheConnection(t *testing.T) {
-	f := newFront(t, 10)
+func TestDoubleFramedBodyClosesConnection(t *testing.T) {
+	f := startAcceptor(t, 10)
 	for _, head := range []string{
 		"POST /booking HTTP/1.1\nContent-Length: %d\nTransfer-Encoding: chunked\n",
 		"POST /booking HTTP/1.0\nContent-Length: %d\nTransfer-Encoding: chunked\n",
 		"POST /booking HTTP/1.1\ncontent-length:%d\nX-Between: 1\ntransfer-encoding: chunked\n",
 		"POST /booking HTTP/1.1\nTransfer-Encoding:\n chunked\nContent-Length: %d\n",
 	} {
-		hidden := "0\r\n\r\n" + strings.ReplaceAll(lookup, "\n", "\r\n") + "\r\n"
-		c := f.dial().send(fmt.Sprintf(head, len(hidden))+strings.SplitAfterN(lookup, "\n", 2)[1], hidden)
-		if resp, _ := c.answer(); resp.StatusCode != 400 || !resp.Close {
+		hidden := "0\r\n\r\n" + strings.ReplaceAll(lookupRequest, "\n", "\r\n") + "\r\n"
+		c := f.dial().send(fmt.Sprintf(head, len(hidden))+strings.SplitAfterN(lookupRequest, "\n", 2)[1], hidden)
+		if resp, _ := c.readResponse(); resp.StatusCode != 400 || !resp.Close {
 			t.Errorf("%s: %+v", head, resp)
 		}
 		if _, err := c.ReadByte(); err == nil {
@@ -175,9 +177,9 @@
 	}
 }
 
-func TestAClientThatLeavesIsTold(t *testing.T) {
-	f := newFront(t, 10)
-	c := f.dial().send(strings.Replace(lookup, "GET", "POST", 1)+"Content-Length: 2\n", "ab")
+func TestClientDisconnectIsReported(t *testing.T) {
+	f := startAcceptor(t, 10)
+	c := f.dial().send(strings.Replace(lookupRequest, "GET", "POST", 1)+"Content-Length: 2\n", "ab")
 	call := (<-f.events).(reducer.Arrived).Call
 	c.Close()
 	if gone, ok := (<-f.events).(reducer.ClientGone); !ok || gone.Call != call.ID {
@@ -185,40 +187,40 @@
 	}
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	if len(f.waiting) != 0 {
+	if len(f.pending) != 0 {
 		t.Error("the call is still waited for")
 	}
 }
 
 // Over the budget the longest idle client makes room; one that waits for an answer is left alone.
-func TestTheOldestIdleClientMakesRoom(t *testing.T) {
-	f := newFront(t, 2)
-	one := f.dial().send(lookup, "")
+func TestOldestIdleConnectionIsEvicted(t *testing.T) {
+	f := startAcceptor(t, 2)
+	one := f.dial().send(lookupRequest, "")
 	call := (<-f.events).(reducer.Arrived).Call
 	two := f.dial().send("GET /health/ready HTTP/1.1\nHost: x\n", "")
-	if resp, _ := two.answer(); resp.StatusCode != 503 {
+	if resp, _ := two.readResponse(); resp.StatusCode != 503 {
 		t.Fatalf("ready before it was said: %d", resp.StatusCode)
 	}
 	f.Ready()
 	three := f.dial().send("GET /health/ready HTTP/1.1\nHost: x\n", "")
-	if resp, _ := three.answer(); resp.StatusCode != 200 {
+	if resp, _ := three.readResponse(); resp.StatusCode != 200 {
 		t.Fatalf("%d", resp.StatusCode)
 	}
 	if _, err := two.ReadByte(); err != io.EOF {
 		t.Errorf("the idle client: %v", err)
 	}
-	f.Answer(call.ID, served(""))
-	one.answer()
+	f.Answer(call.ID, servedReply(""))
+	one.readResponse()
 }
 
 // Clients that ask once and keep their connections for good must not use up what the front may open.
-func TestConnectionsKeptWithoutUseEnd(t *testing.T) {
-	f := newFront(t, 100)
+func TestExcessIdleConnectionsAreClosed(t *testing.T) {
+	f := startAcceptor(t, 100)
 	began := time.Now()
-	var all []*caller
+	var all []*testClient
 	for i := range 9 {
 		c := f.dial().send("GET /health/ready HTTP/1.1\nHost: x\n", "")
-		c.answer()
+		c.readResponse()
 		all = append(all, c)
 		for until := time.Now().Add(20 * time.Second); ; time.Sleep(time.Millisecond) { // until the server counts it as idle
 			f.conns.mu.Lock()
@@ -236,30 +238,30 @@
 			t.Errorf("one of the oldest: %v", err)
 		}
 	}
-	if d := time.Since(began); d > idlePatience/2 {
+	if d := time.Since(began); d > idleTimeout/2 {
 		t.Errorf("the oldest ended after %v", d)
 	}
 	for _, c := range all[3:] {
-		c.send("GET /health/ready HTTP/1.1\nHost: x\n", "").answer()
+		c.send("GET /health/ready HTTP/1.1\nHost: x\n", "").readResponse()
 	}
 }
 
 // Connections that say nothing come by hundreds. They must neither fill the budget for those that ask, nor stay.
-func TestSilentClientsKeepNobodyOutAndEnd(t *testing.T) {
-	f := newFront(t, 8)
+func TestSilentConnectionsDoNotExhaustBudget(t *testing.T) {
+	f := startAcceptor(t, 8)
 	f.Ready()
 	usual := f.dial().send("GET /health/ready HTTP/1.1\nHost: x\n", "")
-	usual.answer()
+	usual.readResponse()
 	began := time.Now()
-	var silent []*caller
+	var silent []*testClient
 	for range 40 {
 		silent = append(silent, f.dial())
 	}
 	for range 3 {
-		f.dial().send("GET /health/ready HTTP/1.1\nHost: x\n", "").answer()
-		usual.send("GET /health/ready HTTP/1.1\nHost: x\n", "").answer()
+		f.dial().send("GET /health/ready HTTP/1.1\nHost: x\n", "").readResponse()
+		usual.send("GET /health/ready HTTP/1.1\nHost: x\n", "").readResponse()
 	}
-	if d := time.Since(began); d > headerPatience {
+	if d := time.Since(began); d > headerTimeout {
 		t.Errorf("those that asked waited %v", d)
 	}
 	for _, c := range silent {
@@ -273,18 +275,18 @@
 }
 
 // Whatever a client leaves half done, it is told or closed within 3 s, and a length that is too long at once.
-func TestAHalfDoneRequestEnds(t *testing.T) {
+func TestIncompleteRequestEnds(t *testing.T) {
 	for name, says := range map[string]string{
 		"half a head":  "GET /lookup HTTP/1.1\r\nHost:",
 		"endless head": "GET /lookup HTTP/1.1\r\nHost: x\r\nX-Pad: " + strings.Repeat("p", 1<<20),
-		"half a body":  strings.ReplaceAll("POST"+lookup[3:]+"Content-Length: 1000\n\n", "\n", "\r\n") + "ab",
+		"half a body":  strings.ReplaceAll("POST"+lookupRequest[3:]+"Content-Length: 1000\n\n", "\n", "\r\n") + "ab",
 		"no body":      "GET /health/ready HTTP/1.1\r\nHost: x\r\nContent-Length: 100000\r\n\r\n",
-		"60 MB":        strings.ReplaceAll("POST"+lookup[3:]+"Content-Length: 60000000\n\n", "\n", "\r\n") + "ab",
-		"no length":    strings.ReplaceAll("POST"+lookup[3:]+"Content-Length: -4\n\n", "\n", "\r\n") + "abcd",
+		"60 MB":        strings.ReplaceAll("POST"+lookupRequest[3:]+"Content-Length: 60000000\n\n", "\n", "\r\n") + "ab",
+		"no length":    strings.ReplaceAll("POST"+lookupRequest[3:]+"Content-Length: -4\n\n", "\n", "\r\n") + "abcd",
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			f := newFront(t, 10)
+			f := startAcceptor(t, 10)
 			began, c := time.Now(), f.dial()
 			go io.WriteString(c, says)
 			said, err := io.ReadAll(c.Reader)
@@ -300,27 +302,27 @@
 }
 
 // The patience with a body is over once it is there: left in force it would end the call as if its client had left.
-func TestASlowAnswerToABodyIsWaitedFor(t *testing.T) {
-	f := newFront(t, 10)
-	c := f.dial().send("POST"+lookup[3:]+"Content-Length: 2\n", "ab")
+func TestBodyTimeoutDoesNotApplyToAnswer(t *testing.T) {
+	f := startAcceptor(t, 10)
+	c := f.dial().send("POST"+lookupRequest[3:]+"Content-Length: 2\n", "ab")
 	call := (<-f.events).(reducer.Arrived).Call
 	select {
 	case ev := <-f.events:
 		t.Fatalf("%T", ev)
-	case <-time.After(bodyPatience + 200*time.Millisecond):
+	case <-time.After(bodyTimeout + 200*time.Millisecond):
 	}
-	f.Answer(call.ID, served("late"))
-	if _, body := c.answer(); body != "late" {
+	f.Answer(call.ID, servedReply("late"))
+	if _, body := c.readResponse(); body != "late" {
 		t.Error(body)
 	}
 }
 
 // After the signal to end, what was taken is answered, each answer ends its connection, new connections are
 // taken for a while yet, and then none.
-func TestDrainFinishesWhatWasTaken(t *testing.T) {
-	f := newFront(t, 10)
+func TestDrainFinishesAcceptedCalls(t *testing.T) {
+	f := startAcceptor(t, 10)
 	f.Ready()
-	before := f.dial().send(lookup, "")
+	before := f.dial().send(lookupRequest, "")
 	first := (<-f.events).(reducer.Arrived).Call
 	began, ended := time.Now(), make(chan struct{})
 	go func() {
@@ -332,10 +334,10 @@
 	for !f.draining.Load() {
 		time.Sleep(time.Millisecond)
 	}
-	after := f.dial().send(lookup, "")
+	after := f.dial().send(lookupRequest, "")
 	second := (<-f.events).(reducer.Arrived).Call
-	f.Answer(second.ID, served(""))
-	if resp, _ := after.answer(); !resp.Close {
+	f.Answer(second.ID, servedReply(""))
+	if resp, _ := after.readResponse(); !resp.Close {
 		t.Error("the connection was kept")
 	}
 	for { // until the listener is closed
@@ -349,15 +351,15 @@
 	if d := time.Since(began); d < 700*time.Millisecond {
 		t.Errorf("accepted for %v only", d)
 	}
-	f.Answer(first.ID, served("done"))
-	if _, body := before.answer(); body != "done" {
+	f.Answer(first.ID, servedReply("done"))
+	if _, body := before.readResponse(); body != "done" {
 		t.Error(body)
 	}
 	<-ended
 }
 
 // lendable is a large answer whose beginning is held and whose rest the test gives.
-func lendable(room *flow.Room, length int, held string) (reducer.Reply, *io.PipeWriter) {
+func streamedReply(room *flow.Room, length int, held string) (reducer.Reply, *io.PipeWriter) {
 	lease, err := room.Take(nil, 0)
 	if err != nil {
 		panic(err)
@@ -372,14 +374,14 @@
 }
 
 // What flows reaches the client piece by piece, as it comes, and whole; the memory comes back; the connection is used on.
-func TestAnAnswerFlows(t *testing.T) {
-	f := newFront(t, 10)
+func TestAnswerIsStreamed(t *testing.T) {
+	f := startAcceptor(t, 10)
 	c := f.dial()
 	for _, length := range []int{9, -1} {
-		c.send(lookup, "")
+		c.send(lookupRequest, "")
 		call := (<-f.events).(reducer.Arrived).Call
 		room := flow.NewRoom(1)
-		reply, more := lendable(room, length, "abc")
+		reply, more := streamedReply(room, length, "abc")
 		f.Answer(call.ID, reply)
 		resp, err := http.ReadResponse(c.Reader, nil)
 		if err != nil {
@@ -404,7 +406,7 @@
 		if length < 0 && resp.Trailer.Get("X-Sum") != "5" {
 			t.Errorf("trailer %v", resp.Trailer)
 		}
-		c.send("GET /health/ready HTTP/1.1\nHost: x\n", "").answer() // the same connection
+		c.send("GET /health/ready HTTP/1.1\nHost: x\n", "").readResponse() // the same connection
 		if now, _ := room.Lent(); now != 0 {
 			t.Errorf("%d bytes still lent", now)
 		}
@@ -412,13 +414,13 @@
 }
 
 // A break in the middle must show: a body short of its length, or chunks without their last.
-func TestABrokenFlowShows(t *testing.T) {
+func TestTruncatedStreamIsVisible(t *testing.T) {
 	for _, length := range []int{100, -1} {
-		f := newFront(t, 10)
-		c := f.dial().send(lookup, "")
+		f := startAcceptor(t, 10)
+		c := f.dial().send(lookupRequest, "")
 		call := (<-f.events).(reducer.Arrived).Call
 		room := flow.NewRoom(1)
-		reply, more := lendable(room, length, "abc")
+		reply, more := streamedReply(room, length, "abc")
 		f.Answer(call.ID, reply)
 		io.WriteString(more, "def")
 		more.CloseWithError(io.ErrUnexpectedEOF)
@@ -432,12 +434,12 @@
 		if _, err := c.ReadByte(); err == nil {
 			t.Error("the connection goes on")
 		}
-		f.idle(room)
+		f.waitMemoryReturned(room)
 	}
 }
 
 // idle waits until nothing is lent any more.
-func (f *front) idle(room *flow.Room) {
+func (f *testAcceptor) waitMemoryReturned(room *flow.Room) {
 	f.t.Helper()
 	for until := time.Now().Add(20 * time.Second); ; time.Sleep(time.Millisecond) {
 		if now, _ := room.Lent(); now == 0 {
@@ -450,12 +452,12 @@
 
 // A client that leaves while nothing comes for it is told of, and one that takes nothing ends the flow by itself: when it
 // has been idle for too long, or at the call's deadline. One that takes little, but something, is waited for.
-func TestAFlowWithoutItsClient(t *testing.T) {
-	f := newFront(t, 10)
-	c := f.dial().send(lookup, "")
+func TestStreamEndsWithoutItsClient(t *testing.T) {
+	f := startAcceptor(t, 10)
+	c := f.dial().send(lookupRequest, "")
 	call := (<-f.events).(reducer.Arrived).Call
 	room := flow.NewRoom(1)
-	reply, more := lendable(room, -1, "abc")
+	reply, more := streamedReply(room, -1, "abc")
 	f.Answer(call.ID, reply)
 	c.ReadByte()
 	c.Close()
@@ -463,13 +465,13 @@
 		t.Fatalf("%+v", gone)
 	}
 	more.CloseWithError(net.ErrClosed) // as the delegation does
-	f.idle(room)
+	f.waitMemoryReturned(room)
 
 	f.bounds.ClientIdle = 40 * time.Millisecond
 	c = f.dial()
-	c.send(lookup, "")
+	c.send(lookupRequest, "")
 	call = (<-f.events).(reducer.Arrived).Call
-	reply, more = lendable(room, -1, "abc")
+	reply, more = streamedReply(room, -1, "abc")
 	f.Answer(call.ID, reply)
 	endless := make(chan struct{})
 	go func() {
@@ -487,19 +489,19 @@
 	}
 	more.CloseWithError(net.ErrClosed)
 	<-endless
-	f.idle(room)
+	f.waitMemoryReturned(room)
 }
 
 // An upload goes on to whoever reads it, and a 100 Continue goes to the client when that begins; an answer in its middle
 // ends it and the connection; where uploads are not taken they are refused unread.
-func TestAnUploadFlows(t *testing.T) {
-	f := newFrontTaking(t, 10, 1<<20)
+func TestUploadIsStreamed(t *testing.T) {
+	f := startAcceptorWithUploads(t, 10, 1<<20)
 	f.bounds.ClientIdle = time.Hour // so that nothing here ends by itself
-	head := "POST" + lookup[3:] + "Content-Length: 100000\n"
+	head := "POST" + lookupRequest[3:] + "Content-Length: 100000\n"
 	body := strings.Repeat("0123456789", 10000)
 	c := f.dial().send(head+"Expect: 100-continue\n", "")
 	call := (<-f.events).(reducer.Arrived).Call
-	up := sent(call).Upload
+	up := callMessage(call).Upload
 	if !call.OneShot || up == nil || up.Length != 100000 {
 		t.Fatalf("%+v", call)
 	}
@@ -521,37 +523,37 @@
 	if e := (<-f.events).(reducer.Uploaded); e.Call != call.ID {
 		t.Errorf("%+v", e)
 	}
-	f.Answer(call.ID, served("kept"))
-	if resp, text := c.answer(); text != "kept" || resp.Close {
+	f.Answer(call.ID, servedReply("kept"))
+	if resp, text := c.readResponse(); text != "kept" || resp.Close {
 		t.Errorf("%+v %q", resp, text)
 	}
 	c.send(head, body[:1000])
 	call = (<-f.events).(reducer.Arrived).Call
-	go io.Copy(io.Discard, sent(call).Upload)
-	for !sent(call).Upload.Touched() {
+	go io.Copy(io.Discard, callMessage(call).Upload)
+	for !callMessage(call).Upload.Touched() {
 		time.Sleep(time.Millisecond)
 	}
-	f.Answer(call.ID, served("enough"))
-	if resp, text := c.answer(); text != "enough" || !resp.Close {
+	f.Answer(call.ID, servedReply("enough"))
+	if resp, text := c.readResponse(); text != "enough" || !resp.Close {
 		t.Errorf("%+v %q", resp, text)
 	}
 	io.WriteString(c, body[1000:50000]) // nobody wants it, and it does not cost the client its answer
 	if _, err := c.ReadByte(); err == nil {
 		t.Error("the connection goes on")
 	}
-	if resp, _ := f.dial().send("POST"+lookup[3:]+"Content-Length: 1048577\n", "").answer(); resp.StatusCode != 413 {
+	if resp, _ := f.dial().send("POST"+lookupRequest[3:]+"Content-Length: 1048577\n", "").readResponse(); resp.StatusCode != 413 {
 		t.Errorf("%d for an upload over the limit", resp.StatusCode)
 	}
 }
 
 // A body that takes longer than the server has for a whole call does not cost the client its answer.
-func TestASlowBodyHasItsAnswer(t *testing.T) {
-	f := newFrontWith(t, 10, 1<<20, func(a *Acceptor) { a.server.WriteTimeout = 20 * time.Millisecond })
-	c := f.dial().send("POST"+lookup[3:]+"Content-Length: 100000\n", "")
+func TestSlowBodyIsAnswered(t *testing.T) {
+	f := startAcceptorWith(t, 10, 1<<20, func(a *Acceptor) { a.server.WriteTimeout = 20 * time.Millisecond })
+	c := f.dial().send("POST"+lookupRequest[3:]+"Content-Length: 100000\n", "")
 	call := (<-f.events).(reducer.Arrived).Call
 	read := make(chan error, 1)
 	go func() {
-		_, err := io.Copy(io.Discard, sent(call).Upload)
+		_, err := io.Copy(io.Discard, callMessage(call).Upload)
 		read <- err
 	}()
 	for range 10 {
@@ -562,24 +564,24 @@
 		t.Fatal(err)
 	}
 	<-f.events
-	f.Answer(call.ID, served("kept"))
-	if resp, text := c.answer(); text != "kept" || resp.StatusCode != 200 {
+	f.Answer(call.ID, servedReply("kept"))
+	if resp, text := c.readResponse(); text != "kept" || resp.StatusCode != 200 {
 		t.Errorf("%+v %q", resp, text)
 	}
 }
 
 // A body in chunks, with extensions and a trailer, is taken whole where it is short. It is the connection's last: what stands
 // behind it is never read as a request.
-func TestABodyInChunks(t *testing.T) {
-	f := newFrontTaking(t, 10, 1<<20)
-	head := "POST" + lookup[3:] + "Transfer-Encoding: chunked\n"
-	c := f.dial().send(head, "3;why=not\r\nabc\r\n2\r\nde\r\n0\r\nX-Sum: 5\r\n\r\n"+strings.ReplaceAll(lookup, "\n", "\r\n")+"\r\n")
+func TestChunkedBody(t *testing.T) {
+	f := startAcceptorWithUploads(t, 10, 1<<20)
+	head := "POST" + lookupRequest[3:] + "Transfer-Encoding: chunked\n"
+	c := f.dial().send(head, "3;why=not\r\nabc\r\n2\r\nde\r\n0\r\nX-Sum: 5\r\n\r\n"+strings.ReplaceAll(lookupRequest, "\n", "\r\n")+"\r\n")
 	call := (<-f.events).(reducer.Arrived).Call
-	if m := sent(call); string(m.Body) != "abcde" || m.Upload != nil || call.OneShot {
+	if m := callMessage(call); string(m.Body) != "abcde" || m.Upload != nil || call.OneShot {
 		t.Fatalf("%+v", m)
 	}
-	f.Answer(call.ID, served("kept"))
-	if resp, text := c.answer(); text != "kept" || !resp.Close {
+	f.Answer(call.ID, servedReply("kept"))
+	if resp, text := c.readResponse(); text != "kept" || !resp.Close {
 		t.Errorf("%+v %q", resp, text)
 	}
 	if _, err := c.ReadByte(); err == nil {
@@ -592,7 +594,7 @@
 	c = f.dial().send(head, "")
 	go fmt.Fprintf(c, "%x\r\n%s\r\n0\r\n\r\n", len(long), long)
 	call = (<-f.events).(reducer.Arrived).Call
-	up := sent(call).Upload
+	up := callMessage(call).Upload
 	if !call.OneShot || up == nil || up.Length != -1 {
 		t.Fatalf("%+v", call)
 	}
@@ -602,15 +604,15 @@
 	if e := (<-f.events).(reducer.Uploaded); e.Call != call.ID {
 		t.Errorf("%+v", e)
 	}
-	f.Answer(call.ID, served("kept too"))
-	if resp, text := c.answer(); text != "kept too" || !resp.Close {
+	f.Answer(call.ID, servedReply("kept too"))
+	if resp, text := c.readResponse(); text != "kept too" || !resp.Close {
 		t.Errorf("%+v %q", resp, text)
 	}
 }
 
 // A client that takes a little now and then is no idle one: its patience counts from the last byte that it took, not from
 // the beginning of a piece that is too large for the buffers between.
-func TestAClientThatReadsSlowlyIsWaitedFor(t *testing.T) {
+func TestSlowReaderIsNotTimedOut(t *testing.T) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
@@ -628,11 +630,11 @@
 	}
 	defer nc.Close()
 	nc.(*net.TCPConn).SetWriteBuffer(8 << 10)
-	k := &client{TCPConn: nc.(*net.TCPConn)}
-	k.flow(true, time.Second)
+	conn := &clientConn{TCPConn: nc.(*net.TCPConn)}
+	conn.setStreaming(true, time.Second)
 	wrote := make(chan error, 1)
 	go func() {
-		n, err := k.Write(make([]byte, 400<<10))
+		n, err := conn.Write(make([]byte, 400<<10))
 		if err == nil && n != 400<<10 {
 			err = io.ErrShortWrite
 		}
@@ -654,13 +656,13 @@
 
 // While another version serves, clients' connections between calls go that are over this one's part, and the front is told
 // yes to the end, since the other one is ready.
-func TestTheClientsPartIsShared(t *testing.T) {
-	f := newFront(t, 8)
+func TestClientBudgetIsShared(t *testing.T) {
+	f := startAcceptor(t, 8)
 	f.Ready()
-	var kept []*caller
+	var kept []*testClient
 	for range 6 {
 		c := f.dial().send("GET /health/ready HTTP/1.1\nHost: x\n", "")
-		if resp, _ := c.answer(); resp.StatusCode != 200 {
+		if resp, _ := c.readResponse(); resp.StatusCode != 200 {
 			t.Fatalf("%+v", resp)
 		}
 		kept = append(kept, c)
@@ -672,11 +674,11 @@
 		}
 	}
 	f.draining.Store(true)
-	if resp, _ := kept[5].send("GET /health/ready HTTP/1.1\nHost: x\n", "").answer(); resp.StatusCode != 200 || !resp.Close {
+	if resp, _ := kept[5].send("GET /health/ready HTTP/1.1\nHost: x\n", "").readResponse(); resp.StatusCode != 200 || !resp.Close {
 		t.Errorf("%+v", resp)
 	}
 	f.Share(1)
-	if resp, _ := f.dial().send("GET /health/ready HTTP/1.1\nHost: x\n", "").answer(); resp.StatusCode != 503 {
+	if resp, _ := f.dial().send("GET /health/ready HTTP/1.1\nHost: x\n", "").readResponse(); resp.StatusCode != 503 {
 		t.Errorf("%+v", resp)
 	}
 }
--- a/internal/acceptor/clients.go
+++ b/internal/acceptor/clients.go
@@ -15,105 +15,111 @@
 	"pewterrudder/internal/flow"
 )
 
-// clients counts the clients' connections against the descriptor budget. When it is used up, one without a call
-// makes room: one that has said nothing yet where those hold more than their part, else the one that has been idle
-// for the longest. Connections that say nothing come by hundreds, and must not keep out those that ask.
+// connTracker counts client connections against the descriptor budget. When the budget is used up, it closes one
+// connection without a call: the oldest without a first request, if these hold more than a quarter of the budget or none
+// is idle, else the one that has been idle longest. Silent connections arrive by the hundred and must not keep out clients that send
+// requests.
 //
-// Clients may also keep connections for good that they have used once, and the front opens a limited number: those
-// idle for the longest go where more than kept are open that have been heard of.
+// Clients may also keep connections open indefinitely after one use, while the front-end load balancer opens a limited
+// number. The longest idle connections are therefore closed while more than maxKept are open that have sent a request.
 //
-// Room is made by a read deadline in the past, where a close would cut off a request that comes at that moment: what has
-// come by then is read all the same, as it is where the time of a connection without a call runs out, and once net/http has
-// its header, the connection is active and keeps its place.
-type clients struct {
-	budget, kept int // under mu
-	whole        [2]int
-	mu           sync.Mutex
-	freed        *sync.Cond
-	open         int
-	order        uint64
-	bound        int // of the budget, while the process has fewer descriptors than it was told
-	boundUntil   time.Time
-	leaving      int                // of the open ones, those that were told to end and have not yet
-	silent       map[*client]uint64 // not heard of yet, by order of arrival
-	idle         map[*client]uint64 // between calls, by order of their last answers
+// A connection is closed by a read deadline in the past, because a direct close would lose a request that arrives at
+// that moment. A request that has arrived by then is still read, as it is when the timeout of a connection without a
+// call expires. Once net/http has its header, the connection is active and stays open.
+type connTracker struct {
+	budget, maxKept int // under mu
+	configured      [2]int
+	mu              sync.Mutex
+	slotFreed       *sync.Cond
+	open            int
+	sequence        uint64
+	reducedBudget   int // lower budget in force until reducedUntil, since descriptors ran out below budget; 0: none
+	reducedUntil    time.Time
+	closing         int                    // open connections that have been asked to close
+	newConns        map[*clientConn]uint64 // no first request yet, by order of arrival
+	idle            map[*clientConn]uint64 // between calls, by order of last answer
 }
 
-// client is a client's connection. Its read deadlines are net/http's, but for one that has to make room. Its write deadlines
-// are its own, from write to write: no limit that is known at the start fits all that settings may come to allow.
-type client struct {
+// clientConn is a client's connection. net/http sets its read deadlines, except while it is closing. It sets its own
+// write deadline for each write: no limit known at the start fits every timeout that later settings may allow.
+type clientConn struct {
 	*net.TCPConn
-	heads    heads
-	lingers  atomic.Bool
-	calling  atomic.Bool // a request has been read and is being served
-	mu       sync.Mutex
-	leaving  bool
-	refused  bool // it leaves without having been heard, for want of descriptors, and is to be told so
-	flows    bool
-	patience time.Duration // while the client takes nothing, of this answer; 0: writePatience
-	fed      int64         // bytes written, by the one that writes alone
-	taken    int64         // of these, acknowledged when that was last looked at
-	takenAt  time.Time     // when that had grown last
-	fullFrom time.Time     // since when the kernel may take no more of what stands behind the request; zero: it does
+	headers         headerScanner
+	lingerOnClose   atomic.Bool
+	serving         atomic.Bool // a request has been read and is being served
+	mu              sync.Mutex
+	closing         bool
+	rejectOnClose   bool // to be answered with a 503 if it closes without a request, for lack of descriptors
+	streaming       bool
+	stallTimeout    time.Duration // for a client that reads nothing of the current answer; 0: writeTimeout
+	written         int64         // bytes written; used by the writing goroutine alone
+	acked           int64         // bytes acknowledged by the client at the last check
+	ackedAt         time.Time     // time of the last increase of acked
+	bufferFullSince time.Time     // since when the receive buffer has been full behind the request; zero: it is not
 }
 
 const (
-	// looks is how often the progress of a client is looked at within its patience.
-	looks = 8
-	// unsent bounds what lies in the kernel for a client that reads slowly (TCP_NOTSENT_LOWAT): without it the send buffer
-	// grows to megabytes, which are memory as well, and what the client takes is seen long after. A quarter of it costs a
-	// tenth of the speed of a megabyte over loopback.
-	unsent = 512 << 10
-	// lingerMost bounds what is taken of a body that nobody wants, in bytes: what the largest bodies of the platform have.
-	lingerMost = 40 << 20
-	// shortLeast of the descriptors are given back at the least where the process has no more: for the watch, one beside it, and
-	// app nodes. That lasts for shortFor: who was told of more descriptors than there are may have them again.
-	shortLeast, shortFor = 6, time.Minute
+	// progressChecks is the number of checks of a client's progress within its stallTimeout.
+	progressChecks = 8
+	// maxUnsentBytes bounds the unsent data in the kernel for a client that reads slowly (TCP_NOTSENT_LOWAT). Without it
+	// the send buffer grows to megabytes of memory, and a client's progress shows late. A quarter of this value slows the
+	// transfer of a megabyte over loopback by a tenth.
+	maxUnsentBytes = 512 << 10
+	// maxLingerBytes bounds what Close reads and discards of an unwanted body: the size of the platform's largest bodies.
+	maxLingerBytes = 40 << 20
+	// minReleased is the least number of descriptors that the clients release when the process has run out: for the
+	// registry watch, one other connection and app nodes. The reduced budget lasts for reducedBudgetPeriod, as the missing
+	// descriptors may become available again.
+	minReleased, reducedBudgetPeriod = 6, time.Minute
 )
 
-// flow says that an answer flows from now on, to a client that takes nothing for no longer than the patience, or that
-// none does any more.
-func (c *client) flow(flows bool, patience time.Duration) {
+// setStreaming marks the start or the end of a streamed answer. A write of a streamed answer fails once the client has
+// acknowledged nothing for stallTimeout.
+func (c *clientConn) setStreaming(flows bool, patience time.Duration) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.flows, c.patience = flows, patience
+	c.streaming, c.stallTimeout = flows, patience
 	if flows {
-		c.takenAt = time.Now()
-		c.control(func(fd int) { unix.SetsockoptInt(fd, unix.IPPROTO_TCP, unix.TCP_NOTSENT_LOWAT, unsent) })
+		c.ackedAt = time.Now()
+		c.withDescriptor(func(fd int) { unix.SetsockoptInt(fd, unix.IPPROTO_TCP, unix.TCP_NOTSENT_LOWAT, maxUnsentBytes) })
 	}
 }
 
-func (c *client) control(do func(fd int)) {
+// withDescriptor calls do with the file descriptor of the connection, unless that is closed.
+func (c *clientConn) withDescriptor(do func(fd int)) {
 	if raw, err := c.TCPConn.SyscallConn(); err == nil {
 		raw.Control(func(fd uintptr) { do(int(fd)) })
 	}
 }
 
-func (c *client) Read(p []byte) (int, error) {
-	if len(p) == 1 && c.calling.Load() {
-		return c.awaitEnd()
+// Read reads from the connection for net/http. A read of a single byte during a call is net/http's background read,
+// which waits for the client to disconnect.
+func (c *clientConn) Read(p []byte) (int, error) {
+	if len(p) == 1 && c.serving.Load() {
+		return c.waitForHangUp()
 	}
 	n, err := c.TCPConn.Read(p)
-	if err != nil && !c.calling.Load() && errors.Is(err, os.ErrDeadlineExceeded) {
-		n, err = c.there(p, err) // its time is over, or it has to make room
+	if err != nil && !c.serving.Load() && errors.Is(err, os.ErrDeadlineExceeded) {
+		n, err = c.readPendingHeader(p, err) // its timeout has expired, or it is closing
 		if n == 0 {
-			c.sayRefused()
+			c.sendRejection()
 		}
 	}
 	if n > 0 {
-		c.heads.came(p[:n])
+		c.headers.scan(p[:n])
 		c.mu.Lock()
-		c.fullFrom = time.Time{} // there is room again
+		c.bufferFullSince = time.Time{} // reading has made room in the buffer
 		c.mu.Unlock()
 	}
 	return n, err
 }
 
-// there reads what has come, if a request's head is whole with it, and does not wait for more: half of one is as nothing.
-func (c *client) there(p []byte, late error) (int, error) {
+// readPendingHeader reads what has already arrived, without waiting, if that completes a request header. Otherwise it
+// leaves the bytes unread and returns timeoutErr.
+func (c *clientConn) readPendingHeader(p []byte, timeoutErr error) (int, error) {
 	n := 0
-	c.control(func(fd int) {
-		if n, _, _ = unix.Recvfrom(fd, p, unix.MSG_PEEK|unix.MSG_DONTWAIT); n > 0 && c.heads.completed(p[:n]) {
+	c.withDescriptor(func(fd int) {
+		if n, _, _ = unix.Recvfrom(fd, p, unix.MSG_PEEK|unix.MSG_DONTWAIT); n > 0 && c.headers.completesHeader(p[:n]) {
 			n, _, _ = unix.Recvfrom(fd, p[:n], unix.MSG_DONTWAIT)
 		} else {
 			n = 0
@@ -122,115 +128,118 @@
 	if n > 0 {
 		return n, nil
 	}
-	return 0, late
+	return 0, timeoutErr
 }
 
-// sayRefused tells a client that is refused to go elsewhere: its request may be on the way.
-func (c *client) sayRefused() {
+// sendRejection writes unavailableResponse, once, to a client marked by markRejected: its request may be on the way.
+func (c *clientConn) sendRejection() {
 	c.mu.Lock()
-	refused := c.refused
-	c.refused = false
+	refused := c.rejectOnClose
+	c.rejectOnClose = false
 	c.mu.Unlock()
 	if refused {
-		c.TCPConn.SetWriteDeadline(time.Now().Add(awayWithin))
-		io.WriteString(c.TCPConn, away)
+		c.TCPConn.SetWriteDeadline(time.Now().Add(rejectTimeout))
+		io.WriteString(c.TCPConn, unavailableResponse)
 	}
 }
 
-// cutsOff says that a close would lose what the client has not been sent yet: the kernel answers what nobody has read with a
-// reset, and drops its send buffer.
-func (c *client) cutsOff() bool {
-	unsent, unread := 0, 0
-	c.control(func(fd int) {
-		if unsent, _ = unix.IoctlGetInt(fd, unix.SIOCOUTQ); unsent > 0 {
+// closeWouldReset reports whether a close would lose data that the client has not acknowledged: if there is unread
+// input, the kernel closes the connection with a reset and drops its send buffer.
+func (c *clientConn) closeWouldReset() bool {
+	pending, unread := 0, 0
+	c.withDescriptor(func(fd int) {
+		if pending, _ = unix.IoctlGetInt(fd, unix.SIOCOUTQ); pending > 0 {
 			unread, _, _ = unix.Recvfrom(fd, make([]byte, 1), unix.MSG_PEEK|unix.MSG_DONTWAIT)
 		}
 	})
 	return unread > 0
 }
 
-// Close ends a connection. Where the client still sends a body that nobody wants any more, that is taken until the client has
-// seen its answer and closes, or falls behind the slowest pace of an upload: closing at once would reset the connection, and
-// the answer with it.
-func (c *client) Close() error {
-	if !c.lingers.Swap(false) && !c.cutsOff() {
+// Close closes the connection. If the client is still sending an unwanted body, or unread input would cause a reset,
+// it first reads and discards input until the client has seen its answer and closes, or falls behind the minimum rate
+// of an upload: an immediate close would reset the connection and lose the answer.
+func (c *clientConn) Close() error {
+	if !c.lingerOnClose.Swap(false) && !c.closeWouldReset() {
 		return c.TCPConn.Close()
 	}
 	defer c.TCPConn.Close()
-	waste := make([]byte, 16<<10)
-	began := time.Now()
-	for got := int64(0); got < lingerMost; {
-		c.TCPConn.SetReadDeadline(began.Add(uploadPatience + time.Duration(got*int64(time.Second)/flow.Slowest)))
-		n, err := c.TCPConn.Read(waste)
-		if got += int64(n); err != nil {
+	discard := make([]byte, 16<<10)
+	start := time.Now()
+	for received := int64(0); received < maxLingerBytes; {
+		c.TCPConn.SetReadDeadline(start.Add(maxUploadLag + time.Duration(received*int64(time.Second)/flow.Slowest)))
+		n, err := c.TCPConn.Read(discard)
+		if received += int64(n); err != nil {
 			break
 		}
 	}
 	return nil
 }
 
-// Write has patience with a client as long as it takes something. That a write gets on does not show it, nor that it does
-// not: room in our own buffer comes and goes by large steps. What counts is what the client's machine has acknowledged,
-// which is what was written less what the kernel still holds (SIOCOUTQ, tcp(7)).
-func (c *client) Write(p []byte) (n int, err error) {
+// Write waits for a client as long as that keeps reading. Whether a write proceeds is no evidence either way, because
+// space in the local send buffer comes and goes in large steps. What counts is the data that the client's machine has
+// acknowledged: the bytes written less those that the kernel still holds (SIOCOUTQ, tcp(7)).
+func (c *clientConn) Write(p []byte) (n int, err error) {
 	c.mu.Lock()
-	flows, patience := c.flows, c.patience
+	flows, patience := c.streaming, c.stallTimeout
 	c.mu.Unlock()
 	if !flows {
-		c.TCPConn.SetWriteDeadline(time.Now().Add(max(patience, writePatience)))
+		c.TCPConn.SetWriteDeadline(time.Now().Add(max(patience, writeTimeout)))
 		n, err = c.TCPConn.Write(p)
-		c.fed += int64(n)
+		c.written += int64(n)
 		return n, err
 	}
-	defer func() { c.fed += int64(n) }()
-	c.takenAt = time.Now()
+	defer func() { c.written += int64(n) }()
+	c.ackedAt = time.Now()
 	for {
-		c.TCPConn.SetWriteDeadline(time.Now().Add(patience / looks))
-		took, err := c.TCPConn.Write(p[n:])
-		n += took
-		if err == nil || !errors.Is(err, os.ErrDeadlineExceeded) || !c.progress(n) {
+		c.TCPConn.SetWriteDeadline(time.Now().Add(patience / progressChecks))
+		written, err := c.TCPConn.Write(p[n:])
+		n += written
+		if err == nil || !errors.Is(err, os.ErrDeadlineExceeded) || !c.isProgressing(n) {
 			return n, err
 		}
 	}
 }
 
-// progress says whether a client still takes what it is given, n bytes of which were written since the last Write ended.
-func (c *client) progress(n int) bool {
-	held := 0
-	c.control(func(fd int) { held, _ = unix.IoctlGetInt(fd, unix.SIOCOUTQ) })
+// isProgressing reports whether the client has acknowledged data within stallTimeout. n is the number of bytes written
+// since the previous Write returned.
+func (c *clientConn) isProgressing(n int) bool {
+	buffered := 0
+	c.withDescriptor(func(fd int) { buffered, _ = unix.IoctlGetInt(fd, unix.SIOCOUTQ) })
 	now := time.Now()
-	if taken := c.fed + int64(n) - int64(held); taken > c.taken {
-		c.taken, c.takenAt = taken, now
+	if acked := c.written + int64(n) - int64(buffered); acked > c.acked {
+		c.acked, c.ackedAt = acked, now
 	}
-	return now.Sub(c.takenAt) < c.patience
+	return now.Sub(c.ackedAt) < c.stallTimeout
 }
 
-func (c *client) SetReadDeadline(t time.Time) error {
+// SetReadDeadline sets net/http's read deadline, but keeps the one in the past while the connection is closing.
+func (c *clientConn) SetReadDeadline(t time.Time) error {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if c.leaving {
+	if c.closing {
 		return nil
 	}
 	return c.TCPConn.SetReadDeadline(t)
 }
 
-// refuse has a client told to go elsewhere when it leaves without having been heard.
-func (c *client) refuse() {
+// markRejected has the client answered with a 503 if the connection closes without a request.
+func (c *clientConn) markRejected() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.refused = true
+	c.rejectOnClose = true
 }
 
-// leave says whether it changed anything.
-func (c *client) leave(leaving bool) bool {
+// setClosing starts or cancels the closing of the connection by a read deadline in the past. It reports whether the
+// state has changed.
+func (c *clientConn) setClosing(leaving bool) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if leaving == c.leaving {
+	if leaving == c.closing {
 		return false
 	}
-	c.leaving = leaving
+	c.closing = leaving
 	if !leaving {
-		c.refused = false
+		c.rejectOnClose = false
 	}
 	at := time.Time{}
 	if leaving {
@@ -240,196 +249,205 @@
 	return true
 }
 
-func newClients(budget, kept int) *clients {
-	c := &clients{budget: budget, kept: kept, whole: [2]int{budget, kept}, silent: map[*client]uint64{}, idle: map[*client]uint64{}}
-	c.freed = sync.NewCond(&c.mu)
+func newConnTracker(budget, kept int) *connTracker {
+	c := &connTracker{budget: budget, maxKept: kept, configured: [2]int{budget, kept}, newConns: map[*clientConn]uint64{}, idle: map[*clientConn]uint64{}}
+	c.slotFreed = sync.NewCond(&c.mu)
 	return c
 }
 
-// share takes one part of so many of the budget. What is open beyond it goes as it becomes idle.
-func (c *clients) share(parts int) {
+// setShare limits the budget to one of parts equal shares. Idle connections beyond it are closed at once, the others as
+// they become idle.
+func (c *connTracker) setShare(parts int) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.budget, c.kept = max(1, c.whole[0]/parts), max(1, c.whole[1]/parts)
-	for over := c.open - c.leaving - c.budget; over > 0 && len(c.idle) > 0; over-- {
-		c.dismiss(c.idle)
+	c.budget, c.maxKept = max(1, c.configured[0]/parts), max(1, c.configured[1]/parts)
+	for over := c.open - c.closing - c.budget; over > 0 && len(c.idle) > 0; over-- {
+		c.closeOldest(c.idle)
 	}
-	c.freed.Broadcast()
+	c.slotFreed.Broadcast()
 }
 
-func (c *clients) changed(nc net.Conn, s http.ConnState) {
-	k := nc.(*client)
-	k.calling.Store(s == http.StateActive)
+// connStateChanged is the http.Server.ConnState hook.
+func (c *connTracker) connStateChanged(nc net.Conn, s http.ConnState) {
+	conn := nc.(*clientConn)
+	conn.serving.Store(s == http.StateActive)
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	delete(c.silent, k)
-	delete(c.idle, k)
-	c.order++
+	delete(c.newConns, conn)
+	delete(c.idle, conn)
+	c.sequence++
 	switch s {
 	case http.StateNew:
 		c.open++
-		c.silent[k] = c.order
+		c.newConns[conn] = c.sequence
 	case http.StateIdle:
-		c.idle[k] = c.order
-		if c.open-len(c.silent)-c.leaving > c.kept {
-			c.dismiss(c.idle)
+		c.idle[conn] = c.sequence
+		if c.open-len(c.newConns)-c.closing > c.maxKept {
+			c.closeOldest(c.idle)
 		}
 	case http.StateActive:
-		k.flow(false, 0)
-		if k.leave(false) {
-			c.leaving--
+		conn.setStreaming(false, 0)
+		if conn.setClosing(false) {
+			c.closing--
 		}
 	case http.StateClosed, http.StateHijacked:
-		if c.open--; k.leave(false) {
-			c.leaving--
+		if c.open--; conn.setClosing(false) {
+			c.closing--
 		}
 	}
-	c.freed.Signal()
+	c.slotFreed.Signal()
 }
 
-// oldest is the longest listed of some connections; nil: there is none.
-func oldest(from map[*client]uint64) *client {
-	var oldest *client
-	for k, order := range from {
-		if oldest == nil || order < from[oldest] {
-			oldest = k
+// oldestConn returns the connection with the lowest sequence number, or nil if there is none.
+func oldestConn(from map[*clientConn]uint64) *clientConn {
+	var oldest *clientConn
+	for conn, sequence := range from {
+		if oldest == nil || sequence < from[oldest] {
+			oldest = conn
 		}
 	}
 	return oldest
 }
 
-// dismiss has the longest listed of some connections end; its server goroutine tells when it has.
-func (c *clients) dismiss(from map[*client]uint64) {
-	if oldest := oldest(from); oldest != nil {
+// closeOldest starts to close the oldest connection of a set; its server goroutine reports the close by
+// connStateChanged.
+func (c *connTracker) closeOldest(from map[*clientConn]uint64) {
+	if oldest := oldestConn(from); oldest != nil {
 		delete(from, oldest)
-		if oldest.leave(true) {
-			c.leaving++
+		if oldest.setClosing(true) {
+			c.closing++
 		}
 	}
 }
 
-// part has all connections end that carry no call, as dismiss does.
-func (c *clients) part(silent bool) {
+// closeIdle starts to close all idle connections and, if includeNew, those without a first request.
+func (c *connTracker) closeIdle(includeNew bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	these := []map[*client]uint64{c.idle, c.silent}
-	if !silent {
-		these = these[:1]
+	groups := []map[*clientConn]uint64{c.idle, c.newConns}
+	if !includeNew {
+		groups = groups[:1]
 	}
-	for _, m := range these {
-		for k := range m {
-			if k.leave(true) {
-				c.leaving++
+	for _, m := range groups {
+		for conn := range m {
+			if conn.setClosing(true) {
+				c.closing++
 			}
 		}
 		clear(m)
 	}
 }
 
-// parted waits until the connections that were told to end have ended, or for so long.
-func (c *clients) parted(within time.Duration) {
-	for until := time.Now().Add(within); time.Now().Before(until); time.Sleep(time.Millisecond) {
+// waitClosed waits until all closing connections are closed, or until the timeout.
+func (c *connTracker) waitClosed(timeout time.Duration) {
+	for until := time.Now().Add(timeout); time.Now().Before(until); time.Sleep(time.Millisecond) {
 		c.mu.Lock()
-		left := c.leaving
+		closing := c.closing
 		c.mu.Unlock()
-		if left == 0 {
+		if closing == 0 {
 			return
 		}
 	}
 }
 
-// keepParting tells those to end that come to carry no call, until it is stopped.
-func (c *clients) keepParting(stop <-chan struct{}) {
-	again := time.NewTicker(partAgain)
-	defer again.Stop()
+// closeIdlePeriodically closes the connections without a call every idleCloseInterval, until stop is closed.
+func (c *connTracker) closeIdlePeriodically(stop <-chan struct{}) {
+	ticker := time.NewTicker(idleCloseInterval)
+	defer ticker.Stop()
 	for {
 		select {
 		case <-stop:
 			return
-		case <-again.C:
-			c.part(true)
+		case <-ticker.C:
+			c.closeIdle(true)
 		}
 	}
 }
 
-// room waits until one more connection may be open.
-func (c *clients) room() {
+// waitForSlot waits until one more connection may be open, and closes connections without a call meanwhile.
+func (c *connTracker) waitForSlot() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	for c.open >= c.most() {
-		c.makeRoom()
-		c.freed.Wait()
+	for c.open >= c.maxOpen() {
+		c.evictOne()
+		c.slotFreed.Wait()
 	}
 }
 
-// makeRoom has one connection without a call end. While descriptors are short, one that has said nothing yet is told to go
-// elsewhere: few may be open then, and it may have come a moment ago.
-func (c *clients) makeRoom() {
-	if len(c.silent) <= c.most()/4 && len(c.idle) > 0 {
-		c.dismiss(c.idle)
+// evictOne starts to close one connection without a call. While the budget is reduced, a connection without a first
+// request is answered with a 503: few may be open then, and it may have been opened a moment ago.
+func (c *connTracker) evictOne() {
+	if len(c.newConns) <= c.maxOpen()/4 && len(c.idle) > 0 {
+		c.closeOldest(c.idle)
 		return
 	}
-	if k := oldest(c.silent); k != nil && c.bounded() {
-		k.refuse()
+	if conn := oldestConn(c.newConns); conn != nil && c.isReduced() {
+		conn.markRejected()
 	}
-	c.dismiss(c.silent)
+	c.closeOldest(c.newConns)
 }
 
-// most is how many connections may be open now.
-func (c *clients) most() int {
-	if c.bounded() {
-		return min(c.budget, c.bound)
+// maxOpen returns the number of connections that may be open now.
+func (c *connTracker) maxOpen() int {
+	if c.isReduced() {
+		return min(c.budget, c.reducedBudget)
 	}
 	return c.budget
 }
 
-// bounded: the process has lately had fewer descriptors than it was told.
-func (c *clients) bounded() bool { return c.bound > 0 && time.Now().Before(c.boundUntil) }
+// isReduced reports whether the reduced budget is in force, because the process has recently run out of descriptors.
+func (c *connTracker) isReduced() bool {
+	return c.reducedBudget > 0 && time.Now().Before(c.reducedUntil)
+}
 
-// short is told that the process has no descriptor left, though the budget is not used up. The clients then give a part of what
-// they hold back for a while, to the watch and to app nodes: idle clients that came again for each one that is shut out
-// would else be quicker than they, time and again.
-func (c *clients) short() {
+// reduceBudget is called when the process has no descriptor left although the budget is not used up. For
+// reducedBudgetPeriod the clients leave a part of their descriptors to the registry watch and the connections to app
+// nodes. Otherwise reconnecting clients would take each released descriptor before these could.
+func (c *connTracker) reduceBudget() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.bound, c.boundUntil = max(1, min(c.most(), c.open-max(shortLeast, c.open/3))), time.Now().Add(shortFor)
-	for over := c.open - c.leaving - c.bound; over > 0 && len(c.silent)+len(c.idle) > 0; over-- {
-		c.makeRoom()
+	c.reducedBudget, c.reducedUntil = max(1, min(c.maxOpen(), c.open-max(minReleased, c.open/3))), time.Now().Add(reducedBudgetPeriod)
+	for over := c.open - c.closing - c.reducedBudget; over > 0 && len(c.newConns)+len(c.idle) > 0; over-- {
+		c.evictOne()
 	}
 }
 
-type limited struct {
+// limitedListener accepts connections within the budget of its connTracker, and rejects clients at once when the process
+// has no descriptor left.
+type limitedListener struct {
 	net.Listener
-	clients *clients
-	spare   *spare
+	conns *connTracker
+	spare *spareDescriptor
 }
 
-func (c *clients) limit(l net.Listener) net.Listener { return &limited{l, c, newSpare()} }
+func (c *connTracker) limitListener(l net.Listener) net.Listener {
+	return &limitedListener{l, c, newSpareDescriptor()}
+}
 
-func (l *limited) Accept() (net.Conn, error) {
+func (l *limitedListener) Accept() (net.Conn, error) {
 	for {
 		nc, err := l.Listener.Accept()
 		switch {
-		case err == nil && l.spare.keep():
-			l.clients.room() // only now: nobody has to leave while nobody comes
-			return &client{TCPConn: nc.(*net.TCPConn)}, nil
+		case err == nil && l.spare.acquire():
+			l.conns.waitForSlot() // after Accept, so that no connection is closed before another one needs its slot
+			return &clientConn{TCPConn: nc.(*net.TCPConn)}, nil
 		case err == nil:
-			l.clients.short()
-			turnAway(nc)
-			l.spare.keep()
-		case !isShort(err):
+			l.conns.reduceBudget()
+			rejectConn(nc)
+			l.spare.acquire()
+		case !isOutOfDescriptors(err):
 			return nil, err
 		default:
-			l.clients.short()
-			l.clients.part(false)
-			if !l.spare.give() {
-				time.Sleep(shortPause)
+			l.conns.reduceBudget()
+			l.conns.closeIdle(false)
+			if !l.spare.release() {
+				time.Sleep(spareRetryDelay)
 			}
 		}
 	}
 }
 
-func (l *limited) Close() error {
+func (l *limitedListener) Close() error {
 	l.spare.close()
 	return l.Listener.Close()
 }
--- a/internal/acceptor/leaving_test.go
+++ b/internal/acceptor/disconnect_test.go
@@ -16,14 +16,14 @@
 )
 
 // The ways in which a client ends its connection.
-var ends = map[string]func(*caller){
-	"close":      func(c *caller) { c.Conn.Close() },
-	"reset":      func(c *caller) { c.Conn.(*net.TCPConn).SetLinger(0); c.Conn.Close() },
-	"half close": func(c *caller) { c.Conn.(*net.TCPConn).CloseWrite() },
+var disconnects = map[string]func(*testClient){
+	"close":      func(c *testClient) { c.Conn.Close() },
+	"reset":      func(c *testClient) { c.Conn.(*net.TCPConn).SetLinger(0); c.Conn.Close() },
+	"half close": func(c *testClient) { c.Conn.(*net.TCPConn).CloseWrite() },
 }
 
 // heard is the next event that the reducer would get.
-func (f *front) heard() reducer.Event {
+func (f *testAcceptor) nextEvent() reducer.Event {
 	f.t.Helper()
 	select {
 	case e := <-f.events:
@@ -34,32 +34,32 @@
 	}
 }
 
-func (f *front) heardLeave(call *reducer.Call) {
+func (f *testAcceptor) expectClientGone(call *reducer.Call) {
 	f.t.Helper()
-	if gone, ok := f.heard().(reducer.ClientGone); !ok || gone.Call != call.ID {
+	if gone, ok := f.nextEvent().(reducer.ClientGone); !ok || gone.Call != call.ID {
 		f.t.Fatalf("%+v", gone)
 	}
 }
 
 // A client may have sent bytes behind its request before it leaves: half of the next, or whole ones. Its leaving is told all
 // the same, and none of the requests behind is sent on.
-func TestAClientLeavesWithBytesBehindItsRequest(t *testing.T) {
-	next := strings.ReplaceAll(lookup, "\n", "\r\n") + "\r\n"
-	for how, end := range ends {
+func TestDisconnectBehindPipelinedBytes(t *testing.T) {
+	next := strings.ReplaceAll(lookupRequest, "\n", "\r\n") + "\r\n"
+	for how, end := range disconnects {
 		// What comes in one piece with the request is read with it, as far as the server's buffer goes; the rest, and what
 		// comes while the request is served, stands in the socket before the end.
 		for name, behind := range map[string][2]string{"nothing": {}, "a byte": {"G"}, "a byte later": {"", "G"}, "half": {next[:40]},
 			"half later": {"", next[:40]}, "two, one later": {next, next}, "much": {strings.Repeat(next, 60)}} {
 			t.Run(how+" behind "+name, func(t *testing.T) {
 				t.Parallel()
-				f := newFront(t, 10)
-				c := f.dial().send(lookup, behind[0])
-				call := f.heard().(reducer.Arrived).Call
+				f := startAcceptor(t, 10)
+				c := f.dial().send(lookupRequest, behind[0])
+				call := f.nextEvent().(reducer.Arrived).Call
 				io.WriteString(c, behind[1])
 				end(c)
-				f.heardLeave(call)
-				f.dial().send(strings.Replace(lookup, "9b1f", "fence", 1), "")
-				if e := f.heard().(reducer.Arrived); e.Call.ClientID != "fence" {
+				f.expectClientGone(call)
+				f.dial().send(strings.Replace(lookupRequest, "9b1f", "fence", 1), "")
+				if e := f.nextEvent().(reducer.Arrived); e.Call.ClientID != "fence" {
 					t.Errorf("%s was sent on for a client that has left", e.Call.ClientID)
 				}
 			})
@@ -68,14 +68,14 @@
 }
 
 // Bytes behind a request are its successor, where the client stays: none is lost by the watch for its leaving.
-func TestRequestsBehindOneAnotherAreServed(t *testing.T) {
-	f := newFront(t, 10)
+func TestPipelinedRequestsAreServed(t *testing.T) {
+	f := startAcceptor(t, 10)
 	body := strings.Repeat("x", 5000)
 	var all strings.Builder
 	for i := range 5 {
-		all.WriteString(strings.Replace(lookup, "9b1f", fmt.Sprint(i), 1) + "\n")
-		all.WriteString("POST" + lookup[3:strings.Index(lookup, "X-Request")] + fmt.Sprintf("X-Request-Id: b%d\n", i) +
-			lookup[strings.Index(lookup, "X-Class"):] + fmt.Sprintf("Content-Length: %d\n\n%s", len(body), body))
+		all.WriteString(strings.Replace(lookupRequest, "9b1f", fmt.Sprint(i), 1) + "\n")
+		all.WriteString("POST" + lookupRequest[3:strings.Index(lookupRequest, "X-Request")] + fmt.Sprintf("X-Request-Id: b%d\n", i) +
+			lookupRequest[strings.Index(lookupRequest, "X-Class"):] + fmt.Sprintf("Content-Length: %d\n\n%s", len(body), body))
 	}
 	wire := strings.ReplaceAll(all.String(), "\n", "\r\n")
 	c := f.dial()
@@ -88,20 +88,20 @@
 		c.Write([]byte(wire[len(wire)/3:]))
 	}()
 	for i := range 10 {
-		e, ok := f.heard().(reducer.Arrived)
+		e, ok := f.nextEvent().(reducer.Arrived)
 		want := fmt.Sprint(i / 2)
 		if i%2 == 1 {
 			want = "b" + want
 		}
-		if !ok || e.Call.ClientID != want || i%2 == 1 && string(sent(e.Call).Body) != body {
+		if !ok || e.Call.ClientID != want || i%2 == 1 && string(callMessage(e.Call).Body) != body {
 			t.Fatalf("%d: %+v", i, e)
 		}
 		if i == 0 {
 			close(first)
 			<-sentAll
 		}
-		f.Answer(e.Call.ID, served(want))
-		if _, got := c.answer(); got != want {
+		f.Answer(e.Call.ID, servedReply(want))
+		if _, got := c.readResponse(); got != want {
 			t.Fatalf("%q for %q", got, want)
 		}
 	}
@@ -135,17 +135,19 @@
 }
 
 // A client that has left before its request was read is not served: nothing is to be sent on for it.
-func TestAClientThatLeftBeforeItWasRead(t *testing.T) {
-	post := func(length int) string { return "POST" + lookup[3:] + fmt.Sprintf("Content-Length: %d\n", length) }
-	for how, end := range ends {
-		for name, request := range map[string][2]string{"no body": {lookup, ""}, "a body": {post(4), "skip"},
-			"bytes behind": {lookup, "GET"}, "an upload": {post(100000), strings.Repeat("x", 100000)}} {
+func TestDisconnectBeforeRequestIsRead(t *testing.T) {
+	post := func(length int) string {
+		return "POST" + lookupRequest[3:] + fmt.Sprintf("Content-Length: %d\n", length)
+	}
+	for how, end := range disconnects {
+		for name, request := range map[string][2]string{"no body": {lookupRequest, ""}, "a body": {post(4), "skip"},
+			"bytes behind": {lookupRequest, "GET"}, "an upload": {post(100000), strings.Repeat("x", 100000)}} {
 			if how == "reset" { // the request is lost with the connection
 				continue
 			}
 			t.Run(how+" behind "+name, func(t *testing.T) {
 				t.Parallel()
-				f := newFrontTaking(t, 10, 1<<20)
+				f := startAcceptorWithUploads(t, 10, 1<<20)
 				l, err := net.Listen("tcp", "127.0.0.1:0")
 				if err != nil {
 					t.Fatal(err)
@@ -161,8 +163,8 @@
 					}
 				}
 				f.addr = home
-				f.dial().send(strings.Replace(lookup, "9b1f", "fence", 1), "")
-				if e := f.heard().(reducer.Arrived); e.Call.ClientID != "fence" {
+				f.dial().send(strings.Replace(lookupRequest, "9b1f", "fence", 1), "")
+				if e := f.nextEvent().(reducer.Arrived); e.Call.ClientID != "fence" {
 					t.Errorf("%s was sent on for a client that has left", e.Call.ClientID)
 				}
 			})
@@ -171,28 +173,28 @@
 }
 
 // A client that leaves while its upload waits to be read is told of, whatever it has sent of it.
-func TestAClientLeavesWhileItsUploadWaits(t *testing.T) {
+func TestDisconnectWhileUploadWaits(t *testing.T) {
 	const length = 300_000
-	for how, end := range ends {
+	for how, end := range disconnects {
 		for _, came := range []int{0, 1, 100_000, length} {
 			t.Run(fmt.Sprintf("%s after %d bytes", how, came), func(t *testing.T) {
 				t.Parallel()
-				f := newFrontTaking(t, 10, 1<<20)
-				c := f.dial().send("POST"+lookup[3:]+fmt.Sprintf("Content-Length: %d\n", length), strings.Repeat("x", came))
-				call := f.heard().(reducer.Arrived).Call
-				if sent(call).Upload == nil {
+				f := startAcceptorWithUploads(t, 10, 1<<20)
+				c := f.dial().send("POST"+lookupRequest[3:]+fmt.Sprintf("Content-Length: %d\n", length), strings.Repeat("x", came))
+				call := f.nextEvent().(reducer.Arrived).Call
+				if callMessage(call).Upload == nil {
 					t.Fatal("no upload")
 				}
 				end(c)
 				if came == length && how != "reset" {
 					// Its end may stand behind more than the kernel takes: it is seen once that is read, and before the last
 					// byte goes on to an app node.
-					all, err := io.ReadAll(sent(call).Upload)
+					all, err := io.ReadAll(callMessage(call).Upload)
 					if err == nil || len(all) >= length {
 						t.Errorf("%d bytes were read, %v", len(all), err)
 					}
 				}
-				f.heardLeave(call)
+				f.expectClientGone(call)
 			})
 		}
 	}
@@ -200,12 +202,12 @@
 
 // Whoever is about to write a call learns that its client has left also when the connection is closed on our side by then:
 // the word of the leaving may still stand in the reducer's queue.
-func TestALeaverIsKnownBehindTheEndOfItsConnection(t *testing.T) {
-	for how, end := range ends {
+func TestLeftAfterConnectionIsClosed(t *testing.T) {
+	for how, end := range disconnects {
 		t.Run(how, func(t *testing.T) {
 			t.Parallel()
 			ended := make(chan struct{}, 1)
-			f := newFrontWith(t, 10, 0, func(a *Acceptor) {
+			f := startAcceptorWith(t, 10, 0, func(a *Acceptor) {
 				changed := a.server.ConnState
 				a.server.ConnState = func(nc net.Conn, s http.ConnState) {
 					changed(nc, s)
@@ -214,16 +216,16 @@
 					}
 				}
 			})
-			c := f.dial().send(lookup, "")
-			call := f.heard().(reducer.Arrived).Call
+			c := f.dial().send(lookupRequest, "")
+			call := f.nextEvent().(reducer.Arrived).Call
 			end(c)
-			f.heardLeave(call)
+			f.expectClientGone(call)
 			select {
 			case <-ended:
 			case <-time.After(20 * time.Second):
 				t.Fatal("the connection goes on")
 			}
-			if !sent(call).Left() {
+			if !callMessage(call).Left() {
 				t.Error("the client is taken to be there")
 			}
 		})
@@ -232,13 +234,13 @@
 
 // A client that has sent more behind its request than the kernel takes may have closed behind it, which nobody can see. Its
 // call is not sent on once that has lasted, and ends with a word; one that has sent less is there, however long it waits.
-func TestAClientLeavesBehindMoreThanTheKernelTakes(t *testing.T) {
+func TestDisconnectBehindFullReceiveBuffer(t *testing.T) {
 	for _, size := range []int{150, 1 << 20} {
 		t.Run(fmt.Sprintf("in pieces of %d", size), func(t *testing.T) {
 			t.Parallel()
-			f := newFront(t, 10)
-			c := f.dial().send(lookup, "")
-			call := f.heard().(reducer.Arrived).Call
+			f := startAcceptor(t, 10)
+			c := f.dial().send(lookupRequest, "")
+			call := f.nextEvent().(reducer.Arrived).Call
 			go func() {
 				for range 4 << 20 / size {
 					if _, err := c.Write(make([]byte, size)); err != nil {
@@ -247,32 +249,32 @@
 				}
 				c.Conn.Close()
 			}()
-			for until := time.Now().Add(5 * time.Second); !sent(call).Left(); time.Sleep(time.Millisecond) {
+			for until := time.Now().Add(5 * time.Second); !callMessage(call).Left(); time.Sleep(time.Millisecond) {
 				if time.Now().After(until) {
 					t.Fatal("the client is taken to be there")
 				}
 			}
-			f.heardLeave(call)
+			f.expectClientGone(call)
 		})
 	}
 	for name, sizes := range map[string][]int{"less": {40_000}, "less, in small pieces": slices.Repeat([]int{150}, 130)} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			f := newFront(t, 10)
-			c := f.dial().send(lookup, "")
-			call := f.heard().(reducer.Arrived).Call
+			f := startAcceptor(t, 10)
+			c := f.dial().send(lookupRequest, "")
+			call := f.nextEvent().(reducer.Arrived).Call
 			for _, size := range sizes {
 				if _, err := c.Write(make([]byte, size)); err != nil {
 					t.Fatal(err)
 				}
 			}
-			for until := time.Now().Add(4 * unseenFor); time.Now().Before(until); time.Sleep(time.Millisecond) {
-				if sent(call).Left() {
+			for until := time.Now().Add(4 * bufferFullTimeout); time.Now().Before(until); time.Sleep(time.Millisecond) {
+				if callMessage(call).Left() {
 					t.Fatal("the client is taken to have left")
 				}
 			}
-			f.Answer(call.ID, served("there"))
-			if _, body := c.answer(); body != "there" {
+			f.Answer(call.ID, servedReply("there"))
+			if _, body := c.readResponse(); body != "there" {
 				t.Errorf("%q", body)
 			}
 		})
@@ -282,17 +284,17 @@
 // An upload that waits is not read, so that its client's leaving is looked for: well within the 0.1 s after which no attempt
 // may begin, nor one that is half sent go on. The client leaves just behind a look, which is the worst moment; of a few
 // tries the shortest counts, since the machine may be busy.
-func TestTheLeavingOfAnUploadIsSeenSoon(t *testing.T) {
+func TestUploadDisconnectIsDetectedPromptly(t *testing.T) {
 	const bound, tries = 60 * time.Millisecond, 5
-	for how, end := range ends {
+	for how, end := range disconnects {
 		shortest := time.Hour
 		for range tries {
-			f := newFrontTaking(t, 10, 1<<20)
-			c := f.dial().send("POST"+lookup[3:]+"Content-Length: 300000\n", "x")
-			call := f.heard().(reducer.Arrived).Call
+			f := startAcceptorWithUploads(t, 10, 1<<20)
+			c := f.dial().send("POST"+lookupRequest[3:]+"Content-Length: 300000\n", "x")
+			call := f.nextEvent().(reducer.Arrived).Call
 			end(c)
 			left := time.Now()
-			f.heardLeave(call)
+			f.expectClientGone(call)
 			shortest = min(shortest, time.Since(left))
 		}
 		if shortest > bound {
@@ -302,13 +304,13 @@
 }
 
 // late is a client's body that is read only once the client has left, as by a process that waits for its turn.
-type late struct {
+type lateReader struct {
 	t *testing.T
-	*client
+	*clientConn
 }
 
-func (l late) Read(p []byte) (int, error) {
-	for until := time.Now().Add(20 * time.Second); !l.left(); time.Sleep(time.Millisecond) {
+func (l lateReader) Read(p []byte) (int, error) {
+	for until := time.Now().Add(20 * time.Second); !l.isDisconnected(); time.Sleep(time.Millisecond) {
 		if time.Now().After(until) {
 			l.t.Error("the client has not left")
 			break
@@ -319,8 +321,8 @@
 
 // An upload of which nothing has come yet when its attempt is to begin waits for its client inside the attempt. What comes
 // then from a client that has left is not passed on: the attempt would begin with it.
-func TestNothingOfAnUploadBeginsForAClientThatHasLeft(t *testing.T) {
-	for how, end := range ends {
+func TestUploadDoesNotStartAfterDisconnect(t *testing.T) {
+	for how, end := range disconnects {
 		t.Run(how, func(t *testing.T) {
 			l, err := net.Listen("tcp", "127.0.0.1:0")
 			if err != nil {
@@ -338,9 +340,9 @@
 			}
 			defer far.Close()
 			io.WriteString(nc, strings.Repeat("x", 5000))
-			end(&caller{Conn: nc})
-			c := &client{TCPConn: far.(*net.TCPConn)}
-			body := &staying{Reader: late{t, c}, client: c, left: 300_000}
+			end(&testClient{Conn: nc})
+			c := &clientConn{TCPConn: far.(*net.TCPConn)}
+			body := &connectedReader{Reader: lateReader{t, c}, conn: c, remaining: 300_000}
 			if n, err := body.Read(make([]byte, 10_000)); n > 0 || err == nil {
 				t.Errorf("%d bytes were read, %v", n, err)
 			}
--- a/internal/acceptor/framing.go
+++ b/internal/acceptor/framing.go
@@ -7,63 +7,63 @@
 	"sync"
 )
 
-// heads watches what comes on a client's connection for heads that frame their body twice, by Content-Length and by
-// Transfer-Encoding (RFC 9112, 6.1: such a message may be an attempt to hide another request). It changes nothing of what
-// net/http reads, and decides nothing that net/http decides: it follows heads and lengths only as far as it is sure of
-// them. After a head with a Transfer-Encoding it is sure of nothing any more, and that is the connection's last request.
-type heads struct {
-	mu    sync.Mutex
-	head  []byte // of the request that is coming in, so far
-	rest  int64  // of the body behind the last head; -1: all that comes
-	found []bool // a head each, not yet taken: whether it frames its body twice
+// headerScanner scans the input of a client connection for request headers that are double framed: by Content-Length
+// and by Transfer-Encoding (RFC 9112, 6.1: such a message may be an attempt at request smuggling). It neither changes
+// what net/http reads nor makes any of its decisions, and follows headers and lengths only while they are certain. After
+// a header with a Transfer-Encoding nothing is certain, and that request is the connection's last.
+type headerScanner struct {
+	mu            sync.Mutex
+	header        []byte // of the incoming request, as far as received
+	bodyRemaining int64  // bytes left of the body behind the last header; -1: all further input
+	doubleFramed  []bool // one entry per header not yet fetched by nextIsDoubleFramed
 }
 
-// came is told what has been read.
-func (h *heads) came(b []byte) {
+// scan processes bytes that have been read from the connection.
+func (h *headerScanner) scan(b []byte) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	for len(b) > 0 && h.rest >= 0 {
-		if h.rest > 0 {
-			n := min(h.rest, int64(len(b)))
-			h.rest, b = h.rest-n, b[n:]
+	for len(b) > 0 && h.bodyRemaining >= 0 {
+		if h.bodyRemaining > 0 {
+			n := min(h.bodyRemaining, int64(len(b)))
+			h.bodyRemaining, b = h.bodyRemaining-n, b[n:]
 			continue
 		}
-		if len(h.head) == 0 { // net/http passes over line ends in front of a request
+		if len(h.header) == 0 { // net/http skips line ends in front of a request
 			if b = bytes.TrimLeft(b, "\r\n"); len(b) == 0 {
 				return
 			}
 		}
-		from := max(0, len(h.head)-3)
-		h.head = append(h.head, b...)
-		end := ending(h.head, from)
+		start := max(0, len(h.header)-3)
+		h.header = append(h.header, b...)
+		end := headerEnd(h.header, start)
 		if end < 0 {
-			if len(h.head) > 2*maxHeader { // net/http gives it up as well
-				h.head, h.rest = nil, -1
+			if len(h.header) > 2*maxHeaderBytes { // net/http rejects it as well
+				h.header, h.bodyRemaining = nil, -1
 			}
 			return
 		}
-		b = b[len(b)-(len(h.head)-end):]
-		h.note(h.head[:end])
-		h.head = h.head[:0]
+		b = b[len(b)-(len(h.header)-end):]
+		h.recordHeader(h.header[:end])
+		h.header = h.header[:0]
 	}
 }
 
-// completed says that with these bytes the head that is coming in would be whole.
-func (h *heads) completed(b []byte) bool {
+// completesHeader reports whether the header being received would be complete with these bytes. It changes nothing.
+func (h *headerScanner) completesHeader(b []byte) bool {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	if h.rest != 0 {
+	if h.bodyRemaining != 0 {
 		return false
 	}
-	if len(h.head) == 0 {
+	if len(h.header) == 0 {
 		b = bytes.TrimLeft(b, "\r\n")
 	}
-	return ending(append(bytes.Clone(h.head), b...), max(0, len(h.head)-3)) >= 0
+	return headerEnd(append(bytes.Clone(h.header), b...), max(0, len(h.header)-3)) >= 0
 }
 
-// ending is where a head ends, behind its empty line; -1: not yet.
-func ending(b []byte, from int) int {
-	for i := from; i < len(b); i++ {
+// headerEnd returns the offset behind the empty line that ends a header, or -1 if there is none from start on.
+func headerEnd(b []byte, start int) int {
+	for i := start; i < len(b); i++ {
 		if b[i] != '\n' {
 			continue
 		}
@@ -77,7 +77,8 @@
 	return -1
 }
 
-func (h *heads) note(head []byte) {
+// recordHeader records whether a complete header is double framed, and the length of the body behind it.
+func (h *headerScanner) recordHeader(head []byte) {
 	length, encoded := "", false
 	for line := range bytes.Lines(head) {
 		name, value, ok := bytes.Cut(line, []byte(":"))
@@ -89,24 +90,24 @@
 			encoded = true
 		}
 	}
-	h.found = append(h.found, encoded && length != "")
+	h.doubleFramed = append(h.doubleFramed, encoded && length != "")
 	n, err := strconv.ParseInt(length, 10, 64)
 	switch {
 	case encoded || length != "" && (err != nil || n < 0):
-		h.rest = -1 // and the connection ends
+		h.bodyRemaining = -1 // the connection closes after this request
 	case length != "":
-		h.rest = n
+		h.bodyRemaining = n
 	}
 }
 
-// taken is told that the next request is being served, and says whether its head frames its body twice. What was not seen is
-// not trusted.
-func (h *heads) taken() (twice bool) {
+// nextIsDoubleFramed is called once for each request served, in order, and reports whether its header is double framed.
+// A request whose header was not seen is not trusted: the result is true.
+func (h *headerScanner) nextIsDoubleFramed() (doubleFramed bool) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	if len(h.found) == 0 {
+	if len(h.doubleFramed) == 0 {
 		return true
 	}
-	twice, h.found = h.found[0], h.found[1:]
-	return twice
+	doubleFramed, h.doubleFramed = h.doubleFramed[0], h.doubleFramed[1:]
+	return doubleFramed
 }
--- a/internal/acceptor/framing_test.go
+++ b/internal/acceptor/framing_test.go
@@ -7,7 +7,7 @@
 )
 
 // Heads are found whatever the pieces that they come in, also several in one and behind bodies that look like heads.
-func TestHeadsAreFoundInPiecesOfAnySize(t *testing.T) {
+func TestHeadersAreFoundAcrossFragments(t *testing.T) {
 	const post = "POST /b HTTP/1.1\r\n"
 	for _, c := range []struct {
 		text string
@@ -24,21 +24,21 @@
 	} {
 		rng := rand.New(rand.NewPCG(1, 2))
 		for range 200 {
-			var h heads
+			var h headerScanner
 			for b := []byte(c.text); len(b) > 0; {
 				n := 1 + rng.IntN(min(len(b), 40))
-				h.came(b[:n])
+				h.scan(b[:n])
 				b = b[n:]
 			}
-			if !slices.Equal(h.found, c.want) {
-				t.Fatalf("%q: %v", c.text, h.found)
+			if !slices.Equal(h.doubleFramed, c.want) {
+				t.Fatalf("%q: %v", c.text, h.doubleFramed)
 			}
 			for _, want := range c.want {
-				if h.taken() != want {
+				if h.nextIsDoubleFramed() != want {
 					t.Fatalf("%q: taken as %v", c.text, !want)
 				}
 			}
-			if !h.taken() {
+			if !h.nextIsDoubleFramed() {
 				t.Fatal("a request that was not seen is trusted")
 			}
 		}
--- a/internal/acceptor/spare_test.go
+++ b/internal/acceptor/sparedescriptor_test.go
@@ -15,49 +15,49 @@
 )
 
 // scarce is a listener of a process that has so many descriptors left, as the system would count them.
-type scarce struct {
+type scarceListener struct {
 	net.Listener
-	left atomic.Int64
+	available atomic.Int64
 }
 
-func (s *scarce) Accept() (net.Conn, error) {
-	if s.left.Add(-1) < 0 {
-		s.left.Add(1)
+func (s *scarceListener) Accept() (net.Conn, error) {
+	if s.available.Add(-1) < 0 {
+		s.available.Add(1)
 		return nil, &net.OpError{Op: "accept", Err: os.NewSyscallError("accept4", syscall.EMFILE)}
 	}
 	nc, err := s.Listener.Accept()
 	if err != nil {
-		s.left.Add(1)
+		s.available.Add(1)
 	}
 	return nc, err
 }
 
 // given is a descriptor that counts as given back when it is closed.
-func (s *scarce) given() io.Closer { return closer(func() { s.left.Add(1) }) }
+func (s *scarceListener) descriptor() io.Closer { return closerFunc(func() { s.available.Add(1) }) }
 
-type closer func()
+type closerFunc func()
 
-func (c closer) Close() error { c(); return nil }
+func (c closerFunc) Close() error { c(); return nil }
 
 // Where the system gives fewer descriptors than the balancer was told, a client that comes on a new connection is told to go
 // elsewhere at once. It used to wait in the kernel for net/http's next look, and beyond its time.
-func TestAClientIsTurnedAwayWithoutDescriptors(t *testing.T) {
+func TestClientIsRejectedWithoutDescriptors(t *testing.T) {
 	lis, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	s := &scarce{Listener: lis}
-	s.left.Store(3) // the spare one, and two connections
-	l := newClients(10, 10).limit(s).(*limited)
+	s := &scarceListener{Listener: lis}
+	s.available.Store(3) // the spare one, and two connections
+	l := newConnTracker(10, 10).limitListener(s).(*limitedListener)
 	l.spare.close()
-	l.spare = &spare{open: func() (io.Closer, error) {
-		if s.left.Add(-1) < 0 {
-			s.left.Add(1)
+	l.spare = &spareDescriptor{open: func() (io.Closer, error) {
+		if s.available.Add(-1) < 0 {
+			s.available.Add(1)
 			return nil, syscall.EMFILE
 		}
-		return s.given(), nil
+		return s.descriptor(), nil
 	}}
-	if !l.spare.keep() {
+	if !l.spare.acquire() {
 		t.Fatal("no spare descriptor at the start")
 	}
 	accepted := make(chan net.Conn, 10)
@@ -91,12 +91,12 @@
 		if err != nil || resp.StatusCode != http.StatusServiceUnavailable || !resp.Close {
 			t.Fatalf("turned away with %+v: %v", resp, err)
 		}
-		s.left.Add(1) // its descriptor is free again
+		s.available.Add(1) // its descriptor is free again
 		if rest, err := io.ReadAll(nc); len(rest) > 0 || err != nil {
 			t.Fatalf("then %q %v", rest, err)
 		}
 	}
-	s.left.Add(2) // others have given descriptors back
+	s.available.Add(2) // others have given descriptors back
 	dial()
 	if nc := <-accepted; nc == nil {
 		t.Fatal("with descriptors again nobody is taken")
@@ -122,7 +122,7 @@
 }
 
 // isTurnedAway checks what a client reads: the answer that sends it elsewhere, and the end.
-func isTurnedAway(t *testing.T, client net.Conn) {
+func checkRejected(t *testing.T, client net.Conn) {
 	t.Helper()
 	in := bufio.NewReader(client)
 	resp, err := http.ReadResponse(in, nil)
@@ -136,22 +136,22 @@
 
 // A client whose request is still on its way when its time to speak is over is told to go elsewhere too. Its connection
 // used to end without an answer, as the time for the answer was over with that for the request.
-func TestAClientThatSpeaksLateIsTurnedAwayWithAnAnswer(t *testing.T) {
+func TestLateRequestIsRejectedWithAnAnswer(t *testing.T) {
 	near, far := tcpPair(t)
-	turnAway(near)
-	isTurnedAway(t, far)
+	rejectConn(near)
+	checkRejected(t, far)
 }
 
 // newcomer is a connection that has said nothing yet, with net/http's first read of it under way.
-func newcomer(t *testing.T, conns *clients) (far net.Conn, read <-chan error) {
+func newSilentConn(t *testing.T, conns *connTracker) (far net.Conn, read <-chan error) {
 	near, far := tcpPair(t)
-	k := &client{TCPConn: near}
-	conns.changed(k, http.StateNew)
+	conn := &clientConn{TCPConn: near}
+	conns.connStateChanged(conn, http.StateNew)
 	done := make(chan error, 1)
 	go func() {
-		_, err := k.Read(make([]byte, 4096))
-		k.Close()
-		conns.changed(k, http.StateClosed)
+		_, err := conn.Read(make([]byte, 4096))
+		conn.Close()
+		conns.connStateChanged(conn, http.StateClosed)
 		done <- err
 	}()
 	return far, done
@@ -159,22 +159,22 @@
 
 // Where descriptors turn out to be short, connections that have just come make room. Each is told to go elsewhere: its
 // request may be on the way. They used to be closed without a word.
-func TestANewcomerThatMakesRoomForWantOfDescriptorsIsTold(t *testing.T) {
-	conns := newClients(10, 10)
-	first, firstRead := newcomer(t, conns)
-	_, secondRead := newcomer(t, conns)
-	conns.short() // leaves one
+func TestSilentConnectionIsRejectedForLackOfDescriptors(t *testing.T) {
+	conns := newConnTracker(10, 10)
+	first, firstRead := newSilentConn(t, conns)
+	_, secondRead := newSilentConn(t, conns)
+	conns.reduceBudget() // leaves one
 	assert.ErrorIs(t, <-firstRead, os.ErrDeadlineExceeded)
-	isTurnedAway(t, first)
-	conns.part(true)
+	checkRejected(t, first)
+	conns.closeIdle(true)
 	assert.ErrorIs(t, <-secondRead, os.ErrDeadlineExceeded)
 }
 
 // Within the budget, those that say nothing make room without a word, as before.
-func TestANewcomerThatMakesRoomInTheBudgetIsClosed(t *testing.T) {
-	conns := newClients(1, 1)
-	far, read := newcomer(t, conns)
-	conns.room()
+func TestSilentConnectionIsClosedWithinBudget(t *testing.T) {
+	conns := newConnTracker(1, 1)
+	far, read := newSilentConn(t, conns)
+	conns.waitForSlot()
 	assert.ErrorIs(t, <-read, os.ErrDeadlineExceeded)
 	said, err := io.ReadAll(far)
 	assert.NilError(t, err)
@@ -182,21 +182,21 @@
 }
 
 // A request that has come by the time its connection is to make room is read, and nothing is said of room.
-func TestARequestThatHasComeIsReadThoughItsConnectionMakesRoom(t *testing.T) {
+func TestPendingRequestIsReadDuringEviction(t *testing.T) {
 	const request = "GET / HTTP/1.1\r\nHost: a\r\n\r\n"
-	conns := newClients(10, 10)
+	conns := newConnTracker(10, 10)
 	near, far := tcpPair(t)
-	k := &client{TCPConn: near}
-	conns.changed(k, http.StateNew)
-	newcomer(t, conns)
+	conn := &clientConn{TCPConn: near}
+	conns.connStateChanged(conn, http.StateNew)
+	newSilentConn(t, conns)
 	_, err := io.WriteString(far, request)
 	assert.NilError(t, err)
-	conns.short()
+	conns.reduceBudget()
 	p := make([]byte, 4096)
-	n, err := k.Read(p)
+	n, err := conn.Read(p)
 	assert.NilError(t, err)
 	assert.Equal(t, string(p[:n]), request)
-	conns.changed(k, http.StateActive)
-	assert.Assert(t, !k.refused)
-	conns.part(true)
+	conns.connStateChanged(conn, http.StateActive)
+	assert.Assert(t, !conn.rejectOnClose)
+	conns.closeIdle(true)
 }
--- a/internal/lab/fleet/planted.go
+++ b/internal/lab/fleet/planted.go
@@ -44,7 +44,7 @@
 		Old:  `	return k.Repeat == brain.Keyed && slices.ContainsFunc(`,
 		New:  `	return k.Repeat == brain.Safe && slices.ContainsFunc(`}, Cases: []string{"late-lines"}},
 	{Fault: planted.Fault{Name: "no-spare", About: "a connection that finds no descriptor waits in the kernel", File: "internal/acceptor/clients.go",
-		Old: `		case !isShort(err):`,
+		Old: `		case !isOutOfDescriptors(err):`,
 		New: `		case true:`}, Cases: []string{"descriptors"}},
 	{Fault: planted.Fault{Name: "ready-without-a-list", About: "a balancer is ready before it knows of an app node", File: "internal/reducer/servers.go",
 		Old: `	if !r.readied && r.ready > 0 {`,
