--- a/internal/acceptor/acceptor.go
+++ b/internal/acceptor/acceptor.go
@@ -33,7 +33,7 @@
 	// maxUploadLag is how far a client may fall behind the minimum rate of an upload (flow.Slowest). A client that sends
 	// nothing must be answered within 3 s.
 	maxUploadLag   = 2500 * time.Millisecond
-	idleTimeout    = 3 * time.Second // for a connection without a call; a client whose next request crosses the close retries
+	idleTimeout    = 3 * time.Second // of a connection without a call; a client whose request crosses the close retries
 	writeTimeout   = 2 * time.Second // for one write of a buffered answer
 	maxHeaderBytes = 8 << 10
 	readyPath      = "/health/ready"
@@ -88,9 +88,9 @@
 // request. The deadlines cap the calls of each class, by class index. now is the clock of the deadlines, and post
 // passes events to the reducer.
 func New(now func() time.Duration, post func(reducer.Event), classes map[string]int,
-	deadlines []time.Duration, tenants *tenants.Table, budget, kept int, bounds Bounds) *Acceptor {
+	deadlines []time.Duration, tenants *tenants.Table, budget, maxKept int, bounds Bounds) *Acceptor {
 	a := &Acceptor{now: now, post: post, tenants: tenants, bounds: bounds,
-		conns: newConnTracker(budget, kept), pending: map[uint64]chan reducer.Reply{}}
+		conns: newConnTracker(budget, maxKept), pending: map[uint64]chan reducer.Reply{}}
 	a.Retune(Terms{classes, deadlines})
 	proxy := &httputil.ReverseProxy{
 		Rewrite: func(p *httputil.ProxyRequest) {
@@ -117,7 +117,7 @@
 				a.health(w, r)
 				return
 			}
-			if len(r.TransferEncoding) > 0 { // only net/http knows where the body ends: nothing behind it may be read as a request
+			if len(r.TransferEncoding) > 0 { // only net/http knows the body's end: read no request behind it
 				w.Header().Set("Connection", "close")
 			}
 			call, err := a.parseRequest(w, r, doubleFramed)
@@ -200,7 +200,7 @@
 
 func (a *Acceptor) health(w http.ResponseWriter, _ *http.Request) {
 	a.setCloseHeader(w.Header())
-	if !a.ready.Load() || a.draining.Load() && !a.addressShared.Load() || a.outOfRotation.Load() { // while draining, the other process on the address is ready
+	if !a.ready.Load() || a.draining.Load() && !a.addressShared.Load() || a.outOfRotation.Load() { // a sharing process is ready
 		w.WriteHeader(http.StatusServiceUnavailable)
 		return
 	}
--- a/internal/acceptor/acceptor_test.go
+++ b/internal/acceptor/acceptor_test.go
@@ -17,7 +17,7 @@
 	"pewterrudder/internal/tenants"
 )
 
-// front is an acceptor on a loopback socket, with the test in the reducer's place.
+// testAcceptor is an Acceptor on a loopback socket. The test takes the place of the reducer.
 type testAcceptor struct {
 	*Acceptor
 	t      *testing.T
@@ -33,8 +33,8 @@
 	return startAcceptorWith(t, budget, upload, func(*Acceptor) {})
 }
 
-// newFrontWith has the acceptor changed before it serves.
-func startAcceptorWith(t *testing.T, budget int, upload int64, change func(*Acceptor)) *testAcceptor {
+// startAcceptorWith calls configure before the acceptor serves.
+func startAcceptorWith(t *testing.T, budget int, upload int64, configure func(*Acceptor)) *testAcceptor {
 	f := &testAcceptor{t: t, events: make(chan reducer.Event, 100)}
 	f.Acceptor = New(func() time.Duration { return time.Hour }, func(e reducer.Event) { f.events <- e },
 		map[string]int{"lookup": 0, "booking": 1}, []time.Duration{time.Second, time.Second}, acmeTenants(), budget, 6, Bounds{Upload: upload, ClientIdle: 2 * time.Second})
@@ -43,13 +43,13 @@
 		t.Fatal(err)
 	}
 	f.addr = l.Addr().String()
-	change(f.Acceptor)
+	configure(f.Acceptor)
 	go f.Serve(l)
 	t.Cleanup(func() { f.server.Close() })
 	return f
 }
 
-// acme is a table with one tenant.
+// acmeTenants returns a table with the tenant acme.
 func acmeTenants() *tenants.Table {
 	t := new(tenants.Table)
 	t.Put("acme", tenants.Terms{Quota: 12.5, Share: 1}, 0, 0)
@@ -58,7 +58,7 @@
 
 func callMessage(c *reducer.Call) *message.Call { return c.Message.(*message.Call) }
 
-// served is an app node's answer, held whole.
+// servedReply is a buffered answer of an app node, with an optional header name and value.
 func servedReply(body string, header ...string) reducer.Reply {
 	m := &message.Answer{Status: 200, Header: http.Header{}, Trailer: new(http.Header), Body: []byte(body)}
 	if len(header) > 0 {
@@ -105,7 +105,8 @@
 const lookupRequest = "GET /lookup/a%2Fb//c?q=1;2&key=k%20v&x=%zz HTTP/1.1\nHost: origin.svc\nX-Request-Id: 9b1f\n" +
 	"X-Class: lookup\nX-Tenant: acme\nX-Deadline: 480m\n"
 
-// The proxy would drop what it cannot parse of a query and clean paths; an app node must get what the client sent.
+// Guards against changes of the request target: the proxy by default drops query parameters that it cannot parse and
+// cleans paths.
 func TestCallIsForwardedUnchanged(t *testing.T) {
 	f := startAcceptor(t, 10)
 	c := f.dial()
@@ -116,7 +117,7 @@
 		t.Errorf("%+v %s", call, callMessage(call).Request.RequestURI)
 	}
 	f.Answer(call.ID, servedReply("price\n", "X-Cache", "hit"))
-	f.Answer(call.ID, reducer.Reply{Kind: reducer.Failed}) // the first wins
+	f.Answer(call.ID, reducer.Reply{Kind: reducer.Failed}) // ignored: the first answer wins
 	if resp, body := c.readResponse(); resp.StatusCode != 200 || body != "price\n" || resp.Header.Get("X-Cache") != "hit" {
 		t.Errorf("%+v %q", resp, body)
 	}
@@ -132,15 +133,15 @@
 	}
 }
 
-// What is not a call never reaches the reducer, and so no app node.
+// A request that is not a valid call must not reach the reducer, and so no app node.
 func TestInvalidRequestIsRejected(t *testing.T) {
 	f := startAcceptor(t, 50)
-	for _, cut := range []struct{ from, to string }{
+	for _, tc := range []struct{ from, to string }{
 		{"X-Request-Id: 9b1f\n", ""}, {"X-Class: lookup\n", ""}, {"X-Class: lookup", "X-Class: other"},
 		{"X-Deadline: 480m\n", ""}, {"480m", "480"}, {"480m", "NaNm"}, {"480m", "-1m"}, {"480m", "soon"},
 	} {
-		if resp, _ := f.dial().send(strings.Replace(lookupRequest, cut.from, cut.to, 1), "").readResponse(); resp.StatusCode != 400 {
-			t.Errorf("%q for %q: %d", cut.to, cut.from, resp.StatusCode)
+		if resp, _ := f.dial().send(strings.Replace(lookupRequest, tc.from, tc.to, 1), "").readResponse(); resp.StatusCode != 400 {
+			t.Errorf("%q for %q: %d", tc.to, tc.from, resp.StatusCode)
 		}
 	}
 	c := f.dial()
@@ -149,12 +150,12 @@
 		t.Errorf("%d for a body over the limit", resp.StatusCode)
 	}
 	if len(f.events) != 0 {
-		t.Errorf("the reducer heard %T", <-f.events)
+		t.Errorf("the reducer received %T", <-f.events)
 	}
 }
 
-// A body framed both ways may hide a request behind the end that one of the two gives. Neither the call nor what
-// stands behind it may pass on, and the connection ends.
+// Guards against request smuggling: a body framed both ways may hide a request behind one of its two ends. Neither the
+// call nor the bytes behind it may be forwarded, and the connection closes.
 func TestDoubleFramedBodyClosesConnection(t *testing.T) {
 	f := startAcceptor(t, 10)
 	for _, head := range []string{
@@ -169,11 +170,11 @@
 			t.Errorf("%s: %+v", head, resp)
 		}
 		if _, err := c.ReadByte(); err == nil {
-			t.Error("the connection goes on")
+			t.Error("the connection is still open")
 		}
 	}
 	if len(f.events) != 0 {
-		t.Errorf("the reducer heard %T", <-f.events)
+		t.Errorf("the reducer received %T", <-f.events)
 	}
 }
 
@@ -188,18 +189,18 @@
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	if len(f.pending) != 0 {
-		t.Error("the call is still waited for")
+		t.Error("the call is still pending")
 	}
 }
 
-// Over the budget the longest idle client makes room; one that waits for an answer is left alone.
+// At the budget, the longest idle connection is closed, but not one that waits for an answer.
 func TestOldestIdleConnectionIsEvicted(t *testing.T) {
 	f := startAcceptor(t, 2)
 	one := f.dial().send(lookupRequest, "")
 	call := (<-f.events).(reducer.Arrived).Call
 	two := f.dial().send("GET /health/ready HTTP/1.1\nHost: x\n", "")
 	if resp, _ := two.readResponse(); resp.StatusCode != 503 {
-		t.Fatalf("ready before it was said: %d", resp.StatusCode)
+		t.Fatalf("ready before Ready was called: %d", resp.StatusCode)
 	}
 	f.Ready()
 	three := f.dial().send("GET /health/ready HTTP/1.1\nHost: x\n", "")
@@ -207,22 +208,23 @@
 		t.Fatalf("%d", resp.StatusCode)
 	}
 	if _, err := two.ReadByte(); err != io.EOF {
-		t.Errorf("the idle client: %v", err)
+		t.Errorf("idle connection: %v, want EOF", err)
 	}
 	f.Answer(call.ID, servedReply(""))
 	one.readResponse()
 }
 
-// Clients that ask once and keep their connections for good must not use up what the front may open.
+// Clients that send one request and keep their connections open must not use up the connections that the front-end load
+// balancer may open.
 func TestExcessIdleConnectionsAreClosed(t *testing.T) {
 	f := startAcceptor(t, 100)
-	began := time.Now()
+	start := time.Now()
 	var all []*testClient
 	for i := range 9 {
 		c := f.dial().send("GET /health/ready HTTP/1.1\nHost: x\n", "")
 		c.readResponse()
 		all = append(all, c)
-		for until := time.Now().Add(20 * time.Second); ; time.Sleep(time.Millisecond) { // until the server counts it as idle
+		for until := time.Now().Add(20 * time.Second); ; time.Sleep(time.Millisecond) { // until it counts as idle
 			f.conns.mu.Lock()
 			idle := len(f.conns.idle)
 			f.conns.mu.Unlock()
@@ -235,73 +237,76 @@
 	}
 	for _, c := range all[:3] {
 		if _, err := c.ReadByte(); err != io.EOF {
-			t.Errorf("one of the oldest: %v", err)
+			t.Errorf("one of the oldest connections: %v, want EOF", err)
 		}
 	}
-	if d := time.Since(began); d > idleTimeout/2 {
-		t.Errorf("the oldest ended after %v", d)
+	if d := time.Since(start); d > idleTimeout/2 {
+		t.Errorf("the oldest connections closed after %v", d)
 	}
 	for _, c := range all[3:] {
 		c.send("GET /health/ready HTTP/1.1\nHost: x\n", "").readResponse()
 	}
 }
 
-// Connections that say nothing come by hundreds. They must neither fill the budget for those that ask, nor stay.
+// Silent connections arrive by the hundred. They must neither use up the budget of clients that send requests nor stay
+// open.
 func TestSilentConnectionsDoNotExhaustBudget(t *testing.T) {
 	f := startAcceptor(t, 8)
 	f.Ready()
-	usual := f.dial().send("GET /health/ready HTTP/1.1\nHost: x\n", "")
-	usual.readResponse()
-	began := time.Now()
+	active := f.dial().send("GET /health/ready HTTP/1.1\nHost: x\n", "")
+	active.readResponse()
+	start := time.Now()
 	var silent []*testClient
 	for range 40 {
 		silent = append(silent, f.dial())
 	}
 	for range 3 {
 		f.dial().send("GET /health/ready HTTP/1.1\nHost: x\n", "").readResponse()
-		usual.send("GET /health/ready HTTP/1.1\nHost: x\n", "").readResponse()
+		active.send("GET /health/ready HTTP/1.1\nHost: x\n", "").readResponse()
 	}
-	if d := time.Since(began); d > headerTimeout {
-		t.Errorf("those that asked waited %v", d)
+	if d := time.Since(start); d > headerTimeout {
+		t.Errorf("clients with requests waited %v", d)
 	}
 	for _, c := range silent {
 		if _, err := c.ReadByte(); err != io.EOF {
-			t.Errorf("a silent client: %v", err)
+			t.Errorf("silent connection: %v, want EOF", err)
 		}
 	}
-	if d := time.Since(began); d > 3*time.Second {
-		t.Errorf("the silent ones stayed %v", d)
+	if d := time.Since(start); d > 3*time.Second {
+		t.Errorf("silent connections stayed open for %v", d)
 	}
 }
 
-// Whatever a client leaves half done, it is told or closed within 3 s, and a length that is too long at once.
+// An incomplete request is answered or closed within 3 s, and one whose Content-Length is over the limit is answered at
+// once.
 func TestIncompleteRequestEnds(t *testing.T) {
-	for name, says := range map[string]string{
-		"half a head":  "GET /lookup HTTP/1.1\r\nHost:",
-		"endless head": "GET /lookup HTTP/1.1\r\nHost: x\r\nX-Pad: " + strings.Repeat("p", 1<<20),
-		"half a body":  strings.ReplaceAll("POST"+lookupRequest[3:]+"Content-Length: 1000\n\n", "\n", "\r\n") + "ab",
-		"no body":      "GET /health/ready HTTP/1.1\r\nHost: x\r\nContent-Length: 100000\r\n\r\n",
-		"60 MB":        strings.ReplaceAll("POST"+lookupRequest[3:]+"Content-Length: 60000000\n\n", "\n", "\r\n") + "ab",
-		"no length":    strings.ReplaceAll("POST"+lookupRequest[3:]+"Content-Length: -4\n\n", "\n", "\r\n") + "abcd",
+	for name, request := range map[string]string{
+		"half a header":  "GET /lookup HTTP/1.1\r\nHost:",
+		"endless header": "GET /lookup HTTP/1.1\r\nHost: x\r\nX-Pad: " + strings.Repeat("p", 1<<20),
+		"half a body":    strings.ReplaceAll("POST"+lookupRequest[3:]+"Content-Length: 1000\n\n", "\n", "\r\n") + "ab",
+		"no body":        "GET /health/ready HTTP/1.1\r\nHost: x\r\nContent-Length: 100000\r\n\r\n",
+		"60 MB":          strings.ReplaceAll("POST"+lookupRequest[3:]+"Content-Length: 60000000\n\n", "\n", "\r\n") + "ab",
+		"no length":      strings.ReplaceAll("POST"+lookupRequest[3:]+"Content-Length: -4\n\n", "\n", "\r\n") + "abcd",
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
 			f := startAcceptor(t, 10)
-			began, c := time.Now(), f.dial()
-			go io.WriteString(c, says)
-			said, err := io.ReadAll(c.Reader)
-			if d := time.Since(began); d > 3*time.Second || strings.HasPrefix(string(said), "HTTP/1.1 200") ||
-				len(said) == 0 && err == nil && name == "60 MB" {
-				t.Errorf("after %v: %.40q %v", d, said, err)
+			start, c := time.Now(), f.dial()
+			go io.WriteString(c, request)
+			response, err := io.ReadAll(c.Reader)
+			if d := time.Since(start); d > 3*time.Second || strings.HasPrefix(string(response), "HTTP/1.1 200") ||
+				len(response) == 0 && err == nil && name == "60 MB" {
+				t.Errorf("after %v: %.40q %v", d, response, err)
 			}
 			if len(f.events) != 0 {
-				t.Errorf("the reducer heard %T", <-f.events)
+				t.Errorf("the reducer received %T", <-f.events)
 			}
 		})
 	}
 }
 
-// The patience with a body is over once it is there: left in force it would end the call as if its client had left.
+// Guards against a body timeout that stays in force once the body has been read: it would end the call as if the client
+// had disconnected.
 func TestBodyTimeoutDoesNotApplyToAnswer(t *testing.T) {
 	f := startAcceptor(t, 10)
 	c := f.dial().send("POST"+lookupRequest[3:]+"Content-Length: 2\n", "ab")
@@ -317,14 +322,14 @@
 	}
 }
 
-// After the signal to end, what was taken is answered, each answer ends its connection, new connections are
-// taken for a while yet, and then none.
+// After the termination signal, accepted calls are answered, each answer closes its connection, and new connections are
+// accepted for drainAcceptPeriod alone.
 func TestDrainFinishesAcceptedCalls(t *testing.T) {
 	f := startAcceptor(t, 10)
 	f.Ready()
 	before := f.dial().send(lookupRequest, "")
 	first := (<-f.events).(reducer.Arrived).Call
-	began, ended := time.Now(), make(chan struct{})
+	start, ended := time.Now(), make(chan struct{})
 	go func() {
 		if err := f.Drain(); err != nil {
 			t.Error(err)
@@ -338,7 +343,7 @@
 	second := (<-f.events).(reducer.Arrived).Call
 	f.Answer(second.ID, servedReply(""))
 	if resp, _ := after.readResponse(); !resp.Close {
-		t.Error("the connection was kept")
+		t.Error("the connection was kept open")
 	}
 	for { // until the listener is closed
 		nc, err := net.Dial("tcp", f.addr)
@@ -348,8 +353,8 @@
 		nc.Close()
 		time.Sleep(5 * time.Millisecond)
 	}
-	if d := time.Since(began); d < 700*time.Millisecond {
-		t.Errorf("accepted for %v only", d)
+	if d := time.Since(start); d < 700*time.Millisecond {
+		t.Errorf("new connections were accepted for only %v", d)
 	}
 	f.Answer(first.ID, servedReply("done"))
 	if _, body := before.readResponse(); body != "done" {
@@ -358,22 +363,24 @@
 	<-ended
 }
 
-// lendable is a large answer whose beginning is held and whose rest the test gives.
+// streamedReply returns a large answer whose beginning is held; the test writes the rest. A negative length means that
+// the answer states none.
 func streamedReply(room *flow.Room, length int, held string) (reducer.Reply, *io.PipeWriter) {
 	lease, err := room.Take(nil, 0)
 	if err != nil {
 		panic(err)
 	}
-	rest, more := io.Pipe()
+	rest, writer := io.Pipe()
 	m := &message.Answer{Status: 200, Header: http.Header{}, Trailer: new(http.Header),
 		Flow: flow.New(lease, append(lease.Held(), held...), rest, 1<<30)}
 	if length >= 0 {
 		m.Header.Set("Content-Length", strconv.Itoa(length))
 	}
-	return reducer.Reply{Kind: reducer.Served, Message: m}, more
+	return reducer.Reply{Kind: reducer.Served, Message: m}, writer
 }
 
-// What flows reaches the client piece by piece, as it comes, and whole; the memory comes back; the connection is used on.
+// A streamed answer reaches the client piece by piece, as it is received, and complete. Its memory is returned, and the
+// connection is reused.
 func TestAnswerIsStreamed(t *testing.T) {
 	f := startAcceptor(t, 10)
 	c := f.dial()
@@ -381,15 +388,15 @@
 		c.send(lookupRequest, "")
 		call := (<-f.events).(reducer.Arrived).Call
 		room := flow.NewRoom(1)
-		reply, more := streamedReply(room, length, "abc")
+		reply, writer := streamedReply(room, length, "abc")
 		f.Answer(call.ID, reply)
 		resp, err := http.ReadResponse(c.Reader, nil)
 		if err != nil {
 			t.Fatal(err)
 		}
-		for _, piece := range []string{"abc", "def", "ghi"} { // each before the next is there
+		for _, piece := range []string{"abc", "def", "ghi"} { // each is received before the next is written
 			if piece != "abc" {
-				io.WriteString(more, piece)
+				io.WriteString(writer, piece)
 			}
 			got := make([]byte, 3)
 			if _, err := io.ReadFull(resp.Body, got); err != nil || string(got) != piece {
@@ -399,31 +406,32 @@
 		if length < 0 {
 			reply.Message.(*message.Answer).Trailer = &http.Header{"X-Sum": {"5"}}
 		}
-		more.Close()
+		writer.Close()
 		if rest, err := io.ReadAll(resp.Body); len(rest) != 0 || err != nil {
 			t.Errorf("%q %v", rest, err)
 		}
 		if length < 0 && resp.Trailer.Get("X-Sum") != "5" {
 			t.Errorf("trailer %v", resp.Trailer)
 		}
-		c.send("GET /health/ready HTTP/1.1\nHost: x\n", "").readResponse() // the same connection
+		c.send("GET /health/ready HTTP/1.1\nHost: x\n", "").readResponse() // reuses the connection
 		if now, _ := room.Lent(); now != 0 {
 			t.Errorf("%d bytes still lent", now)
 		}
 	}
 }
 
-// A break in the middle must show: a body short of its length, or chunks without their last.
+// Guards against a truncated answer that looks complete: the client must see a body shorter than its length, or chunks
+// without the last one.
 func TestTruncatedStreamIsVisible(t *testing.T) {
 	for _, length := range []int{100, -1} {
 		f := startAcceptor(t, 10)
 		c := f.dial().send(lookupRequest, "")
 		call := (<-f.events).(reducer.Arrived).Call
 		room := flow.NewRoom(1)
-		reply, more := streamedReply(room, length, "abc")
+		reply, writer := streamedReply(room, length, "abc")
 		f.Answer(call.ID, reply)
-		io.WriteString(more, "def")
-		more.CloseWithError(io.ErrUnexpectedEOF)
+		io.WriteString(writer, "def")
+		writer.CloseWithError(io.ErrUnexpectedEOF)
 		resp, err := http.ReadResponse(c.Reader, nil)
 		if err != nil {
 			t.Fatal(err)
@@ -432,13 +440,13 @@
 			t.Errorf("%q %v", got, err)
 		}
 		if _, err := c.ReadByte(); err == nil {
-			t.Error("the connection goes on")
+			t.Error("the connection is still open")
 		}
 		f.waitMemoryReturned(room)
 	}
 }
 
-// idle waits until nothing is lent any more.
+// waitMemoryReturned waits until nothing of room is lent any more.
 func (f *testAcceptor) waitMemoryReturned(room *flow.Room) {
 	f.t.Helper()
 	for until := time.Now().Add(20 * time.Second); ; time.Sleep(time.Millisecond) {
@@ -450,35 +458,35 @@
 	}
 }
 
-// A client that leaves while nothing comes for it is told of, and one that takes nothing ends the flow by itself: when it
-// has been idle for too long, or at the call's deadline. One that takes little, but something, is waited for.
+// The disconnect of a client is reported while it receives no data, and the answer to a client that reads nothing ends
+// after ClientIdle.
 func TestStreamEndsWithoutItsClient(t *testing.T) {
 	f := startAcceptor(t, 10)
 	c := f.dial().send(lookupRequest, "")
 	call := (<-f.events).(reducer.Arrived).Call
 	room := flow.NewRoom(1)
-	reply, more := streamedReply(room, -1, "abc")
+	reply, writer := streamedReply(room, -1, "abc")
 	f.Answer(call.ID, reply)
 	c.ReadByte()
 	c.Close()
 	if gone, ok := (<-f.events).(reducer.ClientGone); !ok || gone.Call != call.ID {
 		t.Fatalf("%+v", gone)
 	}
-	more.CloseWithError(net.ErrClosed) // as the delegation does
+	writer.CloseWithError(net.ErrClosed) // as the delegation package does
 	f.waitMemoryReturned(room)
 
 	f.bounds.ClientIdle = 40 * time.Millisecond
 	c = f.dial()
 	c.send(lookupRequest, "")
 	call = (<-f.events).(reducer.Arrived).Call
-	reply, more = streamedReply(room, -1, "abc")
+	reply, writer = streamedReply(room, -1, "abc")
 	f.Answer(call.ID, reply)
 	endless := make(chan struct{})
 	go func() {
 		defer close(endless)
 		piece := make([]byte, 1<<20)
 		for {
-			if _, err := more.Write(piece); err != nil {
+			if _, err := writer.Write(piece); err != nil {
 				return
 			}
 		}
@@ -487,16 +495,16 @@
 	if err := reply.Message.(*message.Answer).Flow.Err(); err != flow.ErrStopped {
 		t.Error(err)
 	}
-	more.CloseWithError(net.ErrClosed)
+	writer.CloseWithError(net.ErrClosed)
 	<-endless
 	f.waitMemoryReturned(room)
 }
 
-// An upload goes on to whoever reads it, and a 100 Continue goes to the client when that begins; an answer in its middle
-// ends it and the connection; where uploads are not taken they are refused unread.
+// An upload is passed to its reader, and the first read sends 100 Continue to the client. An answer before its end ends
+// the upload and closes the connection. An upload over the limit is rejected unread.
 func TestUploadIsStreamed(t *testing.T) {
 	f := startAcceptorWithUploads(t, 10, 1<<20)
-	f.bounds.ClientIdle = time.Hour // so that nothing here ends by itself
+	f.bounds.ClientIdle = time.Hour // no timeout during the test
 	head := "POST" + lookupRequest[3:] + "Content-Length: 100000\n"
 	body := strings.Repeat("0123456789", 10000)
 	c := f.dial().send(head+"Expect: 100-continue\n", "")
@@ -506,7 +514,7 @@
 		t.Fatalf("%+v", call)
 	}
 	if c.Buffered() != 0 {
-		t.Error("told to go on before anybody reads")
+		t.Error("100 Continue was sent before the first read")
 	}
 	got := make(chan string)
 	go func() {
@@ -537,16 +545,16 @@
 	if resp, text := c.readResponse(); text != "enough" || !resp.Close {
 		t.Errorf("%+v %q", resp, text)
 	}
-	io.WriteString(c, body[1000:50000]) // nobody wants it, and it does not cost the client its answer
+	io.WriteString(c, body[1000:50000]) // the unwanted rest must not cost the client its answer
 	if _, err := c.ReadByte(); err == nil {
-		t.Error("the connection goes on")
+		t.Error("the connection is still open")
 	}
 	if resp, _ := f.dial().send("POST"+lookupRequest[3:]+"Content-Length: 1048577\n", "").readResponse(); resp.StatusCode != 413 {
 		t.Errorf("%d for an upload over the limit", resp.StatusCode)
 	}
 }
 
-// A body that takes longer than the server has for a whole call does not cost the client its answer.
+// Guards against a body that takes longer than the server's write timeout and loses the client its answer.
 func TestSlowBodyIsAnswered(t *testing.T) {
 	f := startAcceptorWith(t, 10, 1<<20, func(a *Acceptor) { a.server.WriteTimeout = 20 * time.Millisecond })
 	c := f.dial().send("POST"+lookupRequest[3:]+"Content-Length: 100000\n", "")
@@ -557,7 +565,7 @@
 		read <- err
 	}()
 	for range 10 {
-		time.Sleep(4 * time.Millisecond) // past the server's time, whatever else delays it
+		time.Sleep(4 * time.Millisecond) // past the server's write timeout in all
 		io.WriteString(c, strings.Repeat("x", 10000))
 	}
 	if err := <-read; err != nil {
@@ -570,8 +578,8 @@
 	}
 }
 
-// A body in chunks, with extensions and a trailer, is taken whole where it is short. It is the connection's last: what stands
-// behind it is never read as a request.
+// A short chunked body, with extensions and a trailer, is buffered whole; a long one becomes an upload. It is the
+// connection's last request: bytes behind it are never read as a request.
 func TestChunkedBody(t *testing.T) {
 	f := startAcceptorWithUploads(t, 10, 1<<20)
 	head := "POST" + lookupRequest[3:] + "Transfer-Encoding: chunked\n"
@@ -585,10 +593,10 @@
 		t.Errorf("%+v %q", resp, text)
 	}
 	if _, err := c.ReadByte(); err == nil {
-		t.Error("the connection goes on")
+		t.Error("the connection is still open")
 	}
 	if len(f.events) != 0 {
-		t.Errorf("the reducer heard %T", <-f.events)
+		t.Errorf("the reducer received %T", <-f.events)
 	}
 	long := strings.Repeat("0123456789", 20000)
 	c = f.dial().send(head, "")
@@ -610,20 +618,20 @@
 	}
 }
 
-// A client that takes a little now and then is no idle one: its patience counts from the last byte that it took, not from
-// the beginning of a piece that is too large for the buffers between.
+// A client that reads a little now and then is not idle: the timeout counts from the last acknowledged byte, not from the
+// start of a write that exceeds the socket buffers.
 func TestSlowReaderIsNotTimedOut(t *testing.T) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer l.Close()
-	far, err := net.Dial("tcp", l.Addr().String())
+	remote, err := net.Dial("tcp", l.Addr().String())
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer far.Close()
-	far.(*net.TCPConn).SetReadBuffer(8 << 10)
+	defer remote.Close()
+	remote.(*net.TCPConn).SetReadBuffer(8 << 10)
 	nc, err := l.Accept()
 	if err != nil {
 		t.Fatal(err)
@@ -640,11 +648,11 @@
 		}
 		wrote <- err
 	}()
-	read, tick := 0, time.NewTicker(40*time.Millisecond) // 1.6 s in all, past the patience
+	read, tick := 0, time.NewTicker(40*time.Millisecond) // 1.6 s in all, past the timeout
 	defer tick.Stop()
 	for range 40 {
 		<-tick.C
-		n, err := io.ReadFull(far, make([]byte, 10<<10))
+		n, err := io.ReadFull(remote, make([]byte, 10<<10))
 		if read += n; err != nil {
 			t.Fatalf("after %d bytes: %v, %v", read, err, <-wrote)
 		}
@@ -654,8 +662,8 @@
 	}
 }
 
-// While another version serves, clients' connections between calls go that are over this one's part, and the front is told
-// yes to the end, since the other one is ready.
+// While another version listens on the same address, idle connections over this one's share are closed, and the readiness
+// check succeeds even while this one drains, since the other is ready.
 func TestClientBudgetIsShared(t *testing.T) {
 	f := startAcceptor(t, 8)
 	f.Ready()
@@ -668,7 +676,7 @@
 		kept = append(kept, c)
 	}
 	f.Share(2)
-	for _, c := range kept[:2] { // the oldest two of six, for four
+	for _, c := range kept[:2] { // the oldest two of six; the share is four
 		if _, err := c.ReadByte(); err != io.EOF {
 			t.Errorf("%v", err)
 		}
--- a/internal/acceptor/clients.go
+++ b/internal/acceptor/clients.go
@@ -17,8 +17,8 @@
 
 // connTracker counts client connections against the descriptor budget. When the budget is used up, it closes one
 // connection without a call: the oldest without a first request, if these hold more than a quarter of the budget or none
-// is idle, else the one that has been idle longest. Silent connections arrive by the hundred and must not keep out clients that send
-// requests.
+// is idle, else the one that has been idle longest. Silent connections arrive by the hundred and must not keep out
+// clients that send requests.
 //
 // Clients may also keep connections open indefinitely after one use, while the front-end load balancer opens a limited
 // number. The longest idle connections are therefore closed while more than maxKept are open that have sent a request.
@@ -35,7 +35,7 @@
 	sequence        uint64
 	reducedBudget   int // lower budget in force until reducedUntil, since descriptors ran out below budget; 0: none
 	reducedUntil    time.Time
-	closing         int                    // open connections that have been asked to close
+	closingCount    int                    // open connections that have been asked to close
 	newConns        map[*clientConn]uint64 // no first request yet, by order of arrival
 	idle            map[*clientConn]uint64 // between calls, by order of last answer
 }
@@ -75,11 +75,11 @@
 
 // setStreaming marks the start or the end of a streamed answer. A write of a streamed answer fails once the client has
 // acknowledged nothing for stallTimeout.
-func (c *clientConn) setStreaming(flows bool, patience time.Duration) {
+func (c *clientConn) setStreaming(streaming bool, stallTimeout time.Duration) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.streaming, c.stallTimeout = flows, patience
-	if flows {
+	c.streaming, c.stallTimeout = streaming, stallTimeout
+	if streaming {
 		c.ackedAt = time.Now()
 		c.withDescriptor(func(fd int) { unix.SetsockoptInt(fd, unix.IPPROTO_TCP, unix.TCP_NOTSENT_LOWAT, maxUnsentBytes) })
 	}
@@ -134,10 +134,10 @@
 // sendRejection writes unavailableResponse, once, to a client marked by markRejected: its request may be on the way.
 func (c *clientConn) sendRejection() {
 	c.mu.Lock()
-	refused := c.rejectOnClose
+	rejected := c.rejectOnClose
 	c.rejectOnClose = false
 	c.mu.Unlock()
-	if refused {
+	if rejected {
 		c.TCPConn.SetWriteDeadline(time.Now().Add(rejectTimeout))
 		io.WriteString(c.TCPConn, unavailableResponse)
 	}
@@ -180,10 +180,10 @@
 // acknowledged: the bytes written less those that the kernel still holds (SIOCOUTQ, tcp(7)).
 func (c *clientConn) Write(p []byte) (n int, err error) {
 	c.mu.Lock()
-	flows, patience := c.streaming, c.stallTimeout
+	streaming, stallTimeout := c.streaming, c.stallTimeout
 	c.mu.Unlock()
-	if !flows {
-		c.TCPConn.SetWriteDeadline(time.Now().Add(max(patience, writeTimeout)))
+	if !streaming {
+		c.TCPConn.SetWriteDeadline(time.Now().Add(max(stallTimeout, writeTimeout)))
 		n, err = c.TCPConn.Write(p)
 		c.written += int64(n)
 		return n, err
@@ -191,9 +191,9 @@
 	defer func() { c.written += int64(n) }()
 	c.ackedAt = time.Now()
 	for {
-		c.TCPConn.SetWriteDeadline(time.Now().Add(patience / progressChecks))
-		written, err := c.TCPConn.Write(p[n:])
-		n += written
+		c.TCPConn.SetWriteDeadline(time.Now().Add(stallTimeout / progressChecks))
+		count, err := c.TCPConn.Write(p[n:])
+		n += count
 		if err == nil || !errors.Is(err, os.ErrDeadlineExceeded) || !c.isProgressing(n) {
 			return n, err
 		}
@@ -231,26 +231,26 @@
 
 // setClosing starts or cancels the closing of the connection by a read deadline in the past. It reports whether the
 // state has changed.
-func (c *clientConn) setClosing(leaving bool) bool {
+func (c *clientConn) setClosing(closing bool) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if leaving == c.closing {
+	if closing == c.closing {
 		return false
 	}
-	c.closing = leaving
-	if !leaving {
+	c.closing = closing
+	if !closing {
 		c.rejectOnClose = false
 	}
-	at := time.Time{}
-	if leaving {
-		at = time.Unix(1, 0)
+	deadline := time.Time{}
+	if closing {
+		deadline = time.Unix(1, 0)
 	}
-	c.TCPConn.SetReadDeadline(at)
+	c.TCPConn.SetReadDeadline(deadline)
 	return true
 }
 
-func newConnTracker(budget, kept int) *connTracker {
-	c := &connTracker{budget: budget, maxKept: kept, configured: [2]int{budget, kept}, newConns: map[*clientConn]uint64{}, idle: map[*clientConn]uint64{}}
+func newConnTracker(budget, maxKept int) *connTracker {
+	c := &connTracker{budget: budget, maxKept: maxKept, configured: [2]int{budget, maxKept}, newConns: map[*clientConn]uint64{}, idle: map[*clientConn]uint64{}}
 	c.slotFreed = sync.NewCond(&c.mu)
 	return c
 }
@@ -261,7 +261,7 @@
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.budget, c.maxKept = max(1, c.configured[0]/parts), max(1, c.configured[1]/parts)
-	for over := c.open - c.closing - c.budget; over > 0 && len(c.idle) > 0; over-- {
+	for over := c.open - c.closingCount - c.budget; over > 0 && len(c.idle) > 0; over-- {
 		c.closeOldest(c.idle)
 	}
 	c.slotFreed.Broadcast()
@@ -282,27 +282,27 @@
 		c.newConns[conn] = c.sequence
 	case http.StateIdle:
 		c.idle[conn] = c.sequence
-		if c.open-len(c.newConns)-c.closing > c.maxKept {
+		if c.open-len(c.newConns)-c.closingCount > c.maxKept {
 			c.closeOldest(c.idle)
 		}
 	case http.StateActive:
 		conn.setStreaming(false, 0)
 		if conn.setClosing(false) {
-			c.closing--
+			c.closingCount--
 		}
 	case http.StateClosed, http.StateHijacked:
 		if c.open--; conn.setClosing(false) {
-			c.closing--
+			c.closingCount--
 		}
 	}
 	c.slotFreed.Signal()
 }
 
 // oldestConn returns the connection with the lowest sequence number, or nil if there is none.
-func oldestConn(from map[*clientConn]uint64) *clientConn {
+func oldestConn(conns map[*clientConn]uint64) *clientConn {
 	var oldest *clientConn
-	for conn, sequence := range from {
-		if oldest == nil || sequence < from[oldest] {
+	for conn, sequence := range conns {
+		if oldest == nil || sequence < conns[oldest] {
 			oldest = conn
 		}
 	}
@@ -311,11 +311,11 @@
 
 // closeOldest starts to close the oldest connection of a set; its server goroutine reports the close by
 // connStateChanged.
-func (c *connTracker) closeOldest(from map[*clientConn]uint64) {
-	if oldest := oldestConn(from); oldest != nil {
-		delete(from, oldest)
+func (c *connTracker) closeOldest(conns map[*clientConn]uint64) {
+	if oldest := oldestConn(conns); oldest != nil {
+		delete(conns, oldest)
 		if oldest.setClosing(true) {
-			c.closing++
+			c.closingCount++
 		}
 	}
 }
@@ -331,7 +331,7 @@
 	for _, m := range groups {
 		for conn := range m {
 			if conn.setClosing(true) {
-				c.closing++
+				c.closingCount++
 			}
 		}
 		clear(m)
@@ -342,7 +342,7 @@
 func (c *connTracker) waitClosed(timeout time.Duration) {
 	for until := time.Now().Add(timeout); time.Now().Before(until); time.Sleep(time.Millisecond) {
 		c.mu.Lock()
-		closing := c.closing
+		closing := c.closingCount
 		c.mu.Unlock()
 		if closing == 0 {
 			return
@@ -407,7 +407,7 @@
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.reducedBudget, c.reducedUntil = max(1, min(c.maxOpen(), c.open-max(minReleased, c.open/3))), time.Now().Add(reducedBudgetPeriod)
-	for over := c.open - c.closing - c.reducedBudget; over > 0 && len(c.newConns)+len(c.idle) > 0; over-- {
+	for over := c.open - c.closingCount - c.reducedBudget; over > 0 && len(c.newConns)+len(c.idle) > 0; over-- {
 		c.evictOne()
 	}
 }
--- a/internal/acceptor/close_test.go
+++ b/internal/acceptor/close_test.go
@@ -15,10 +15,10 @@
 	"pewterrudder/internal/reducer"
 )
 
-// gate stops the server at a state of a connection, until it is opened.
+// stateGate stops the server at the first connection that reaches a state, until released is closed.
 type stateGate struct {
 	state    http.ConnState
-	reached  chan net.Conn // at the gate
+	reached  chan net.Conn // receives that connection
 	released chan struct{}
 	once     sync.Once
 }
@@ -28,9 +28,9 @@
 }
 
 func (g *stateGate) install(a *Acceptor) {
-	changed := a.server.ConnState
+	next := a.server.ConnState
 	a.server.ConnState = func(nc net.Conn, s http.ConnState) {
-		changed(nc, s)
+		next(nc, s)
 		if s == g.state {
 			g.once.Do(func() {
 				g.reached <- nc
@@ -40,7 +40,7 @@
 	}
 }
 
-// holds waits until the kernel holds so many bytes for a connection, or its end.
+// waitBuffered waits until the kernel has received n bytes for a connection.
 func waitBuffered(t *testing.T, nc net.Conn, n int) {
 	t.Helper()
 	raw, err := nc.(*clientConn).TCPConn.SyscallConn()
@@ -54,30 +54,30 @@
 			return
 		}
 		if time.Now().After(until) {
-			t.Fatalf("%d bytes of %d came", buffered, n)
+			t.Fatalf("received %d bytes of %d", buffered, n)
 		}
 	}
 }
 
-// A request may have come on a connection at the moment at which that ends, since it carried none: because its time is over,
-// to make room, for operators, or at the end. It is read and answered all the same, on the last leg of its connection or not.
+// Guards against the loss of a request that arrives while its connection is being closed because it carries no call: by a
+// timeout, by eviction, by an operator (Part) or by Drain. The request must still be read and answered.
 func TestRequestArrivingDuringCloseIsServed(t *testing.T) {
 	request := strings.ReplaceAll(lookupRequest, "\n", "\r\n") + "\r\n"
 	for _, state := range []http.ConnState{http.StateNew, http.StateIdle} {
 		for name, end := range map[string]func(*testAcceptor){
-			"time":   func(f *testAcceptor) {}, // see below
-			"parted": func(f *testAcceptor) { f.Part(true) },
-			"room": func(f *testAcceptor) {
+			"timeout":        func(f *testAcceptor) {}, // set by the timeouts below
+			"closed by Part": func(f *testAcceptor) { f.Part(true) },
+			"eviction": func(f *testAcceptor) {
 				f.conns.mu.Lock()
 				defer f.conns.mu.Unlock()
 				f.conns.closeOldest(f.conns.newConns)
 				f.conns.closeOldest(f.conns.idle)
 			},
-			"the end": func(f *testAcceptor) {
+			"drain": func(f *testAcceptor) {
 				go f.Drain()
-				for told := false; !told; time.Sleep(time.Millisecond) {
+				for closing := false; !closing; time.Sleep(time.Millisecond) {
 					f.conns.mu.Lock()
-					told = f.conns.closing > 0
+					closing = f.conns.closingCount > 0
 					f.conns.mu.Unlock()
 				}
 			},
@@ -87,11 +87,11 @@
 				g := newStateGate(state)
 				f := startAcceptorWith(t, 10, 0, func(a *Acceptor) {
 					g.install(a)
-					if name != "time" {
+					if name != "timeout" {
 						return
 					}
 					if a.server.IdleTimeout = 1; state == http.StateNew {
-						a.server.ReadHeaderTimeout = 1 // over before anything is read
+						a.server.ReadHeaderTimeout = 1 // expires before anything is read
 					}
 				})
 				c := f.dial()
@@ -118,24 +118,24 @@
 	}
 }
 
-// What has come is half a request, or nothing: then the connection does end.
+// A connection that is being closed does close if it has received half a request header, or nothing.
 func TestIncompleteHeaderDuringCloseIsDropped(t *testing.T) {
-	for _, said := range []string{"", "GET /lookup HT"} {
+	for _, input := range []string{"", "GET /lookup HT"} {
 		g := newStateGate(http.StateNew)
 		f := startAcceptorWith(t, 10, 0, g.install)
 		c := f.dial()
-		io.WriteString(c, said)
-		waitBuffered(t, <-g.reached, len(said))
+		io.WriteString(c, input)
+		waitBuffered(t, <-g.reached, len(input))
 		f.Part(true)
 		close(g.released)
-		if all, err := io.ReadAll(c.Reader); len(all) > 0 { // the end may come as a reset, over what nobody has read
-			t.Errorf("%q: it is answered with %q, %v", said, all, err)
+		if all, err := io.ReadAll(c.Reader); len(all) > 0 { // unread input may turn the close into a reset
+			t.Errorf("%q was answered with %q, %v", input, all, err)
 		}
 	}
 }
 
-// A close under bytes that nobody has read is answered by the kernel with a reset, and what the client has not yet been sent
-// of its answer is lost. So the rest is taken first.
+// Guards against a truncated answer: on a close with unread input the kernel sends a reset and drops what the client has
+// not yet received. So the input must be read first.
 func TestUnreadInputDoesNotResetAnswer(t *testing.T) {
 	f := startAcceptor(t, 10)
 	nc, err := (&net.Dialer{}).Dial("tcp", f.addr)
@@ -144,12 +144,12 @@
 	}
 	defer nc.Close()
 	nc.SetDeadline(time.Now().Add(20 * time.Second))
-	nc.(*net.TCPConn).SetReadBuffer(4 << 10) // it takes little at a time, so that most of the answer stays with us
+	nc.(*net.TCPConn).SetReadBuffer(4 << 10) // a small buffer, so that most of the answer waits on the server side
 	next := strings.ReplaceAll(lookupRequest, "\n", "\r\n") + "\r\n"
 	io.WriteString(nc, next)
 	e := f.nextEvent().(reducer.Arrived)
 	io.WriteString(nc, strings.Repeat(next, 300))
-	f.draining.Store(true) // so that the connection ends behind the answer
+	f.draining.Store(true) // so that the connection closes after the answer
 	body := strings.Repeat("0123456789", 6_000)
 	f.Answer(e.Call.ID, servedReply(body))
 	got, err := io.ReadAll(nc)
@@ -158,13 +158,13 @@
 	}
 }
 
-// The deadline for writing follows the answer, not the settings of the start: a client that waits for its 100 Continue longer
-// than any call lasted then still gets it.
+// The write deadline follows each write, not the settings at the start: a client that waits for its 100 Continue longer
+// than the server's write timeout still gets it.
 func TestLateContinueIsSent(t *testing.T) {
-	f := startAcceptorWith(t, 10, 1<<20, func(a *Acceptor) { a.server.WriteTimeout = 20 * time.Millisecond }) // as if it had been right once
+	f := startAcceptorWith(t, 10, 1<<20, func(a *Acceptor) { a.server.WriteTimeout = 20 * time.Millisecond }) // a limit from earlier settings
 	c := f.dial().send("POST"+lookupRequest[3:]+"Content-Length: 100000\nExpect: 100-continue\n", "")
 	call := f.nextEvent().(reducer.Arrived).Call
-	time.Sleep(100 * time.Millisecond) // no verdict hangs on it: it has to be past the 20 ms
+	time.Sleep(100 * time.Millisecond) // past the write timeout of 20 ms; the length is not checked
 	got := make(chan int)
 	go func() {
 		all, _ := io.ReadAll(callMessage(call).Upload)
@@ -183,8 +183,8 @@
 	}
 }
 
-// A connection that has said nothing when the program stops taking connections ends then, also one that came last: what is
-// said on it later might not be finished before the kill. What was taken goes on meanwhile.
+// Connections without a call are closed when Drain stops accepting, the newest included: a request that came on one later
+// might not finish before the process is killed. Calls in progress continue.
 func TestDrainClosesSilentConnections(t *testing.T) {
 	f := startAcceptorWith(t, 10, 0, func(a *Acceptor) { a.server.ReadHeaderTimeout, a.server.IdleTimeout = time.Hour, time.Hour })
 	busy := f.dial().send(lookupRequest, "")
@@ -195,20 +195,20 @@
 	silent := f.dial()
 	ended := make(chan error, 1)
 	go func() { ended <- f.Drain() }()
-	plain := referenceServer(t)
+	reference := referenceServer(t)
 	for _, c := range []*testClient{kept, silent} {
 		if _, err := c.ReadByte(); err != io.EOF {
 			t.Error(err)
 		}
 	}
 	select {
-	case <-plain:
-		t.Error("it has ended no sooner than it would have by itself")
+	case <-reference:
+		t.Error("the connections closed no sooner than by headerTimeout")
 	default:
 	}
 	select {
 	case err := <-ended:
-		t.Fatal("it has ended, with a call open:", err)
+		t.Fatal("Drain returned with a call in progress:", err)
 	default:
 	}
 	f.Answer(call.ID, servedReply("busy"))
@@ -220,7 +220,8 @@
 	}
 }
 
-// plainServer says when a server has ended a silent connection for the time that it took over its first head.
+// referenceServer returns a channel that is closed when an unmodified http.Server has closed a silent connection by
+// headerTimeout.
 func referenceServer(t *testing.T) <-chan struct{} {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
--- a/internal/acceptor/disconnect_test.go
+++ b/internal/acceptor/disconnect_test.go
@@ -15,21 +15,21 @@
 	"pewterrudder/internal/reducer"
 )
 
-// The ways in which a client ends its connection.
+// disconnects are the ways in which a client closes its connection.
 var disconnects = map[string]func(*testClient){
 	"close":      func(c *testClient) { c.Conn.Close() },
 	"reset":      func(c *testClient) { c.Conn.(*net.TCPConn).SetLinger(0); c.Conn.Close() },
 	"half close": func(c *testClient) { c.Conn.(*net.TCPConn).CloseWrite() },
 }
 
-// heard is the next event that the reducer would get.
+// nextEvent returns the next event for the reducer.
 func (f *testAcceptor) nextEvent() reducer.Event {
 	f.t.Helper()
 	select {
 	case e := <-f.events:
 		return e
 	case <-time.After(20 * time.Second):
-		f.t.Fatal("the reducer heard nothing")
+		f.t.Fatal("no event for the reducer within 20 s")
 		return nil
 	}
 }
@@ -41,16 +41,16 @@
 	}
 }
 
-// A client may have sent bytes behind its request before it leaves: half of the next, or whole ones. Its leaving is told all
-// the same, and none of the requests behind is sent on.
+// A client may have sent bytes behind its request before it disconnects: half of the next request, or several. The
+// disconnect must be reported all the same, and none of the pipelined requests forwarded.
 func TestDisconnectBehindPipelinedBytes(t *testing.T) {
 	next := strings.ReplaceAll(lookupRequest, "\n", "\r\n") + "\r\n"
-	for how, end := range disconnects {
-		// What comes in one piece with the request is read with it, as far as the server's buffer goes; the rest, and what
-		// comes while the request is served, stands in the socket before the end.
+	for kind, end := range disconnects {
+		// Bytes sent together with the request are read with it, as far as the server's buffer goes. The rest, and bytes
+		// sent during the call, stay unread in the socket ahead of the disconnect.
 		for name, behind := range map[string][2]string{"nothing": {}, "a byte": {"G"}, "a byte later": {"", "G"}, "half": {next[:40]},
 			"half later": {"", next[:40]}, "two, one later": {next, next}, "much": {strings.Repeat(next, 60)}} {
-			t.Run(how+" behind "+name, func(t *testing.T) {
+			t.Run(kind+" behind "+name, func(t *testing.T) {
 				t.Parallel()
 				f := startAcceptor(t, 10)
 				c := f.dial().send(lookupRequest, behind[0])
@@ -60,14 +60,14 @@
 				f.expectClientGone(call)
 				f.dial().send(strings.Replace(lookupRequest, "9b1f", "fence", 1), "")
 				if e := f.nextEvent().(reducer.Arrived); e.Call.ClientID != "fence" {
-					t.Errorf("%s was sent on for a client that has left", e.Call.ClientID)
+					t.Errorf("%s was forwarded for a client that has disconnected", e.Call.ClientID)
 				}
 			})
 		}
 	}
 }
 
-// Bytes behind a request are its successor, where the client stays: none is lost by the watch for its leaving.
+// Guards against the loss of pipelined requests by the check for disconnects.
 func TestPipelinedRequestsAreServed(t *testing.T) {
 	f := startAcceptor(t, 10)
 	body := strings.Repeat("x", 5000)
@@ -84,7 +84,7 @@
 	go func() {
 		defer close(sentAll)
 		c.Write([]byte(wire[:len(wire)/3]))
-		<-first // the rest comes while the first is served
+		<-first // the rest arrives during the first call
 		c.Write([]byte(wire[len(wire)/3:]))
 	}()
 	for i := range 10 {
@@ -107,7 +107,7 @@
 	}
 }
 
-// lateListener hands a connection over once its client has left: so a busy process meets it.
+// lateListener accepts a connection only after its client has disconnected, as a busy process may.
 type lateListener struct {
 	net.Listener
 	t *testing.T
@@ -126,7 +126,7 @@
 		p := []unix.PollFd{{Fd: int32(fd), Events: unix.POLLRDHUP}}
 		for n := 0; n == 0; {
 			if n, err = unix.Poll(p, 20000); err != nil && err != unix.EINTR || n == 0 && err == nil {
-				l.t.Error("the client has not left", err)
+				l.t.Error("the client has not disconnected", err)
 				return
 			}
 		}
@@ -134,18 +134,18 @@
 	return nc, nil
 }
 
-// A client that has left before its request was read is not served: nothing is to be sent on for it.
+// The request of a client that disconnected before it was read must not be forwarded.
 func TestDisconnectBeforeRequestIsRead(t *testing.T) {
 	post := func(length int) string {
 		return "POST" + lookupRequest[3:] + fmt.Sprintf("Content-Length: %d\n", length)
 	}
-	for how, end := range disconnects {
+	for kind, end := range disconnects {
 		for name, request := range map[string][2]string{"no body": {lookupRequest, ""}, "a body": {post(4), "skip"},
 			"bytes behind": {lookupRequest, "GET"}, "an upload": {post(100000), strings.Repeat("x", 100000)}} {
-			if how == "reset" { // the request is lost with the connection
+			if kind == "reset" { // the request is lost with the connection
 				continue
 			}
-			t.Run(how+" behind "+name, func(t *testing.T) {
+			t.Run(kind+" behind "+name, func(t *testing.T) {
 				t.Parallel()
 				f := startAcceptorWithUploads(t, 10, 1<<20)
 				l, err := net.Listen("tcp", "127.0.0.1:0")
@@ -153,42 +153,42 @@
 					t.Fatal(err)
 				}
 				go f.Serve(lateListener{l, t})
-				home := f.addr
+				direct := f.addr
 				f.addr = l.Addr().String()
 				c := f.dial().send(request[0], request[1])
 				end(c)
-				if how == "half close" { // it has its word, and the connection ends
+				if kind == "half close" { // it may get an answer, and the connection closes
 					if resp, err := http.ReadResponse(c.Reader, nil); err == nil && resp.StatusCode != http.StatusBadGateway {
 						t.Error(resp.Status)
 					}
 				}
-				f.addr = home
+				f.addr = direct
 				f.dial().send(strings.Replace(lookupRequest, "9b1f", "fence", 1), "")
 				if e := f.nextEvent().(reducer.Arrived); e.Call.ClientID != "fence" {
-					t.Errorf("%s was sent on for a client that has left", e.Call.ClientID)
+					t.Errorf("%s was forwarded for a client that has disconnected", e.Call.ClientID)
 				}
 			})
 		}
 	}
 }
 
-// A client that leaves while its upload waits to be read is told of, whatever it has sent of it.
+// A disconnect is reported while the upload waits to be read, however much of it has been sent.
 func TestDisconnectWhileUploadWaits(t *testing.T) {
 	const length = 300_000
-	for how, end := range disconnects {
-		for _, came := range []int{0, 1, 100_000, length} {
-			t.Run(fmt.Sprintf("%s after %d bytes", how, came), func(t *testing.T) {
+	for kind, end := range disconnects {
+		for _, received := range []int{0, 1, 100_000, length} {
+			t.Run(fmt.Sprintf("%s after %d bytes", kind, received), func(t *testing.T) {
 				t.Parallel()
 				f := startAcceptorWithUploads(t, 10, 1<<20)
-				c := f.dial().send("POST"+lookupRequest[3:]+fmt.Sprintf("Content-Length: %d\n", length), strings.Repeat("x", came))
+				c := f.dial().send("POST"+lookupRequest[3:]+fmt.Sprintf("Content-Length: %d\n", length), strings.Repeat("x", received))
 				call := f.nextEvent().(reducer.Arrived).Call
 				if callMessage(call).Upload == nil {
 					t.Fatal("no upload")
 				}
 				end(c)
-				if came == length && how != "reset" {
-					// Its end may stand behind more than the kernel takes: it is seen once that is read, and before the last
-					// byte goes on to an app node.
+				if received == length && kind != "reset" {
+					// The disconnect may be hidden behind a full receive buffer: it is seen once that is read, and before the
+					// last byte is forwarded to an app node.
 					all, err := io.ReadAll(callMessage(call).Upload)
 					if err == nil || len(all) >= length {
 						t.Errorf("%d bytes were read, %v", len(all), err)
@@ -200,17 +200,17 @@
 	}
 }
 
-// Whoever is about to write a call learns that its client has left also when the connection is closed on our side by then:
-// the word of the leaving may still stand in the reducer's queue.
+// Left must report a disconnect also after the server has closed the connection, because the ClientGone event may still
+// wait in the reducer's queue.
 func TestLeftAfterConnectionIsClosed(t *testing.T) {
-	for how, end := range disconnects {
-		t.Run(how, func(t *testing.T) {
+	for kind, end := range disconnects {
+		t.Run(kind, func(t *testing.T) {
 			t.Parallel()
 			ended := make(chan struct{}, 1)
 			f := startAcceptorWith(t, 10, 0, func(a *Acceptor) {
-				changed := a.server.ConnState
+				next := a.server.ConnState
 				a.server.ConnState = func(nc net.Conn, s http.ConnState) {
-					changed(nc, s)
+					next(nc, s)
 					if s == http.StateClosed {
 						ended <- struct{}{}
 					}
@@ -223,17 +223,17 @@
 			select {
 			case <-ended:
 			case <-time.After(20 * time.Second):
-				t.Fatal("the connection goes on")
+				t.Fatal("the connection is still open")
 			}
 			if !callMessage(call).Left() {
-				t.Error("the client is taken to be there")
+				t.Error("the client counts as connected")
 			}
 		})
 	}
 }
 
-// A client that has sent more behind its request than the kernel takes may have closed behind it, which nobody can see. Its
-// call is not sent on once that has lasted, and ends with a word; one that has sent less is there, however long it waits.
+// A client that has filled the receive buffer behind its request may have disconnected unseen. After bufferFullTimeout it
+// counts as disconnected and its call ends. A client that has sent less stays connected, however long it waits.
 func TestDisconnectBehindFullReceiveBuffer(t *testing.T) {
 	for _, size := range []int{150, 1 << 20} {
 		t.Run(fmt.Sprintf("in pieces of %d", size), func(t *testing.T) {
@@ -251,7 +251,7 @@
 			}()
 			for until := time.Now().Add(5 * time.Second); !callMessage(call).Left(); time.Sleep(time.Millisecond) {
 				if time.Now().After(until) {
-					t.Fatal("the client is taken to be there")
+					t.Fatal("the client counts as connected")
 				}
 			}
 			f.expectClientGone(call)
@@ -270,7 +270,7 @@
 			}
 			for until := time.Now().Add(4 * bufferFullTimeout); time.Now().Before(until); time.Sleep(time.Millisecond) {
 				if callMessage(call).Left() {
-					t.Fatal("the client is taken to have left")
+					t.Fatal("the client counts as disconnected")
 				}
 			}
 			f.Answer(call.ID, servedReply("there"))
@@ -281,12 +281,12 @@
 	}
 }
 
-// An upload that waits is not read, so that its client's leaving is looked for: well within the 0.1 s after which no attempt
-// may begin, nor one that is half sent go on. The client leaves just behind a look, which is the worst moment; of a few
-// tries the shortest counts, since the machine may be busy.
+// Nobody reads the connection of an upload that waits, so the disconnect is found by polling, well within the 0.1 s after
+// which no attempt may begin or continue. The client disconnects right after a check, the worst moment. The shortest of a
+// few tries counts, since the machine may be busy.
 func TestUploadDisconnectIsDetectedPromptly(t *testing.T) {
 	const bound, tries = 60 * time.Millisecond, 5
-	for how, end := range disconnects {
+	for kind, end := range disconnects {
 		shortest := time.Hour
 		for range tries {
 			f := startAcceptorWithUploads(t, 10, 1<<20)
@@ -298,12 +298,13 @@
 			shortest = min(shortest, time.Since(left))
 		}
 		if shortest > bound {
-			t.Errorf("%s: seen after %v at best", how, shortest)
+			t.Errorf("%s: disconnect reported after %v at best", kind, shortest)
 		}
 	}
 }
 
-// late is a client's body that is read only once the client has left, as by a process that waits for its turn.
+// lateReader is a request body that is read only once the client has disconnected, as by a process that waits for the
+// CPU.
 type lateReader struct {
 	t *testing.T
 	*clientConn
@@ -312,18 +313,18 @@
 func (l lateReader) Read(p []byte) (int, error) {
 	for until := time.Now().Add(20 * time.Second); !l.isDisconnected(); time.Sleep(time.Millisecond) {
 		if time.Now().After(until) {
-			l.t.Error("the client has not left")
+			l.t.Error("the client has not disconnected")
 			break
 		}
 	}
 	return l.TCPConn.Read(p)
 }
 
-// An upload of which nothing has come yet when its attempt is to begin waits for its client inside the attempt. What comes
-// then from a client that has left is not passed on: the attempt would begin with it.
+// An upload of which nothing has arrived when its attempt is to begin waits for the client inside the attempt. Bytes that
+// then come from a client that has disconnected must not be forwarded, because the attempt would begin with them.
 func TestUploadDoesNotStartAfterDisconnect(t *testing.T) {
-	for how, end := range disconnects {
-		t.Run(how, func(t *testing.T) {
+	for kind, end := range disconnects {
+		t.Run(kind, func(t *testing.T) {
 			l, err := net.Listen("tcp", "127.0.0.1:0")
 			if err != nil {
 				t.Fatal(err)
@@ -334,14 +335,14 @@
 				t.Fatal(err)
 			}
 			defer nc.Close()
-			far, err := l.Accept()
+			accepted, err := l.Accept()
 			if err != nil {
 				t.Fatal(err)
 			}
-			defer far.Close()
+			defer accepted.Close()
 			io.WriteString(nc, strings.Repeat("x", 5000))
 			end(&testClient{Conn: nc})
-			c := &clientConn{TCPConn: far.(*net.TCPConn)}
+			c := &clientConn{TCPConn: accepted.(*net.TCPConn)}
 			body := &connectedReader{Reader: lateReader{t, c}, conn: c, remaining: 300_000}
 			if n, err := body.Read(make([]byte, 10_000)); n > 0 || err == nil {
 				t.Errorf("%d bytes were read, %v", n, err)
--- a/internal/acceptor/framing.go
+++ b/internal/acceptor/framing.go
@@ -12,10 +12,10 @@
 // what net/http reads nor makes any of its decisions, and follows headers and lengths only while they are certain. After
 // a header with a Transfer-Encoding nothing is certain, and that request is the connection's last.
 type headerScanner struct {
-	mu            sync.Mutex
-	header        []byte // of the incoming request, as far as received
-	bodyRemaining int64  // bytes left of the body behind the last header; -1: all further input
-	doubleFramed  []bool // one entry per header not yet fetched by nextIsDoubleFramed
+	mu             sync.Mutex
+	header         []byte // of the incoming request, as far as received
+	bodyRemaining  int64  // bytes left of the body behind the last header; -1: all further input
+	framingResults []bool // one entry per header not yet fetched by nextIsDoubleFramed
 }
 
 // scan processes bytes that have been read from the connection.
@@ -90,7 +90,7 @@
 			encoded = true
 		}
 	}
-	h.doubleFramed = append(h.doubleFramed, encoded && length != "")
+	h.framingResults = append(h.framingResults, encoded && length != "")
 	n, err := strconv.ParseInt(length, 10, 64)
 	switch {
 	case encoded || length != "" && (err != nil || n < 0):
@@ -105,9 +105,9 @@
 func (h *headerScanner) nextIsDoubleFramed() (doubleFramed bool) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	if len(h.doubleFramed) == 0 {
+	if len(h.framingResults) == 0 {
 		return true
 	}
-	doubleFramed, h.doubleFramed = h.doubleFramed[0], h.doubleFramed[1:]
+	doubleFramed, h.framingResults = h.framingResults[0], h.framingResults[1:]
 	return doubleFramed
 }
--- a/internal/acceptor/framing_test.go
+++ b/internal/acceptor/framing_test.go
@@ -6,7 +6,7 @@
 	"testing"
 )
 
-// Heads are found whatever the pieces that they come in, also several in one and behind bodies that look like heads.
+// Headers are found however the input is split, also several in one read and behind bodies that look like headers.
 func TestHeadersAreFoundAcrossFragments(t *testing.T) {
 	const post = "POST /b HTTP/1.1\r\n"
 	for _, c := range []struct {
@@ -30,16 +30,16 @@
 				h.scan(b[:n])
 				b = b[n:]
 			}
-			if !slices.Equal(h.doubleFramed, c.want) {
-				t.Fatalf("%q: %v", c.text, h.doubleFramed)
+			if !slices.Equal(h.framingResults, c.want) {
+				t.Fatalf("%q: %v", c.text, h.framingResults)
 			}
 			for _, want := range c.want {
 				if h.nextIsDoubleFramed() != want {
-					t.Fatalf("%q: taken as %v", c.text, !want)
+					t.Fatalf("%q: double framed is %v", c.text, !want)
 				}
 			}
 			if !h.nextIsDoubleFramed() {
-				t.Fatal("a request that was not seen is trusted")
+				t.Fatal("a request whose header was not seen is trusted")
 			}
 		}
 	}
--- a/internal/acceptor/request.go
+++ b/internal/acceptor/request.go
@@ -56,7 +56,7 @@
 	out.Trailer = r.Trailer
 	return &reducer.Call{ID: callID, ClientID: strings.Clone(id), Class: class, Tenant: tenant.ID, Quota: tenant.Quota, Retry: r.Header.Get("X-Retry") == "1",
 		Key: r.URL.Query().Get("key"), Work: float64(cost) / float64(time.Millisecond), Message: out, OneShot: out.Upload != nil,
-		Deadline: a.now() + min(timeout, terms.Deadlines[class])}, nil // no client of the class waits longer, so no timer needs to run longer
+		Deadline: a.now() + min(timeout, terms.Deadlines[class])}, nil // caps the timers of the call
 }
 
 // readBody reads a body of up to flow.Hold bytes within the connection's read deadline, and returns a longer one as an
@@ -80,7 +80,7 @@
 	if r.ContentLength > flow.Hold {
 		return upload(r.Body), nil
 	}
-	body, err := io.ReadAll(io.LimitReader(r.Body, flow.Hold+1)) // the buffer grows with the data: the stated length is not trusted
+	body, err := io.ReadAll(io.LimitReader(r.Body, flow.Hold+1)) // grows with the data, whatever length is stated
 	switch {
 	case err != nil:
 		return nil, &requestError{http.StatusRequestTimeout, "the body is not as long as it should be"}
--- a/internal/acceptor/response.go
+++ b/internal/acceptor/response.go
@@ -68,7 +68,7 @@
 		return nil, err
 	}
 	resp := a.response(r, call, reply)
-	if upload := out.Upload; upload != nil && !upload.Whole() { // the handler ends an incomplete upload once it is answered
+	if upload := out.Upload; upload != nil && !upload.Whole() { // the handler ends it after the answer
 		resp.Header.Set("Connection", "close")
 	}
 	return resp, nil
@@ -76,7 +76,7 @@
 
 // awaitReply waits for the final answer of a call, or for its client to disconnect. ended is closed when a check of
 // out.Left has seen the disconnect.
-func (a *Acceptor) awaitReply(r *http.Request, call *reducer.Call, left func() bool, ended <-chan struct{}, replies <-chan reducer.Reply) (reducer.Reply, error) {
+func (a *Acceptor) awaitReply(r *http.Request, call *reducer.Call, clientLeft func() bool, ended <-chan struct{}, replies <-chan reducer.Reply) (reducer.Reply, error) {
 	upload := call.Message.(*message.Call).Upload
 	gone := r.Context().Done()
 	var checks <-chan time.Time
@@ -95,9 +95,9 @@
 			if upload == nil || !upload.Interrupted() {
 				return reducer.Reply{}, errClientGone
 			}
-			gone = nil // the upload's reads were interrupted here, which net/http takes for a disconnect of the client
+			gone = nil // net/http takes the interruption of the upload's reads for a disconnect
 		case <-checks:
-			if !upload.Interrupted() && left() {
+			if !upload.Interrupted() && clientLeft() {
 				return reducer.Reply{}, errClientGone
 			}
 		}
--- a/internal/acceptor/sparedescriptor_test.go
+++ b/internal/acceptor/sparedescriptor_test.go
@@ -14,7 +14,7 @@
 	"gotest.tools/v3/assert"
 )
 
-// scarce is a listener of a process that has so many descriptors left, as the system would count them.
+// scarceListener is the listener of a process with a limited number of available descriptors.
 type scarceListener struct {
 	net.Listener
 	available atomic.Int64
@@ -32,22 +32,22 @@
 	return nc, err
 }
 
-// given is a descriptor that counts as given back when it is closed.
+// descriptor returns a descriptor that becomes available again when it is closed.
 func (s *scarceListener) descriptor() io.Closer { return closerFunc(func() { s.available.Add(1) }) }
 
 type closerFunc func()
 
 func (c closerFunc) Close() error { c(); return nil }
 
-// Where the system gives fewer descriptors than the balancer was told, a client that comes on a new connection is told to go
-// elsewhere at once. It used to wait in the kernel for net/http's next look, and beyond its time.
+// If the system grants fewer descriptors than the budget assumes, a new connection is answered with a 503 at once. Without
+// the spare descriptor it waited in the kernel for net/http's next Accept, past the client's timeout.
 func TestClientIsRejectedWithoutDescriptors(t *testing.T) {
 	lis, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
 	s := &scarceListener{Listener: lis}
-	s.available.Store(3) // the spare one, and two connections
+	s.available.Store(3) // the spare one and two connections
 	l := newConnTracker(10, 10).limitListener(s).(*limitedListener)
 	l.spare.close()
 	l.spare = &spareDescriptor{open: func() (io.Closer, error) {
@@ -84,31 +84,31 @@
 	dial()
 	<-accepted
 	<-accepted
-	for range 3 { // and again: the spare one is taken back each time
+	for range 3 { // repeatedly: the spare descriptor is acquired again each time
 		nc := dial()
 		io.WriteString(nc, "GET / HTTP/1.1\r\nHost: a\r\n\r\n")
 		resp, err := http.ReadResponse(bufio.NewReader(nc), nil)
 		if err != nil || resp.StatusCode != http.StatusServiceUnavailable || !resp.Close {
-			t.Fatalf("turned away with %+v: %v", resp, err)
+			t.Fatalf("rejected with %+v: %v", resp, err)
 		}
 		s.available.Add(1) // its descriptor is free again
 		if rest, err := io.ReadAll(nc); len(rest) > 0 || err != nil {
-			t.Fatalf("then %q %v", rest, err)
+			t.Fatalf("after the answer: %q %v", rest, err)
 		}
 	}
-	s.available.Add(2) // others have given descriptors back
+	s.available.Add(2) // other parts have released descriptors
 	dial()
 	if nc := <-accepted; nc == nil {
-		t.Fatal("with descriptors again nobody is taken")
+		t.Fatal("no connection is accepted although descriptors are available again")
 	}
 	l.Close()
 	if _, ok := <-accepted; ok {
-		t.Error("a closed listener accepts")
+		t.Error("the closed listener accepted a connection")
 	}
 }
 
-// tcpPair is a connection by its two ends.
-func tcpPair(t *testing.T) (near, far *net.TCPConn) {
+// tcpPair returns the two ends of a TCP connection.
+func tcpPair(t *testing.T) (local, remote *net.TCPConn) {
 	t.Helper()
 	lis, err := net.Listen("tcp", "127.0.0.1:0")
 	assert.NilError(t, err)
@@ -121,7 +121,7 @@
 	return accepted.(*net.TCPConn), dialled.(*net.TCPConn)
 }
 
-// isTurnedAway checks what a client reads: the answer that sends it elsewhere, and the end.
+// checkRejected checks that a client reads a 503 and then the end of the connection.
 func checkRejected(t *testing.T, client net.Conn) {
 	t.Helper()
 	in := bufio.NewReader(client)
@@ -134,18 +134,19 @@
 	assert.Equal(t, len(rest), 0)
 }
 
-// A client whose request is still on its way when its time to speak is over is told to go elsewhere too. Its connection
-// used to end without an answer, as the time for the answer was over with that for the request.
+// A client whose request has not arrived within rejectTimeout is answered with a 503 too. Its connection used to close
+// without an answer, because the deadline of the answer was that of the request.
 func TestLateRequestIsRejectedWithAnAnswer(t *testing.T) {
-	near, far := tcpPair(t)
-	rejectConn(near)
-	checkRejected(t, far)
+	local, remote := tcpPair(t)
+	rejectConn(local)
+	checkRejected(t, remote)
 }
 
-// newcomer is a connection that has said nothing yet, with net/http's first read of it under way.
-func newSilentConn(t *testing.T, conns *connTracker) (far net.Conn, read <-chan error) {
-	near, far := tcpPair(t)
-	conn := &clientConn{TCPConn: near}
+// newSilentConn returns the client's end of a connection without a first request, and the result of the read of it that
+// runs in place of net/http's.
+func newSilentConn(t *testing.T, conns *connTracker) (remote net.Conn, read <-chan error) {
+	local, remote := tcpPair(t)
+	conn := &clientConn{TCPConn: local}
 	conns.connStateChanged(conn, http.StateNew)
 	done := make(chan error, 1)
 	go func() {
@@ -154,42 +155,43 @@
 		conns.connStateChanged(conn, http.StateClosed)
 		done <- err
 	}()
-	return far, done
+	return remote, done
 }
 
-// Where descriptors turn out to be short, connections that have just come make room. Each is told to go elsewhere: its
-// request may be on the way. They used to be closed without a word.
+// When descriptors run out, connections without a first request are closed. Each is answered with a 503, because its
+// request may be on the way; they used to be closed without an answer.
 func TestSilentConnectionIsRejectedForLackOfDescriptors(t *testing.T) {
 	conns := newConnTracker(10, 10)
 	first, firstRead := newSilentConn(t, conns)
 	_, secondRead := newSilentConn(t, conns)
-	conns.reduceBudget() // leaves one
+	conns.reduceBudget() // leaves one open
 	assert.ErrorIs(t, <-firstRead, os.ErrDeadlineExceeded)
 	checkRejected(t, first)
 	conns.closeIdle(true)
 	assert.ErrorIs(t, <-secondRead, os.ErrDeadlineExceeded)
 }
 
-// Within the budget, those that say nothing make room without a word, as before.
+// If the budget is used up but descriptors are not, a silent connection is closed without an answer.
 func TestSilentConnectionIsClosedWithinBudget(t *testing.T) {
 	conns := newConnTracker(1, 1)
-	far, read := newSilentConn(t, conns)
+	remote, read := newSilentConn(t, conns)
 	conns.waitForSlot()
 	assert.ErrorIs(t, <-read, os.ErrDeadlineExceeded)
-	said, err := io.ReadAll(far)
+	response, err := io.ReadAll(remote)
 	assert.NilError(t, err)
-	assert.Equal(t, string(said), "")
+	assert.Equal(t, string(response), "")
 }
 
-// A request that has come by the time its connection is to make room is read, and nothing is said of room.
+// A request that has arrived when its connection is evicted for lack of descriptors is read, and the connection is not
+// answered with a 503.
 func TestPendingRequestIsReadDuringEviction(t *testing.T) {
 	const request = "GET / HTTP/1.1\r\nHost: a\r\n\r\n"
 	conns := newConnTracker(10, 10)
-	near, far := tcpPair(t)
-	conn := &clientConn{TCPConn: near}
+	local, remote := tcpPair(t)
+	conn := &clientConn{TCPConn: local}
 	conns.connStateChanged(conn, http.StateNew)
 	newSilentConn(t, conns)
-	_, err := io.WriteString(far, request)
+	_, err := io.WriteString(remote, request)
 	assert.NilError(t, err)
 	conns.reduceBudget()
 	p := make([]byte, 4096)
