--- a/internal/acceptor/acceptor_test.go
+++ b/internal/acceptor/acceptor_test.go
@@ -35,18 +35,18 @@
 
 // startAcceptorWith calls configure before the acceptor serves.
 func startAcceptorWith(t *testing.T, budget int, upload int64, configure func(*Acceptor)) *testAcceptor {
-	f := &testAcceptor{t: t, events: make(chan reducer.Event, 100)}
-	f.Acceptor = New(func() time.Duration { return time.Hour }, func(e reducer.Event) { f.events <- e },
+	ta := &testAcceptor{t: t, events: make(chan reducer.Event, 100)}
+	ta.Acceptor = New(func() time.Duration { return time.Hour }, func(e reducer.Event) { ta.events <- e },
 		map[string]int{"lookup": 0, "booking": 1}, []time.Duration{time.Second, time.Second}, acmeTenants(), budget, 6, Bounds{Upload: upload, ClientIdle: 2 * time.Second})
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	f.addr = l.Addr().String()
-	configure(f.Acceptor)
-	go f.Serve(l)
-	t.Cleanup(func() { f.server.Close() })
-	return f
+	ta.addr = l.Addr().String()
+	configure(ta.Acceptor)
+	go ta.Serve(l)
+	t.Cleanup(func() { ta.server.Close() })
+	return ta
 }
 
 // acmeTenants returns a table with the tenant acme.
@@ -73,19 +73,19 @@
 	t *testing.T
 }
 
-func (f *testAcceptor) dial() *testClient {
-	f.t.Helper()
-	nc, err := net.Dial("tcp", f.addr)
+func (ta *testAcceptor) dial() *testClient {
+	ta.t.Helper()
+	nc, err := net.Dial("tcp", ta.addr)
 	if err != nil {
-		f.t.Fatal(err)
+		ta.t.Fatal(err)
 	}
-	f.t.Cleanup(func() { nc.Close() })
+	ta.t.Cleanup(func() { nc.Close() })
 	nc.SetDeadline(time.Now().Add(20 * time.Second)) // a hang is a failure
-	return &testClient{nc, bufio.NewReader(nc), f.t}
+	return &testClient{nc, bufio.NewReader(nc), ta.t}
 }
 
-func (c *testClient) send(head, body string) *testClient {
-	io.WriteString(c, strings.ReplaceAll(head, "\n", "\r\n")+"\r\n"+body)
+func (c *testClient) send(header, body string) *testClient {
+	io.WriteString(c, strings.ReplaceAll(header, "\n", "\r\n")+"\r\n"+body)
 	return c
 }
 
@@ -108,26 +108,26 @@
 // Guards against changes of the request target: the proxy by default drops query parameters that it cannot parse and
 // cleans paths.
 func TestCallIsForwardedUnchanged(t *testing.T) {
-	f := startAcceptor(t, 10)
-	c := f.dial()
+	ta := startAcceptor(t, 10)
+	c := ta.dial()
 	c.send(lookupRequest, "")
-	call := (<-f.events).(reducer.Arrived).Call
+	call := (<-ta.events).(reducer.Arrived).Call
 	if callMessage(call).Request.RequestURI != "/lookup/a%2Fb//c?q=1;2&key=k%20v&x=%zz" || call.Key != "k v" ||
 		call.Deadline != time.Hour+480*time.Millisecond || call.Class != 0 || call.Tenant != 0 || call.Quota != 12.5 {
 		t.Errorf("%+v %s", call, callMessage(call).Request.RequestURI)
 	}
-	f.Answer(call.ID, servedReply("price\n", "X-Cache", "hit"))
-	f.Answer(call.ID, reducer.Reply{Kind: reducer.Failed}) // ignored: the first answer wins
+	ta.Answer(call.ID, servedReply("price\n", "X-Cache", "hit"))
+	ta.Answer(call.ID, reducer.Reply{Kind: reducer.Failed}) // ignored: the first answer wins
 	if resp, body := c.readResponse(); resp.StatusCode != 200 || body != "price\n" || resp.Header.Get("X-Cache") != "hit" {
 		t.Errorf("%+v %q", resp, body)
 	}
 	c.send("POST /booking HTTP/1.1\nHost: x\nX-Request-Id: 2\nX-Class: booking\nX-Deadline: 900000u\n"+
 		"Idempotency-Key: 5c\nContent-Length: 4\n", "skip")
-	call = (<-f.events).(reducer.Arrived).Call
+	call = (<-ta.events).(reducer.Arrived).Call
 	if string(callMessage(call).Body) != "skip" || call.Tenant != -1 || call.Quota != 0 || callMessage(call).Request.Header.Get("Idempotency-Key") != "5c" {
 		t.Errorf("%+v", call)
 	}
-	f.Answer(call.ID, reducer.Reply{Kind: reducer.Refused, After: 250 * time.Millisecond})
+	ta.Answer(call.ID, reducer.Reply{Kind: reducer.Refused, After: 250 * time.Millisecond})
 	if resp, _ := c.readResponse(); resp.StatusCode != 503 || resp.Header.Get("Retry-After") != "0.250" {
 		t.Errorf("%+v", resp)
 	}
@@ -135,99 +135,99 @@
 
 // A request that is not a valid call must not reach the reducer, and so no app node.
 func TestInvalidRequestIsRejected(t *testing.T) {
-	f := startAcceptor(t, 50)
+	ta := startAcceptor(t, 50)
 	for _, tc := range []struct{ from, to string }{
 		{"X-Request-Id: 9b1f\n", ""}, {"X-Class: lookup\n", ""}, {"X-Class: lookup", "X-Class: other"},
 		{"X-Deadline: 480m\n", ""}, {"480m", "480"}, {"480m", "NaNm"}, {"480m", "-1m"}, {"480m", "soon"},
 	} {
-		if resp, _ := f.dial().send(strings.Replace(lookupRequest, tc.from, tc.to, 1), "").readResponse(); resp.StatusCode != 400 {
+		if resp, _ := ta.dial().send(strings.Replace(lookupRequest, tc.from, tc.to, 1), "").readResponse(); resp.StatusCode != 400 {
 			t.Errorf("%q for %q: %d", tc.to, tc.from, resp.StatusCode)
 		}
 	}
-	c := f.dial()
+	c := ta.dial()
 	c.send(strings.Replace(lookupRequest, "GET", "POST", 1)+"Content-Length: 65537\n", strings.Repeat("x", 65537))
 	if resp, _ := c.readResponse(); resp.StatusCode != 413 {
 		t.Errorf("%d for a body over the limit", resp.StatusCode)
 	}
-	if len(f.events) != 0 {
-		t.Errorf("the reducer received %T", <-f.events)
+	if len(ta.events) != 0 {
+		t.Errorf("the reducer received %T", <-ta.events)
 	}
 }
 
 // Guards against request smuggling: a body framed both ways may hide a request behind one of its two ends. Neither the
 // call nor the bytes behind it may be forwarded, and the connection closes.
 func TestDoubleFramedBodyClosesConnection(t *testing.T) {
-	f := startAcceptor(t, 10)
-	for _, head := range []string{
+	ta := startAcceptor(t, 10)
+	for _, header := range []string{
 		"POST /booking HTTP/1.1\nContent-Length: %d\nTransfer-Encoding: chunked\n",
 		"POST /booking HTTP/1.0\nContent-Length: %d\nTransfer-Encoding: chunked\n",
 		"POST /booking HTTP/1.1\ncontent-length:%d\nX-Between: 1\ntransfer-encoding: chunked\n",
 		"POST /booking HTTP/1.1\nTransfer-Encoding:\n chunked\nContent-Length: %d\n",
 	} {
 		hidden := "0\r\n\r\n" + strings.ReplaceAll(lookupRequest, "\n", "\r\n") + "\r\n"
-		c := f.dial().send(fmt.Sprintf(head, len(hidden))+strings.SplitAfterN(lookupRequest, "\n", 2)[1], hidden)
+		c := ta.dial().send(fmt.Sprintf(header, len(hidden))+strings.SplitAfterN(lookupRequest, "\n", 2)[1], hidden)
 		if resp, _ := c.readResponse(); resp.StatusCode != 400 || !resp.Close {
-			t.Errorf("%s: %+v", head, resp)
+			t.Errorf("%s: %+v", header, resp)
 		}
 		if _, err := c.ReadByte(); err == nil {
 			t.Error("the connection is still open")
 		}
 	}
-	if len(f.events) != 0 {
-		t.Errorf("the reducer received %T", <-f.events)
+	if len(ta.events) != 0 {
+		t.Errorf("the reducer received %T", <-ta.events)
 	}
 }
 
 func TestClientDisconnectIsReported(t *testing.T) {
-	f := startAcceptor(t, 10)
-	c := f.dial().send(strings.Replace(lookupRequest, "GET", "POST", 1)+"Content-Length: 2\n", "ab")
-	call := (<-f.events).(reducer.Arrived).Call
+	ta := startAcceptor(t, 10)
+	c := ta.dial().send(strings.Replace(lookupRequest, "GET", "POST", 1)+"Content-Length: 2\n", "ab")
+	call := (<-ta.events).(reducer.Arrived).Call
 	c.Close()
-	if gone, ok := (<-f.events).(reducer.ClientGone); !ok || gone.Call != call.ID {
+	if gone, ok := (<-ta.events).(reducer.ClientGone); !ok || gone.Call != call.ID {
 		t.Fatalf("%+v", gone)
 	}
-	f.mu.Lock()
-	defer f.mu.Unlock()
-	if len(f.pending) != 0 {
+	ta.mu.Lock()
+	defer ta.mu.Unlock()
+	if len(ta.pending) != 0 {
 		t.Error("the call is still pending")
 	}
 }
 
 // At the budget, the longest idle connection is closed, but not one that waits for an answer.
 func TestOldestIdleConnectionIsEvicted(t *testing.T) {
-	f := startAcceptor(t, 2)
-	one := f.dial().send(lookupRequest, "")
-	call := (<-f.events).(reducer.Arrived).Call
-	two := f.dial().send("GET /health/ready HTTP/1.1\nHost: x\n", "")
+	ta := startAcceptor(t, 2)
+	one := ta.dial().send(lookupRequest, "")
+	call := (<-ta.events).(reducer.Arrived).Call
+	two := ta.dial().send("GET /health/ready HTTP/1.1\nHost: x\n", "")
 	if resp, _ := two.readResponse(); resp.StatusCode != 503 {
 		t.Fatalf("ready before Ready was called: %d", resp.StatusCode)
 	}
-	f.Ready()
-	three := f.dial().send("GET /health/ready HTTP/1.1\nHost: x\n", "")
+	ta.Ready()
+	three := ta.dial().send("GET /health/ready HTTP/1.1\nHost: x\n", "")
 	if resp, _ := three.readResponse(); resp.StatusCode != 200 {
 		t.Fatalf("%d", resp.StatusCode)
 	}
 	if _, err := two.ReadByte(); err != io.EOF {
 		t.Errorf("idle connection: %v, want EOF", err)
 	}
-	f.Answer(call.ID, servedReply(""))
+	ta.Answer(call.ID, servedReply(""))
 	one.readResponse()
 }
 
 // Clients that send one request and keep their connections open must not use up the connections that the front-end load
 // balancer may open.
 func TestExcessIdleConnectionsAreClosed(t *testing.T) {
-	f := startAcceptor(t, 100)
+	ta := startAcceptor(t, 100)
 	start := time.Now()
 	var all []*testClient
 	for i := range 9 {
-		c := f.dial().send("GET /health/ready HTTP/1.1\nHost: x\n", "")
+		c := ta.dial().send("GET /health/ready HTTP/1.1\nHost: x\n", "")
 		c.readResponse()
 		all = append(all, c)
 		for until := time.Now().Add(20 * time.Second); ; time.Sleep(time.Millisecond) { // until it counts as idle
-			f.conns.mu.Lock()
-			idle := len(f.conns.idle)
-			f.conns.mu.Unlock()
+			ta.conns.mu.Lock()
+			idle := len(ta.conns.idle)
+			ta.conns.mu.Unlock()
 			if idle == min(i+1, 6) {
 				break
 			} else if time.Now().After(until) {
@@ -251,17 +251,17 @@
 // Silent connections arrive by the hundred. They must neither use up the budget of clients that send requests nor stay
 // open.
 func TestSilentConnectionsDoNotExhaustBudget(t *testing.T) {
-	f := startAcceptor(t, 8)
-	f.Ready()
-	active := f.dial().send("GET /health/ready HTTP/1.1\nHost: x\n", "")
+	ta := startAcceptor(t, 8)
+	ta.Ready()
+	active := ta.dial().send("GET /health/ready HTTP/1.1\nHost: x\n", "")
 	active.readResponse()
 	start := time.Now()
 	var silent []*testClient
 	for range 40 {
-		silent = append(silent, f.dial())
+		silent = append(silent, ta.dial())
 	}
 	for range 3 {
-		f.dial().send("GET /health/ready HTTP/1.1\nHost: x\n", "").readResponse()
+		ta.dial().send("GET /health/ready HTTP/1.1\nHost: x\n", "").readResponse()
 		active.send("GET /health/ready HTTP/1.1\nHost: x\n", "").readResponse()
 	}
 	if d := time.Since(start); d > headerTimeout {
@@ -290,16 +290,16 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			f := startAcceptor(t, 10)
-			start, c := time.Now(), f.dial()
+			ta := startAcceptor(t, 10)
+			start, c := time.Now(), ta.dial()
 			go io.WriteString(c, request)
 			response, err := io.ReadAll(c.Reader)
 			if d := time.Since(start); d > 3*time.Second || strings.HasPrefix(string(response), "HTTP/1.1 200") ||
 				len(response) == 0 && err == nil && name == "60 MB" {
 				t.Errorf("after %v: %.40q %v", d, response, err)
 			}
-			if len(f.events) != 0 {
-				t.Errorf("the reducer received %T", <-f.events)
+			if len(ta.events) != 0 {
+				t.Errorf("the reducer received %T", <-ta.events)
 			}
 		})
 	}
@@ -308,15 +308,15 @@
 // Guards against a body timeout that stays in force once the body has been read: it would end the call as if the client
 // had disconnected.
 func TestBodyTimeoutDoesNotApplyToAnswer(t *testing.T) {
-	f := startAcceptor(t, 10)
-	c := f.dial().send("POST"+lookupRequest[3:]+"Content-Length: 2\n", "ab")
-	call := (<-f.events).(reducer.Arrived).Call
+	ta := startAcceptor(t, 10)
+	c := ta.dial().send("POST"+lookupRequest[3:]+"Content-Length: 2\n", "ab")
+	call := (<-ta.events).(reducer.Arrived).Call
 	select {
-	case ev := <-f.events:
+	case ev := <-ta.events:
 		t.Fatalf("%T", ev)
 	case <-time.After(bodyTimeout + 200*time.Millisecond):
 	}
-	f.Answer(call.ID, servedReply("late"))
+	ta.Answer(call.ID, servedReply("late"))
 	if _, body := c.readResponse(); body != "late" {
 		t.Error(body)
 	}
@@ -325,28 +325,28 @@
 // After the termination signal, accepted calls are answered, each answer closes its connection, and new connections are
 // accepted for drainAcceptPeriod alone.
 func TestDrainFinishesAcceptedCalls(t *testing.T) {
-	f := startAcceptor(t, 10)
-	f.Ready()
-	before := f.dial().send(lookupRequest, "")
-	first := (<-f.events).(reducer.Arrived).Call
+	ta := startAcceptor(t, 10)
+	ta.Ready()
+	before := ta.dial().send(lookupRequest, "")
+	first := (<-ta.events).(reducer.Arrived).Call
 	start, ended := time.Now(), make(chan struct{})
 	go func() {
-		if err := f.Drain(); err != nil {
+		if err := ta.Drain(); err != nil {
 			t.Error(err)
 		}
 		close(ended)
 	}()
-	for !f.draining.Load() {
+	for !ta.draining.Load() {
 		time.Sleep(time.Millisecond)
 	}
-	after := f.dial().send(lookupRequest, "")
-	second := (<-f.events).(reducer.Arrived).Call
-	f.Answer(second.ID, servedReply(""))
+	after := ta.dial().send(lookupRequest, "")
+	second := (<-ta.events).(reducer.Arrived).Call
+	ta.Answer(second.ID, servedReply(""))
 	if resp, _ := after.readResponse(); !resp.Close {
 		t.Error("the connection was kept open")
 	}
 	for { // until the listener is closed
-		nc, err := net.Dial("tcp", f.addr)
+		nc, err := net.Dial("tcp", ta.addr)
 		if err != nil {
 			break
 		}
@@ -356,7 +356,7 @@
 	if d := time.Since(start); d < 700*time.Millisecond {
 		t.Errorf("new connections were accepted for only %v", d)
 	}
-	f.Answer(first.ID, servedReply("done"))
+	ta.Answer(first.ID, servedReply("done"))
 	if _, body := before.readResponse(); body != "done" {
 		t.Error(body)
 	}
@@ -382,14 +382,14 @@
 // A streamed answer reaches the client piece by piece, as it is received, and complete. Its memory is returned, and the
 // connection is reused.
 func TestAnswerIsStreamed(t *testing.T) {
-	f := startAcceptor(t, 10)
-	c := f.dial()
+	ta := startAcceptor(t, 10)
+	c := ta.dial()
 	for _, length := range []int{9, -1} {
 		c.send(lookupRequest, "")
-		call := (<-f.events).(reducer.Arrived).Call
+		call := (<-ta.events).(reducer.Arrived).Call
 		room := flow.NewRoom(1)
 		reply, writer := streamedReply(room, length, "abc")
-		f.Answer(call.ID, reply)
+		ta.Answer(call.ID, reply)
 		resp, err := http.ReadResponse(c.Reader, nil)
 		if err != nil {
 			t.Fatal(err)
@@ -424,12 +424,12 @@
 // without the last one.
 func TestTruncatedStreamIsVisible(t *testing.T) {
 	for _, length := range []int{100, -1} {
-		f := startAcceptor(t, 10)
-		c := f.dial().send(lookupRequest, "")
-		call := (<-f.events).(reducer.Arrived).Call
+		ta := startAcceptor(t, 10)
+		c := ta.dial().send(lookupRequest, "")
+		call := (<-ta.events).(reducer.Arrived).Call
 		room := flow.NewRoom(1)
 		reply, writer := streamedReply(room, length, "abc")
-		f.Answer(call.ID, reply)
+		ta.Answer(call.ID, reply)
 		io.WriteString(writer, "def")
 		writer.CloseWithError(io.ErrUnexpectedEOF)
 		resp, err := http.ReadResponse(c.Reader, nil)
@@ -442,18 +442,18 @@
 		if _, err := c.ReadByte(); err == nil {
 			t.Error("the connection is still open")
 		}
-		f.waitMemoryReturned(room)
+		ta.waitMemoryReturned(room)
 	}
 }
 
 // waitMemoryReturned waits until nothing of room is lent any more.
-func (f *testAcceptor) waitMemoryReturned(room *flow.Room) {
-	f.t.Helper()
+func (ta *testAcceptor) waitMemoryReturned(room *flow.Room) {
+	ta.t.Helper()
 	for until := time.Now().Add(20 * time.Second); ; time.Sleep(time.Millisecond) {
 		if now, _ := room.Lent(); now == 0 {
 			return
 		} else if time.Now().After(until) {
-			f.t.Fatalf("%d bytes still lent", now)
+			ta.t.Fatalf("%d bytes still lent", now)
 		}
 	}
 }
@@ -461,26 +461,26 @@
 // The disconnect of a client is reported while it receives no data, and the answer to a client that reads nothing ends
 // after ClientIdle.
 func TestStreamEndsWithoutItsClient(t *testing.T) {
-	f := startAcceptor(t, 10)
-	c := f.dial().send(lookupRequest, "")
-	call := (<-f.events).(reducer.Arrived).Call
+	ta := startAcceptor(t, 10)
+	c := ta.dial().send(lookupRequest, "")
+	call := (<-ta.events).(reducer.Arrived).Call
 	room := flow.NewRoom(1)
 	reply, writer := streamedReply(room, -1, "abc")
-	f.Answer(call.ID, reply)
+	ta.Answer(call.ID, reply)
 	c.ReadByte()
 	c.Close()
-	if gone, ok := (<-f.events).(reducer.ClientGone); !ok || gone.Call != call.ID {
+	if gone, ok := (<-ta.events).(reducer.ClientGone); !ok || gone.Call != call.ID {
 		t.Fatalf("%+v", gone)
 	}
 	writer.CloseWithError(net.ErrClosed) // as the delegation package does
-	f.waitMemoryReturned(room)
+	ta.waitMemoryReturned(room)
 
-	f.bounds.ClientIdle = 40 * time.Millisecond
-	c = f.dial()
+	ta.bounds.ClientIdle = 40 * time.Millisecond
+	c = ta.dial()
 	c.send(lookupRequest, "")
-	call = (<-f.events).(reducer.Arrived).Call
+	call = (<-ta.events).(reducer.Arrived).Call
 	reply, writer = streamedReply(room, -1, "abc")
-	f.Answer(call.ID, reply)
+	ta.Answer(call.ID, reply)
 	endless := make(chan struct{})
 	go func() {
 		defer close(endless)
@@ -497,18 +497,18 @@
 	}
 	writer.CloseWithError(net.ErrClosed)
 	<-endless
-	f.waitMemoryReturned(room)
+	ta.waitMemoryReturned(room)
 }
 
 // An upload is passed to its reader, and the first read sends 100 Continue to the client. An answer before its end ends
 // the upload and closes the connection. An upload over the limit is rejected unread.
 func TestUploadIsStreamed(t *testing.T) {
-	f := startAcceptorWithUploads(t, 10, 1<<20)
-	f.bounds.ClientIdle = time.Hour // no timeout during the test
-	head := "POST" + lookupRequest[3:] + "Content-Length: 100000\n"
+	ta := startAcceptorWithUploads(t, 10, 1<<20)
+	ta.bounds.ClientIdle = time.Hour // no timeout during the test
+	header := "POST" + lookupRequest[3:] + "Content-Length: 100000\n"
 	body := strings.Repeat("0123456789", 10000)
-	c := f.dial().send(head+"Expect: 100-continue\n", "")
-	call := (<-f.events).(reducer.Arrived).Call
+	c := ta.dial().send(header+"Expect: 100-continue\n", "")
+	call := (<-ta.events).(reducer.Arrived).Call
 	up := callMessage(call).Upload
 	if !call.OneShot || up == nil || up.Length != 100000 {
 		t.Fatalf("%+v", call)
@@ -528,20 +528,20 @@
 	if all := <-got; all != body {
 		t.Errorf("%d bytes", len(all))
 	}
-	if e := (<-f.events).(reducer.Uploaded); e.Call != call.ID {
+	if e := (<-ta.events).(reducer.Uploaded); e.Call != call.ID {
 		t.Errorf("%+v", e)
 	}
-	f.Answer(call.ID, servedReply("kept"))
+	ta.Answer(call.ID, servedReply("kept"))
 	if resp, text := c.readResponse(); text != "kept" || resp.Close {
 		t.Errorf("%+v %q", resp, text)
 	}
-	c.send(head, body[:1000])
-	call = (<-f.events).(reducer.Arrived).Call
+	c.send(header, body[:1000])
+	call = (<-ta.events).(reducer.Arrived).Call
 	go io.Copy(io.Discard, callMessage(call).Upload)
 	for !callMessage(call).Upload.Touched() {
 		time.Sleep(time.Millisecond)
 	}
-	f.Answer(call.ID, servedReply("enough"))
+	ta.Answer(call.ID, servedReply("enough"))
 	if resp, text := c.readResponse(); text != "enough" || !resp.Close {
 		t.Errorf("%+v %q", resp, text)
 	}
@@ -549,16 +549,16 @@
 	if _, err := c.ReadByte(); err == nil {
 		t.Error("the connection is still open")
 	}
-	if resp, _ := f.dial().send("POST"+lookupRequest[3:]+"Content-Length: 1048577\n", "").readResponse(); resp.StatusCode != 413 {
+	if resp, _ := ta.dial().send("POST"+lookupRequest[3:]+"Content-Length: 1048577\n", "").readResponse(); resp.StatusCode != 413 {
 		t.Errorf("%d for an upload over the limit", resp.StatusCode)
 	}
 }
 
 // Guards against a body that takes longer than the server's write timeout and loses the client its answer.
 func TestSlowBodyIsAnswered(t *testing.T) {
-	f := startAcceptorWith(t, 10, 1<<20, func(a *Acceptor) { a.server.WriteTimeout = 20 * time.Millisecond })
-	c := f.dial().send("POST"+lookupRequest[3:]+"Content-Length: 100000\n", "")
-	call := (<-f.events).(reducer.Arrived).Call
+	ta := startAcceptorWith(t, 10, 1<<20, func(a *Acceptor) { a.server.WriteTimeout = 20 * time.Millisecond })
+	c := ta.dial().send("POST"+lookupRequest[3:]+"Content-Length: 100000\n", "")
+	call := (<-ta.events).(reducer.Arrived).Call
 	read := make(chan error, 1)
 	go func() {
 		_, err := io.Copy(io.Discard, callMessage(call).Upload)
@@ -571,8 +571,8 @@
 	if err := <-read; err != nil {
 		t.Fatal(err)
 	}
-	<-f.events
-	f.Answer(call.ID, servedReply("kept"))
+	<-ta.events
+	ta.Answer(call.ID, servedReply("kept"))
 	if resp, text := c.readResponse(); text != "kept" || resp.StatusCode != 200 {
 		t.Errorf("%+v %q", resp, text)
 	}
@@ -581,27 +581,27 @@
 // A short chunked body, with extensions and a trailer, is buffered whole; a long one becomes an upload. It is the
 // connection's last request: bytes behind it are never read as a request.
 func TestChunkedBody(t *testing.T) {
-	f := startAcceptorWithUploads(t, 10, 1<<20)
-	head := "POST" + lookupRequest[3:] + "Transfer-Encoding: chunked\n"
-	c := f.dial().send(head, "3;why=not\r\nabc\r\n2\r\nde\r\n0\r\nX-Sum: 5\r\n\r\n"+strings.ReplaceAll(lookupRequest, "\n", "\r\n")+"\r\n")
-	call := (<-f.events).(reducer.Arrived).Call
+	ta := startAcceptorWithUploads(t, 10, 1<<20)
+	header := "POST" + lookupRequest[3:] + "Transfer-Encoding: chunked\n"
+	c := ta.dial().send(header, "3;why=not\r\nabc\r\n2\r\nde\r\n0\r\nX-Sum: 5\r\n\r\n"+strings.ReplaceAll(lookupRequest, "\n", "\r\n")+"\r\n")
+	call := (<-ta.events).(reducer.Arrived).Call
 	if m := callMessage(call); string(m.Body) != "abcde" || m.Upload != nil || call.OneShot {
 		t.Fatalf("%+v", m)
 	}
-	f.Answer(call.ID, servedReply("kept"))
+	ta.Answer(call.ID, servedReply("kept"))
 	if resp, text := c.readResponse(); text != "kept" || !resp.Close {
 		t.Errorf("%+v %q", resp, text)
 	}
 	if _, err := c.ReadByte(); err == nil {
 		t.Error("the connection is still open")
 	}
-	if len(f.events) != 0 {
-		t.Errorf("the reducer received %T", <-f.events)
+	if len(ta.events) != 0 {
+		t.Errorf("the reducer received %T", <-ta.events)
 	}
 	long := strings.Repeat("0123456789", 20000)
-	c = f.dial().send(head, "")
+	c = ta.dial().send(header, "")
 	go fmt.Fprintf(c, "%x\r\n%s\r\n0\r\n\r\n", len(long), long)
-	call = (<-f.events).(reducer.Arrived).Call
+	call = (<-ta.events).(reducer.Arrived).Call
 	up := callMessage(call).Upload
 	if !call.OneShot || up == nil || up.Length != -1 {
 		t.Fatalf("%+v", call)
@@ -609,10 +609,10 @@
 	if all, err := io.ReadAll(up); string(all) != long || err != nil {
 		t.Errorf("%d bytes, %v", len(all), err)
 	}
-	if e := (<-f.events).(reducer.Uploaded); e.Call != call.ID {
+	if e := (<-ta.events).(reducer.Uploaded); e.Call != call.ID {
 		t.Errorf("%+v", e)
 	}
-	f.Answer(call.ID, servedReply("kept too"))
+	ta.Answer(call.ID, servedReply("kept too"))
 	if resp, text := c.readResponse(); text != "kept too" || !resp.Close {
 		t.Errorf("%+v %q", resp, text)
 	}
@@ -665,28 +665,28 @@
 // While another version listens on the same address, idle connections over this one's share are closed, and the readiness
 // check succeeds even while this one drains, since the other is ready.
 func TestClientBudgetIsShared(t *testing.T) {
-	f := startAcceptor(t, 8)
-	f.Ready()
+	ta := startAcceptor(t, 8)
+	ta.Ready()
 	var kept []*testClient
 	for range 6 {
-		c := f.dial().send("GET /health/ready HTTP/1.1\nHost: x\n", "")
+		c := ta.dial().send("GET /health/ready HTTP/1.1\nHost: x\n", "")
 		if resp, _ := c.readResponse(); resp.StatusCode != 200 {
 			t.Fatalf("%+v", resp)
 		}
 		kept = append(kept, c)
 	}
-	f.Share(2)
+	ta.Share(2)
 	for _, c := range kept[:2] { // the oldest two of six; the share is four
 		if _, err := c.ReadByte(); err != io.EOF {
 			t.Errorf("%v", err)
 		}
 	}
-	f.draining.Store(true)
+	ta.draining.Store(true)
 	if resp, _ := kept[5].send("GET /health/ready HTTP/1.1\nHost: x\n", "").readResponse(); resp.StatusCode != 200 || !resp.Close {
 		t.Errorf("%+v", resp)
 	}
-	f.Share(1)
-	if resp, _ := f.dial().send("GET /health/ready HTTP/1.1\nHost: x\n", "").readResponse(); resp.StatusCode != 503 {
+	ta.Share(1)
+	if resp, _ := ta.dial().send("GET /health/ready HTTP/1.1\nHost: x\n", "").readResponse(); resp.StatusCode != 503 {
 		t.Errorf("%+v", resp)
 	}
 }
--- a/internal/acceptor/close_test.go
+++ b/internal/acceptor/close_test.go
@@ -65,27 +65,27 @@
 	request := strings.ReplaceAll(lookupRequest, "\n", "\r\n") + "\r\n"
 	for _, state := range []http.ConnState{http.StateNew, http.StateIdle} {
 		for name, end := range map[string]func(*testAcceptor){
-			"timeout":        func(f *testAcceptor) {}, // set by the timeouts below
-			"closed by Part": func(f *testAcceptor) { f.Part(true) },
-			"eviction": func(f *testAcceptor) {
-				f.conns.mu.Lock()
-				defer f.conns.mu.Unlock()
-				f.conns.closeOldest(f.conns.newConns)
-				f.conns.closeOldest(f.conns.idle)
+			"timeout":        func(ta *testAcceptor) {}, // set by the timeouts below
+			"closed by Part": func(ta *testAcceptor) { ta.Part(true) },
+			"eviction": func(ta *testAcceptor) {
+				ta.conns.mu.Lock()
+				defer ta.conns.mu.Unlock()
+				ta.conns.closeOldest(ta.conns.newConns)
+				ta.conns.closeOldest(ta.conns.idle)
 			},
-			"drain": func(f *testAcceptor) {
-				go f.Drain()
+			"drain": func(ta *testAcceptor) {
+				go ta.Drain()
 				for closing := false; !closing; time.Sleep(time.Millisecond) {
-					f.conns.mu.Lock()
-					closing = f.conns.closingCount > 0
-					f.conns.mu.Unlock()
+					ta.conns.mu.Lock()
+					closing = ta.conns.closingCount > 0
+					ta.conns.mu.Unlock()
 				}
 			},
 		} {
 			t.Run(fmt.Sprintf("%s, %v", name, state), func(t *testing.T) {
 				t.Parallel()
 				g := newStateGate(state)
-				f := startAcceptorWith(t, 10, 0, func(a *Acceptor) {
+				ta := startAcceptorWith(t, 10, 0, func(a *Acceptor) {
 					g.install(a)
 					if name != "timeout" {
 						return
@@ -94,22 +94,22 @@
 						a.server.ReadHeaderTimeout = 1 // expires before anything is read
 					}
 				})
-				c := f.dial()
+				c := ta.dial()
 				if state == http.StateIdle {
 					c.send(lookupRequest, "")
-					f.Answer(f.nextEvent().(reducer.Arrived).Call.ID, servedReply("first"))
+					ta.Answer(ta.nextEvent().(reducer.Arrived).Call.ID, servedReply("first"))
 					c.readResponse()
 				}
 				nc := <-g.reached
 				io.WriteString(c, request)
 				waitBuffered(t, nc, len(request))
-				end(f)
+				end(ta)
 				close(g.released)
-				e, ok := f.nextEvent().(reducer.Arrived)
+				e, ok := ta.nextEvent().(reducer.Arrived)
 				if !ok {
 					t.Fatalf("%+v", e)
 				}
-				f.Answer(e.Call.ID, servedReply("crossed"))
+				ta.Answer(e.Call.ID, servedReply("crossed"))
 				if resp, body := c.readResponse(); resp.StatusCode != 200 || body != "crossed" {
 					t.Errorf("%d %q", resp.StatusCode, body)
 				}
@@ -122,11 +122,11 @@
 func TestIncompleteHeaderDuringCloseIsDropped(t *testing.T) {
 	for _, input := range []string{"", "GET /lookup HT"} {
 		g := newStateGate(http.StateNew)
-		f := startAcceptorWith(t, 10, 0, g.install)
-		c := f.dial()
+		ta := startAcceptorWith(t, 10, 0, g.install)
+		c := ta.dial()
 		io.WriteString(c, input)
 		waitBuffered(t, <-g.reached, len(input))
-		f.Part(true)
+		ta.Part(true)
 		close(g.released)
 		if all, err := io.ReadAll(c.Reader); len(all) > 0 { // unread input may turn the close into a reset
 			t.Errorf("%q was answered with %q, %v", input, all, err)
@@ -137,8 +137,8 @@
 // Guards against a truncated answer: on a close with unread input the kernel sends a reset and drops what the client has
 // not yet received. So the input must be read first.
 func TestUnreadInputDoesNotResetAnswer(t *testing.T) {
-	f := startAcceptor(t, 10)
-	nc, err := (&net.Dialer{}).Dial("tcp", f.addr)
+	ta := startAcceptor(t, 10)
+	nc, err := (&net.Dialer{}).Dial("tcp", ta.addr)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -147,11 +147,11 @@
 	nc.(*net.TCPConn).SetReadBuffer(4 << 10) // a small buffer, so that most of the answer waits on the server side
 	next := strings.ReplaceAll(lookupRequest, "\n", "\r\n") + "\r\n"
 	io.WriteString(nc, next)
-	e := f.nextEvent().(reducer.Arrived)
+	e := ta.nextEvent().(reducer.Arrived)
 	io.WriteString(nc, strings.Repeat(next, 300))
-	f.draining.Store(true) // so that the connection closes after the answer
+	ta.draining.Store(true) // so that the connection closes after the answer
 	body := strings.Repeat("0123456789", 6_000)
-	f.Answer(e.Call.ID, servedReply(body))
+	ta.Answer(e.Call.ID, servedReply(body))
 	got, err := io.ReadAll(nc)
 	if err != nil && !strings.HasSuffix(string(got), body) {
 		t.Errorf("%d bytes of %d, %v", len(got), len(body), err)
@@ -161,9 +161,9 @@
 // The write deadline follows each write, not the settings at the start: a client that waits for its 100 Continue longer
 // than the server's write timeout still gets it.
 func TestLateContinueIsSent(t *testing.T) {
-	f := startAcceptorWith(t, 10, 1<<20, func(a *Acceptor) { a.server.WriteTimeout = 20 * time.Millisecond }) // a limit from earlier settings
-	c := f.dial().send("POST"+lookupRequest[3:]+"Content-Length: 100000\nExpect: 100-continue\n", "")
-	call := f.nextEvent().(reducer.Arrived).Call
+	ta := startAcceptorWith(t, 10, 1<<20, func(a *Acceptor) { a.server.WriteTimeout = 20 * time.Millisecond }) // a limit from earlier settings
+	c := ta.dial().send("POST"+lookupRequest[3:]+"Content-Length: 100000\nExpect: 100-continue\n", "")
+	call := ta.nextEvent().(reducer.Arrived).Call
 	time.Sleep(100 * time.Millisecond) // past the write timeout of 20 ms; the length is not checked
 	got := make(chan int)
 	go func() {
@@ -177,7 +177,7 @@
 	if n := <-got; n != 100000 {
 		t.Errorf("%d bytes", n)
 	}
-	f.Answer(call.ID, servedReply("kept"))
+	ta.Answer(call.ID, servedReply("kept"))
 	if _, text := c.readResponse(); text != "kept" {
 		t.Error(text)
 	}
@@ -186,15 +186,15 @@
 // Connections without a call are closed when Drain stops accepting, the newest included: a request that came on one later
 // might not finish before the process is killed. Calls in progress continue.
 func TestDrainClosesSilentConnections(t *testing.T) {
-	f := startAcceptorWith(t, 10, 0, func(a *Acceptor) { a.server.ReadHeaderTimeout, a.server.IdleTimeout = time.Hour, time.Hour })
-	busy := f.dial().send(lookupRequest, "")
-	call := f.nextEvent().(reducer.Arrived).Call
-	kept := f.dial().send(lookupRequest, "")
-	f.Answer(f.nextEvent().(reducer.Arrived).Call.ID, servedReply("kept"))
+	ta := startAcceptorWith(t, 10, 0, func(a *Acceptor) { a.server.ReadHeaderTimeout, a.server.IdleTimeout = time.Hour, time.Hour })
+	busy := ta.dial().send(lookupRequest, "")
+	call := ta.nextEvent().(reducer.Arrived).Call
+	kept := ta.dial().send(lookupRequest, "")
+	ta.Answer(ta.nextEvent().(reducer.Arrived).Call.ID, servedReply("kept"))
 	kept.readResponse()
-	silent := f.dial()
+	silent := ta.dial()
 	ended := make(chan error, 1)
-	go func() { ended <- f.Drain() }()
+	go func() { ended <- ta.Drain() }()
 	reference := referenceServer(t)
 	for _, c := range []*testClient{kept, silent} {
 		if _, err := c.ReadByte(); err != io.EOF {
@@ -211,7 +211,7 @@
 		t.Fatal("Drain returned with a call in progress:", err)
 	default:
 	}
-	f.Answer(call.ID, servedReply("busy"))
+	ta.Answer(call.ID, servedReply("busy"))
 	if _, body := busy.readResponse(); body != "busy" {
 		t.Error(body)
 	}
--- a/internal/acceptor/disconnect_test.go
+++ b/internal/acceptor/disconnect_test.go
@@ -23,21 +23,21 @@
 }
 
 // nextEvent returns the next event for the reducer.
-func (f *testAcceptor) nextEvent() reducer.Event {
-	f.t.Helper()
+func (ta *testAcceptor) nextEvent() reducer.Event {
+	ta.t.Helper()
 	select {
-	case e := <-f.events:
+	case e := <-ta.events:
 		return e
 	case <-time.After(20 * time.Second):
-		f.t.Fatal("no event for the reducer within 20 s")
+		ta.t.Fatal("no event for the reducer within 20 s")
 		return nil
 	}
 }
 
-func (f *testAcceptor) expectClientGone(call *reducer.Call) {
-	f.t.Helper()
-	if gone, ok := f.nextEvent().(reducer.ClientGone); !ok || gone.Call != call.ID {
-		f.t.Fatalf("%+v", gone)
+func (ta *testAcceptor) expectClientGone(call *reducer.Call) {
+	ta.t.Helper()
+	if gone, ok := ta.nextEvent().(reducer.ClientGone); !ok || gone.Call != call.ID {
+		ta.t.Fatalf("%+v", gone)
 	}
 }
 
@@ -52,14 +52,14 @@
 			"half later": {"", next[:40]}, "two, one later": {next, next}, "much": {strings.Repeat(next, 60)}} {
 			t.Run(kind+" behind "+name, func(t *testing.T) {
 				t.Parallel()
-				f := startAcceptor(t, 10)
-				c := f.dial().send(lookupRequest, behind[0])
-				call := f.nextEvent().(reducer.Arrived).Call
+				ta := startAcceptor(t, 10)
+				c := ta.dial().send(lookupRequest, behind[0])
+				call := ta.nextEvent().(reducer.Arrived).Call
 				io.WriteString(c, behind[1])
 				end(c)
-				f.expectClientGone(call)
-				f.dial().send(strings.Replace(lookupRequest, "9b1f", "fence", 1), "")
-				if e := f.nextEvent().(reducer.Arrived); e.Call.ClientID != "fence" {
+				ta.expectClientGone(call)
+				ta.dial().send(strings.Replace(lookupRequest, "9b1f", "fence", 1), "")
+				if e := ta.nextEvent().(reducer.Arrived); e.Call.ClientID != "fence" {
 					t.Errorf("%s was forwarded for a client that has disconnected", e.Call.ClientID)
 				}
 			})
@@ -69,7 +69,7 @@
 
 // Guards against the loss of pipelined requests by the check for disconnects.
 func TestPipelinedRequestsAreServed(t *testing.T) {
-	f := startAcceptor(t, 10)
+	ta := startAcceptor(t, 10)
 	body := strings.Repeat("x", 5000)
 	var all strings.Builder
 	for i := range 5 {
@@ -78,7 +78,7 @@
 			lookupRequest[strings.Index(lookupRequest, "X-Class"):] + fmt.Sprintf("Content-Length: %d\n\n%s", len(body), body))
 	}
 	wire := strings.ReplaceAll(all.String(), "\n", "\r\n")
-	c := f.dial()
+	c := ta.dial()
 	sentAll := make(chan struct{})
 	first := make(chan struct{})
 	go func() {
@@ -88,7 +88,7 @@
 		c.Write([]byte(wire[len(wire)/3:]))
 	}()
 	for i := range 10 {
-		e, ok := f.nextEvent().(reducer.Arrived)
+		e, ok := ta.nextEvent().(reducer.Arrived)
 		want := fmt.Sprint(i / 2)
 		if i%2 == 1 {
 			want = "b" + want
@@ -100,7 +100,7 @@
 			close(first)
 			<-sentAll
 		}
-		f.Answer(e.Call.ID, servedReply(want))
+		ta.Answer(e.Call.ID, servedReply(want))
 		if _, got := c.readResponse(); got != want {
 			t.Fatalf("%q for %q", got, want)
 		}
@@ -147,24 +147,24 @@
 			}
 			t.Run(kind+" behind "+name, func(t *testing.T) {
 				t.Parallel()
-				f := startAcceptorWithUploads(t, 10, 1<<20)
+				ta := startAcceptorWithUploads(t, 10, 1<<20)
 				l, err := net.Listen("tcp", "127.0.0.1:0")
 				if err != nil {
 					t.Fatal(err)
 				}
-				go f.Serve(lateListener{l, t})
-				direct := f.addr
-				f.addr = l.Addr().String()
-				c := f.dial().send(request[0], request[1])
+				go ta.Serve(lateListener{l, t})
+				direct := ta.addr
+				ta.addr = l.Addr().String()
+				c := ta.dial().send(request[0], request[1])
 				end(c)
 				if kind == "half close" { // it may get an answer, and the connection closes
 					if resp, err := http.ReadResponse(c.Reader, nil); err == nil && resp.StatusCode != http.StatusBadGateway {
 						t.Error(resp.Status)
 					}
 				}
-				f.addr = direct
-				f.dial().send(strings.Replace(lookupRequest, "9b1f", "fence", 1), "")
-				if e := f.nextEvent().(reducer.Arrived); e.Call.ClientID != "fence" {
+				ta.addr = direct
+				ta.dial().send(strings.Replace(lookupRequest, "9b1f", "fence", 1), "")
+				if e := ta.nextEvent().(reducer.Arrived); e.Call.ClientID != "fence" {
 					t.Errorf("%s was forwarded for a client that has disconnected", e.Call.ClientID)
 				}
 			})
@@ -179,9 +179,9 @@
 		for _, received := range []int{0, 1, 100_000, length} {
 			t.Run(fmt.Sprintf("%s after %d bytes", kind, received), func(t *testing.T) {
 				t.Parallel()
-				f := startAcceptorWithUploads(t, 10, 1<<20)
-				c := f.dial().send("POST"+lookupRequest[3:]+fmt.Sprintf("Content-Length: %d\n", length), strings.Repeat("x", received))
-				call := f.nextEvent().(reducer.Arrived).Call
+				ta := startAcceptorWithUploads(t, 10, 1<<20)
+				c := ta.dial().send("POST"+lookupRequest[3:]+fmt.Sprintf("Content-Length: %d\n", length), strings.Repeat("x", received))
+				call := ta.nextEvent().(reducer.Arrived).Call
 				if callMessage(call).Upload == nil {
 					t.Fatal("no upload")
 				}
@@ -194,7 +194,7 @@
 						t.Errorf("%d bytes were read, %v", len(all), err)
 					}
 				}
-				f.expectClientGone(call)
+				ta.expectClientGone(call)
 			})
 		}
 	}
@@ -207,7 +207,7 @@
 		t.Run(kind, func(t *testing.T) {
 			t.Parallel()
 			ended := make(chan struct{}, 1)
-			f := startAcceptorWith(t, 10, 0, func(a *Acceptor) {
+			ta := startAcceptorWith(t, 10, 0, func(a *Acceptor) {
 				next := a.server.ConnState
 				a.server.ConnState = func(nc net.Conn, s http.ConnState) {
 					next(nc, s)
@@ -216,10 +216,10 @@
 					}
 				}
 			})
-			c := f.dial().send(lookupRequest, "")
-			call := f.nextEvent().(reducer.Arrived).Call
+			c := ta.dial().send(lookupRequest, "")
+			call := ta.nextEvent().(reducer.Arrived).Call
 			end(c)
-			f.expectClientGone(call)
+			ta.expectClientGone(call)
 			select {
 			case <-ended:
 			case <-time.After(20 * time.Second):
@@ -238,9 +238,9 @@
 	for _, size := range []int{150, 1 << 20} {
 		t.Run(fmt.Sprintf("in pieces of %d", size), func(t *testing.T) {
 			t.Parallel()
-			f := startAcceptor(t, 10)
-			c := f.dial().send(lookupRequest, "")
-			call := f.nextEvent().(reducer.Arrived).Call
+			ta := startAcceptor(t, 10)
+			c := ta.dial().send(lookupRequest, "")
+			call := ta.nextEvent().(reducer.Arrived).Call
 			go func() {
 				for range 4 << 20 / size {
 					if _, err := c.Write(make([]byte, size)); err != nil {
@@ -254,15 +254,15 @@
 					t.Fatal("the client counts as connected")
 				}
 			}
-			f.expectClientGone(call)
+			ta.expectClientGone(call)
 		})
 	}
 	for name, sizes := range map[string][]int{"less": {40_000}, "less, in small pieces": slices.Repeat([]int{150}, 130)} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			f := startAcceptor(t, 10)
-			c := f.dial().send(lookupRequest, "")
-			call := f.nextEvent().(reducer.Arrived).Call
+			ta := startAcceptor(t, 10)
+			c := ta.dial().send(lookupRequest, "")
+			call := ta.nextEvent().(reducer.Arrived).Call
 			for _, size := range sizes {
 				if _, err := c.Write(make([]byte, size)); err != nil {
 					t.Fatal(err)
@@ -273,7 +273,7 @@
 					t.Fatal("the client counts as disconnected")
 				}
 			}
-			f.Answer(call.ID, servedReply("there"))
+			ta.Answer(call.ID, servedReply("there"))
 			if _, body := c.readResponse(); body != "there" {
 				t.Errorf("%q", body)
 			}
@@ -289,12 +289,12 @@
 	for kind, end := range disconnects {
 		shortest := time.Hour
 		for range tries {
-			f := startAcceptorWithUploads(t, 10, 1<<20)
-			c := f.dial().send("POST"+lookupRequest[3:]+"Content-Length: 300000\n", "x")
-			call := f.nextEvent().(reducer.Arrived).Call
+			ta := startAcceptorWithUploads(t, 10, 1<<20)
+			c := ta.dial().send("POST"+lookupRequest[3:]+"Content-Length: 300000\n", "x")
+			call := ta.nextEvent().(reducer.Arrived).Call
 			end(c)
 			left := time.Now()
-			f.expectClientGone(call)
+			ta.expectClientGone(call)
 			shortest = min(shortest, time.Since(left))
 		}
 		if shortest > bound {
--- a/internal/acceptor/framing.go
+++ b/internal/acceptor/framing.go
@@ -78,9 +78,9 @@
 }
 
 // recordHeader records whether a complete header is double framed, and the length of the body behind it.
-func (h *headerScanner) recordHeader(head []byte) {
+func (h *headerScanner) recordHeader(header []byte) {
 	length, encoded := "", false
-	for line := range bytes.Lines(head) {
+	for line := range bytes.Lines(header) {
 		name, value, ok := bytes.Cut(line, []byte(":"))
 		switch {
 		case !ok:
