--- a/internal/acceptor/acceptor_test.go
+++ b/internal/acceptor/acceptor_test.go
@@ -17,47 +17,49 @@
 	"pewterrudder/internal/tenants"
 )
 
-// front is an acceptor on a loopback socket, with the test in the reducer's place.
-type front struct {
+// testAcceptor is an Acceptor on a loopback socket. The test takes the place of the reducer.
+type testAcceptor struct {
 	*Acceptor
 	t      *testing.T
 	addr   string
 	events chan reducer.Event
 }
 
-func newFront(t *testing.T, budget int) *front { return newFrontTaking(t, budget, 0) }
+func startAcceptor(t *testing.T, budget int) *testAcceptor {
+	return startAcceptorWithUploads(t, budget, 0)
+}
 
-func newFrontTaking(t *testing.T, budget int, upload int64) *front {
-	return newFrontWith(t, budget, upload, func(*Acceptor) {})
+func startAcceptorWithUploads(t *testing.T, budget int, upload int64) *testAcceptor {
+	return startAcceptorWith(t, budget, upload, func(*Acceptor) {})
 }
 
-// newFrontWith has the acceptor changed before it serves.
-func newFrontWith(t *testing.T, budget int, upload int64, change func(*Acceptor)) *front {
-	f := &front{t: t, events: make(chan reducer.Event, 100)}
-	f.Acceptor = New(func() time.Duration { return time.Hour }, func(e reducer.Event) { f.events <- e },
-		map[string]int{"lookup": 0, "booking": 1}, []time.Duration{time.Second, time.Second}, acme(), budget, 6, Bounds{Upload: upload, ClientIdle: 2 * time.Second})
+// startAcceptorWith calls configure before the acceptor serves.
+func startAcceptorWith(t *testing.T, budget int, upload int64, configure func(*Acceptor)) *testAcceptor {
+	ta := &testAcceptor{t: t, events: make(chan reducer.Event, 100)}
+	ta.Acceptor = New(func() time.Duration { return time.Hour }, func(e reducer.Event) { ta.events <- e },
+		map[string]int{"lookup": 0, "booking": 1}, []time.Duration{time.Second, time.Second}, acmeTenants(), budget, 6, Bounds{Upload: upload, ClientIdle: 2 * time.Second})
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	f.addr = l.Addr().String()
-	change(f.Acceptor)
-	go f.Serve(l)
-	t.Cleanup(func() { f.server.Close() })
-	return f
+	ta.addr = l.Addr().String()
+	configure(ta.Acceptor)
+	go ta.Serve(l)
+	t.Cleanup(func() { ta.server.Close() })
+	return ta
 }
 
-// acme is a table with one tenant.
-func acme() *tenants.Table {
+// acmeTenants returns a table with the tenant acme.
+func acmeTenants() *tenants.Table {
 	t := new(tenants.Table)
 	t.Put("acme", tenants.Terms{Quota: 12.5, Share: 1}, 0, 0)
 	return t
 }
 
-func sent(c *reducer.Call) *message.Call { return c.Message.(*message.Call) }
+func callMessage(c *reducer.Call) *message.Call { return c.Message.(*message.Call) }
 
-// served is an app node's answer, held whole.
-func served(body string, header ...string) reducer.Reply {
+// servedReply is a buffered answer of an app node, with an optional header name and value.
+func servedReply(body string, header ...string) reducer.Reply {
 	m := &message.Answer{Status: 200, Header: http.Header{}, Trailer: new(http.Header), Body: []byte(body)}
 	if len(header) > 0 {
 		m.Header.Set(header[0], header[1])
@@ -65,29 +67,29 @@
 	return reducer.Reply{Kind: reducer.Served, Message: m}
 }
 
-type caller struct {
+type testClient struct {
 	net.Conn
 	*bufio.Reader
 	t *testing.T
 }
 
-func (f *front) dial() *caller {
-	f.t.Helper()
-	nc, err := net.Dial("tcp", f.addr)
+func (ta *testAcceptor) dial() *testClient {
+	ta.t.Helper()
+	nc, err := net.Dial("tcp", ta.addr)
 	if err != nil {
-		f.t.Fatal(err)
+		ta.t.Fatal(err)
 	}
-	f.t.Cleanup(func() { nc.Close() })
+	ta.t.Cleanup(func() { nc.Close() })
 	nc.SetDeadline(time.Now().Add(20 * time.Second)) // a hang is a failure
-	return &caller{nc, bufio.NewReader(nc), f.t}
+	return &testClient{nc, bufio.NewReader(nc), ta.t}
 }
 
-func (c *caller) send(head, body string) *caller {
-	io.WriteString(c, strings.ReplaceAll(head, "\n", "\r\n")+"\r\n"+body)
+func (c *testClient) send(header, body string) *testClient {
+	io.WriteString(c, strings.ReplaceAll(header, "\n", "\r\n")+"\r\n"+body)
 	return c
 }
 
-func (c *caller) answer() (*http.Response, string) {
+func (c *testClient) readResponse() (*http.Response, string) {
 	c.t.Helper()
 	resp, err := http.ReadResponse(c.Reader, nil)
 	if err != nil {
@@ -100,130 +102,132 @@
 	return resp, string(body)
 }
 
-const lookup = "GET /lookup/a%2Fb//c?q=1;2&key=k%20v&x=%zz HTTP/1.1\nHost: origin.svc\nX-Request-Id: 9b1f\n" +
+const lookupRequest = "GET /lookup/a%2Fb//c?q=1;2&key=k%20v&x=%zz HTTP/1.1\nHost: origin.svc\nX-Request-Id: 9b1f\n" +
 	"X-Class: lookup\nX-Tenant: acme\nX-Deadline: 480m\n"
 
-// The proxy would drop what it cannot parse of a query and clean paths; an app node must get what the client sent.
-func TestACallIsPassedOnAsItCame(t *testing.T) {
-	f := newFront(t, 10)
-	c := f.dial()
-	c.send(lookup, "")
-	call := (<-f.events).(reducer.Arrived).Call
-	if sent(call).Request.RequestURI != "/lookup/a%2Fb//c?q=1;2&key=k%20v&x=%zz" || call.Key != "k v" ||
+// Guards against changes of the request target: the proxy by default drops query parameters that it cannot parse and
+// cleans paths.
+func TestCallIsForwardedUnchanged(t *testing.T) {
+	ta := startAcceptor(t, 10)
+	c := ta.dial()
+	c.send(lookupRequest, "")
+	call := (<-ta.events).(reducer.Arrived).Call
+	if callMessage(call).Request.RequestURI != "/lookup/a%2Fb//c?q=1;2&key=k%20v&x=%zz" || call.Key != "k v" ||
 		call.Deadline != time.Hour+480*time.Millisecond || call.Class != 0 || call.Tenant != 0 || call.Quota != 12.5 {
-		t.Errorf("%+v %s", call, sent(call).Request.RequestURI)
+		t.Errorf("%+v %s", call, callMessage(call).Request.RequestURI)
 	}
-	f.Answer(call.ID, served("price\n", "X-Cache", "hit"))
-	f.Answer(call.ID, reducer.Reply{Kind: reducer.Failed}) // the first wins
-	if resp, body := c.answer(); resp.StatusCode != 200 || body != "price\n" || resp.Header.Get("X-Cache") != "hit" {
+	ta.Answer(call.ID, servedReply("price\n", "X-Cache", "hit"))
+	ta.Answer(call.ID, reducer.Reply{Kind: reducer.Failed}) // ignored: the first answer wins
+	if resp, body := c.readResponse(); resp.StatusCode != 200 || body != "price\n" || resp.Header.Get("X-Cache") != "hit" {
 		t.Errorf("%+v %q", resp, body)
 	}
 	c.send("POST /booking HTTP/1.1\nHost: x\nX-Request-Id: 2\nX-Class: booking\nX-Deadline: 900000u\n"+
 		"Idempotency-Key: 5c\nContent-Length: 4\n", "skip")
-	call = (<-f.events).(reducer.Arrived).Call
-	if string(sent(call).Body) != "skip" || call.Tenant != -1 || call.Quota != 0 || sent(call).Request.Header.Get("Idempotency-Key") != "5c" {
+	call = (<-ta.events).(reducer.Arrived).Call
+	if string(callMessage(call).Body) != "skip" || call.Tenant != -1 || call.Quota != 0 || callMessage(call).Request.Header.Get("Idempotency-Key") != "5c" {
 		t.Errorf("%+v", call)
 	}
-	f.Answer(call.ID, reducer.Reply{Kind: reducer.Refused, After: 250 * time.Millisecond})
-	if resp, _ := c.answer(); resp.StatusCode != 503 || resp.Header.Get("Retry-After") != "0.250" {
+	ta.Answer(call.ID, reducer.Reply{Kind: reducer.Refused, After: 250 * time.Millisecond})
+	if resp, _ := c.readResponse(); resp.StatusCode != 503 || resp.Header.Get("Retry-After") != "0.250" {
 		t.Errorf("%+v", resp)
 	}
 }
 
-// What is not a call never reaches the reducer, and so no app node.
-func TestWhatIsNoCallIsTurnedAway(t *testing.T) {
-	f := newFront(t, 50)
-	for _, cut := range []struct{ from, to string }{
+// A request that is not a valid call must not reach the reducer, and so no app node.
+func TestInvalidRequestIsRejected(t *testing.T) {
+	ta := startAcceptor(t, 50)
+	for _, tc := range []struct{ from, to string }{
 		{"X-Request-Id: 9b1f\n", ""}, {"X-Class: lookup\n", ""}, {"X-Class: lookup", "X-Class: other"},
 		{"X-Deadline: 480m\n", ""}, {"480m", "480"}, {"480m", "NaNm"}, {"480m", "-1m"}, {"480m", "soon"},
 	} {
-		if resp, _ := f.dial().send(strings.Replace(lookup, cut.from, cut.to, 1), "").answer(); resp.StatusCode != 400 {
-			t.Errorf("%q for %q: %d", cut.to, cut.from, resp.StatusCode)
+		if resp, _ := ta.dial().send(strings.Replace(lookupRequest, tc.from, tc.to, 1), "").readResponse(); resp.StatusCode != 400 {
+			t.Errorf("%q for %q: %d", tc.to, tc.from, resp.StatusCode)
 		}
 	}
-	c := f.dial()
-	c.send(strings.Replace(lookup, "GET", "POST", 1)+"Content-Length: 65537\n", strings.Repeat("x", 65537))
-	if resp, _ := c.answer(); resp.StatusCode != 413 {
+	c := ta.dial()
+	c.send(strings.Replace(lookupRequest, "GET", "POST", 1)+"Content-Length: 65537\n", strings.Repeat("x", 65537))
+	if resp, _ := c.readResponse(); resp.StatusCode != 413 {
 		t.Errorf("%d for a body over the limit", resp.StatusCode)
 	}
-	if len(f.events) != 0 {
-		t.Errorf("the reducer heard %T", <-f.events)
+	if len(ta.events) != 0 {
+		t.Errorf("the reducer received %T", <-ta.events)
 	}
 }
 
-// A body framed both ways may hide a request behind the end that one of the two gives. Neither the call nor what
-// stands behind it may pass on, and the connection ends.
-func TestABodyFramedBothWaysEndsTheConnection(t *testing.T) {
-	f := newFront(t, 10)
-	for _, head := range []string{
+// Guards against request smuggling: a body framed both ways may hide a request behind one of its two ends. Neither the
+// call nor the bytes behind it may be forwarded, and the connection closes.
+func TestDoubleFramedBodyClosesConnection(t *testing.T) {
+	ta := startAcceptor(t, 10)
+	for _, header := range []string{
 		"POST /booking HTTP/1.1\nContent-Length: %d\nTransfer-Encoding: chunked\n",
 		"POST /booking HTTP/1.0\nContent-Length: %d\nTransfer-Encoding: chunked\n",
 		"POST /booking HTTP/1.1\ncontent-length:%d\nX-Between: 1\ntransfer-encoding: chunked\n",
 		"POST /booking HTTP/1.1\nTransfer-Encoding:\n chunked\nContent-Length: %d\n",
 	} {
-		hidden := "0\r\n\r\n" + strings.ReplaceAll(lookup, "\n", "\r\n") + "\r\n"
-		c := f.dial().send(fmt.Sprintf(head, len(hidden))+strings.SplitAfterN(lookup, "\n", 2)[1], hidden)
-		if resp, _ := c.answer(); resp.StatusCode != 400 || !resp.Close {
-			t.Errorf("%s: %+v", head, resp)
+		hidden := "0\r\n\r\n" + strings.ReplaceAll(lookupRequest, "\n", "\r\n") + "\r\n"
+		c := ta.dial().send(fmt.Sprintf(header, len(hidden))+strings.SplitAfterN(lookupRequest, "\n", 2)[1], hidden)
+		if resp, _ := c.readResponse(); resp.StatusCode != 400 || !resp.Close {
+			t.Errorf("%s: %+v", header, resp)
 		}
 		if _, err := c.ReadByte(); err == nil {
-			t.Error("the connection goes on")
+			t.Error("the connection is still open")
 		}
 	}
-	if len(f.events) != 0 {
-		t.Errorf("the reducer heard %T", <-f.events)
+	if len(ta.events) != 0 {
+		t.Errorf("the reducer received %T", <-ta.events)
 	}
 }
 
-func TestAClientThatLeavesIsTold(t *testing.T) {
-	f := newFront(t, 10)
-	c := f.dial().send(strings.Replace(lookup, "GET", "POST", 1)+"Content-Length: 2\n", "ab")
-	call := (<-f.events).(reducer.Arrived).Call
+func TestClientDisconnectIsReported(t *testing.T) {
+	ta := startAcceptor(t, 10)
+	c := ta.dial().send(strings.Replace(lookupRequest, "GET", "POST", 1)+"Content-Length: 2\n", "ab")
+	call := (<-ta.events).(reducer.Arrived).Call
 	c.Close()
-	if gone, ok := (<-f.events).(reducer.ClientGone); !ok || gone.Call != call.ID {
+	if gone, ok := (<-ta.events).(reducer.ClientGone); !ok || gone.Call != call.ID {
 		t.Fatalf("%+v", gone)
 	}
-	f.mu.Lock()
-	defer f.mu.Unlock()
-	if len(f.waiting) != 0 {
-		t.Error("the call is still waited for")
+	ta.mu.Lock()
+	defer ta.mu.Unlock()
+	if len(ta.pending) != 0 {
+		t.Error("the call is still pending")
 	}
 }
 
-// Over the budget the longest idle client makes room; one that waits for an answer is left alone.
-func TestTheOldestIdleClientMakesRoom(t *testing.T) {
-	f := newFront(t, 2)
-	one := f.dial().send(lookup, "")
-	call := (<-f.events).(reducer.Arrived).Call
-	two := f.dial().send("GET /health/ready HTTP/1.1\nHost: x\n", "")
-	if resp, _ := two.answer(); resp.StatusCode != 503 {
-		t.Fatalf("ready before it was said: %d", resp.StatusCode)
-	}
-	f.Ready()
-	three := f.dial().send("GET /health/ready HTTP/1.1\nHost: x\n", "")
-	if resp, _ := three.answer(); resp.StatusCode != 200 {
+// At the budget, the longest idle connection is closed, but not one that waits for an answer.
+func TestOldestIdleConnectionIsEvicted(t *testing.T) {
+	ta := startAcceptor(t, 2)
+	one := ta.dial().send(lookupRequest, "")
+	call := (<-ta.events).(reducer.Arrived).Call
+	two := ta.dial().send("GET /health/ready HTTP/1.1\nHost: x\n", "")
+	if resp, _ := two.readResponse(); resp.StatusCode != 503 {
+		t.Fatalf("ready before Ready was called: %d", resp.StatusCode)
+	}
+	ta.Ready()
+	three := ta.dial().send("GET /health/ready HTTP/1.1\nHost: x\n", "")
+	if resp, _ := three.readResponse(); resp.StatusCode != 200 {
 		t.Fatalf("%d", resp.StatusCode)
 	}
 	if _, err := two.ReadByte(); err != io.EOF {
-		t.Errorf("the idle client: %v", err)
+		t.Errorf("idle connection: %v, want EOF", err)
 	}
-	f.Answer(call.ID, served(""))
-	one.answer()
+	ta.Answer(call.ID, servedReply(""))
+	one.readResponse()
 }
 
-// Clients that ask once and keep their connections for good must not use up what the front may open.
-func TestConnectionsKeptWithoutUseEnd(t *testing.T) {
-	f := newFront(t, 100)
-	began := time.Now()
-	var all []*caller
+// Clients that send one request and keep their connections open must not use up the connections that the front-end load
+// balancer may open.
+func TestExcessIdleConnectionsAreClosed(t *testing.T) {
+	ta := startAcceptor(t, 100)
+	start := time.Now()
+	var all []*testClient
 	for i := range 9 {
-		c := f.dial().send("GET /health/ready HTTP/1.1\nHost: x\n", "")
-		c.answer()
+		c := ta.dial().send("GET /health/ready HTTP/1.1\nHost: x\n", "")
+		c.readResponse()
 		all = append(all, c)
-		for until := time.Now().Add(20 * time.Second); ; time.Sleep(time.Millisecond) { // until the server counts it as idle
-			f.conns.mu.Lock()
-			idle := len(f.conns.idle)
-			f.conns.mu.Unlock()
+		for until := time.Now().Add(20 * time.Second); ; time.Sleep(time.Millisecond) { // until it counts as idle
+			ta.conns.mu.Lock()
+			idle := len(ta.conns.idle)
+			ta.conns.mu.Unlock()
 			if idle == min(i+1, 6) {
 				break
 			} else if time.Now().After(until) {
@@ -233,161 +237,166 @@
 	}
 	for _, c := range all[:3] {
 		if _, err := c.ReadByte(); err != io.EOF {
-			t.Errorf("one of the oldest: %v", err)
+			t.Errorf("one of the oldest connections: %v, want EOF", err)
 		}
 	}
-	if d := time.Since(began); d > idlePatience/2 {
-		t.Errorf("the oldest ended after %v", d)
+	if d := time.Since(start); d > idleTimeout/2 {
+		t.Errorf("the oldest connections closed after %v", d)
 	}
 	for _, c := range all[3:] {
-		c.send("GET /health/ready HTTP/1.1\nHost: x\n", "").answer()
+		c.send("GET /health/ready HTTP/1.1\nHost: x\n", "").readResponse()
 	}
 }
 
-// Connections that say nothing come by hundreds. They must neither fill the budget for those that ask, nor stay.
-func TestSilentClientsKeepNobodyOutAndEnd(t *testing.T) {
-	f := newFront(t, 8)
-	f.Ready()
-	usual := f.dial().send("GET /health/ready HTTP/1.1\nHost: x\n", "")
-	usual.answer()
-	began := time.Now()
-	var silent []*caller
+// Silent connections arrive by the hundred. They must neither use up the budget of clients that send requests nor stay
+// open.
+func TestSilentConnectionsDoNotExhaustBudget(t *testing.T) {
+	ta := startAcceptor(t, 8)
+	ta.Ready()
+	active := ta.dial().send("GET /health/ready HTTP/1.1\nHost: x\n", "")
+	active.readResponse()
+	start := time.Now()
+	var silent []*testClient
 	for range 40 {
-		silent = append(silent, f.dial())
+		silent = append(silent, ta.dial())
 	}
 	for range 3 {
-		f.dial().send("GET /health/ready HTTP/1.1\nHost: x\n", "").answer()
-		usual.send("GET /health/ready HTTP/1.1\nHost: x\n", "").answer()
+		ta.dial().send("GET /health/ready HTTP/1.1\nHost: x\n", "").readResponse()
+		active.send("GET /health/ready HTTP/1.1\nHost: x\n", "").readResponse()
 	}
-	if d := time.Since(began); d > headerPatience {
-		t.Errorf("those that asked waited %v", d)
+	if d := time.Since(start); d > headerTimeout {
+		t.Errorf("clients with requests waited %v", d)
 	}
 	for _, c := range silent {
 		if _, err := c.ReadByte(); err != io.EOF {
-			t.Errorf("a silent client: %v", err)
+			t.Errorf("silent connection: %v, want EOF", err)
 		}
 	}
-	if d := time.Since(began); d > 3*time.Second {
-		t.Errorf("the silent ones stayed %v", d)
+	if d := time.Since(start); d > 3*time.Second {
+		t.Errorf("silent connections stayed open for %v", d)
 	}
 }
 
-// Whatever a client leaves half done, it is told or closed within 3 s, and a length that is too long at once.
-func TestAHalfDoneRequestEnds(t *testing.T) {
-	for name, says := range map[string]string{
-		"half a head":  "GET /lookup HTTP/1.1\r\nHost:",
-		"endless head": "GET /lookup HTTP/1.1\r\nHost: x\r\nX-Pad: " + strings.Repeat("p", 1<<20),
-		"half a body":  strings.ReplaceAll("POST"+lookup[3:]+"Content-Length: 1000\n\n", "\n", "\r\n") + "ab",
-		"no body":      "GET /health/ready HTTP/1.1\r\nHost: x\r\nContent-Length: 100000\r\n\r\n",
-		"60 MB":        strings.ReplaceAll("POST"+lookup[3:]+"Content-Length: 60000000\n\n", "\n", "\r\n") + "ab",
-		"no length":    strings.ReplaceAll("POST"+lookup[3:]+"Content-Length: -4\n\n", "\n", "\r\n") + "abcd",
+// An incomplete request is answered or closed within 3 s, and one whose Content-Length is over the limit is answered at
+// once.
+func TestIncompleteRequestEnds(t *testing.T) {
+	for name, request := range map[string]string{
+		"half a header":  "GET /lookup HTTP/1.1\r\nHost:",
+		"endless header": "GET /lookup HTTP/1.1\r\nHost: x\r\nX-Pad: " + strings.Repeat("p", 1<<20),
+		"half a body":    strings.ReplaceAll("POST"+lookupRequest[3:]+"Content-Length: 1000\n\n", "\n", "\r\n") + "ab",
+		"no body":        "GET /health/ready HTTP/1.1\r\nHost: x\r\nContent-Length: 100000\r\n\r\n",
+		"60 MB":          strings.ReplaceAll("POST"+lookupRequest[3:]+"Content-Length: 60000000\n\n", "\n", "\r\n") + "ab",
+		"no length":      strings.ReplaceAll("POST"+lookupRequest[3:]+"Content-Length: -4\n\n", "\n", "\r\n") + "abcd",
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			f := newFront(t, 10)
-			began, c := time.Now(), f.dial()
-			go io.WriteString(c, says)
-			said, err := io.ReadAll(c.Reader)
-			if d := time.Since(began); d > 3*time.Second || strings.HasPrefix(string(said), "HTTP/1.1 200") ||
-				len(said) == 0 && err == nil && name == "60 MB" {
-				t.Errorf("after %v: %.40q %v", d, said, err)
+			ta := startAcceptor(t, 10)
+			start, c := time.Now(), ta.dial()
+			go io.WriteString(c, request)
+			response, err := io.ReadAll(c.Reader)
+			if d := time.Since(start); d > 3*time.Second || strings.HasPrefix(string(response), "HTTP/1.1 200") ||
+				len(response) == 0 && err == nil && name == "60 MB" {
+				t.Errorf("after %v: %.40q %v", d, response, err)
 			}
-			if len(f.events) != 0 {
-				t.Errorf("the reducer heard %T", <-f.events)
+			if len(ta.events) != 0 {
+				t.Errorf("the reducer received %T", <-ta.events)
 			}
 		})
 	}
 }
 
-// The patience with a body is over once it is there: left in force it would end the call as if its client had left.
-func TestASlowAnswerToABodyIsWaitedFor(t *testing.T) {
-	f := newFront(t, 10)
-	c := f.dial().send("POST"+lookup[3:]+"Content-Length: 2\n", "ab")
-	call := (<-f.events).(reducer.Arrived).Call
+// Guards against a body timeout that stays in force once the body has been read: it would end the call as if the client
+// had disconnected.
+func TestBodyTimeoutDoesNotApplyToAnswer(t *testing.T) {
+	ta := startAcceptor(t, 10)
+	c := ta.dial().send("POST"+lookupRequest[3:]+"Content-Length: 2\n", "ab")
+	call := (<-ta.events).(reducer.Arrived).Call
 	select {
-	case ev := <-f.events:
+	case ev := <-ta.events:
 		t.Fatalf("%T", ev)
-	case <-time.After(bodyPatience + 200*time.Millisecond):
+	case <-time.After(bodyTimeout + 200*time.Millisecond):
 	}
-	f.Answer(call.ID, served("late"))
-	if _, body := c.answer(); body != "late" {
+	ta.Answer(call.ID, servedReply("late"))
+	if _, body := c.readResponse(); body != "late" {
 		t.Error(body)
 	}
 }
 
-// After the signal to end, what was taken is answered, each answer ends its connection, new connections are
-// taken for a while yet, and then none.
-func TestDrainFinishesWhatWasTaken(t *testing.T) {
-	f := newFront(t, 10)
-	f.Ready()
-	before := f.dial().send(lookup, "")
-	first := (<-f.events).(reducer.Arrived).Call
-	began, ended := time.Now(), make(chan struct{})
+// After the termination signal, accepted calls are answered, each answer closes its connection, and new connections are
+// accepted for drainAcceptPeriod alone.
+func TestDrainFinishesAcceptedCalls(t *testing.T) {
+	ta := startAcceptor(t, 10)
+	ta.Ready()
+	before := ta.dial().send(lookupRequest, "")
+	first := (<-ta.events).(reducer.Arrived).Call
+	start, ended := time.Now(), make(chan struct{})
 	go func() {
-		if err := f.Drain(); err != nil {
+		if err := ta.Drain(); err != nil {
 			t.Error(err)
 		}
 		close(ended)
 	}()
-	for !f.draining.Load() {
+	for !ta.draining.Load() {
 		time.Sleep(time.Millisecond)
 	}
-	after := f.dial().send(lookup, "")
-	second := (<-f.events).(reducer.Arrived).Call
-	f.Answer(second.ID, served(""))
-	if resp, _ := after.answer(); !resp.Close {
-		t.Error("the connection was kept")
+	after := ta.dial().send(lookupRequest, "")
+	second := (<-ta.events).(reducer.Arrived).Call
+	ta.Answer(second.ID, servedReply(""))
+	if resp, _ := after.readResponse(); !resp.Close {
+		t.Error("the connection was kept open")
 	}
 	for { // until the listener is closed
-		nc, err := net.Dial("tcp", f.addr)
+		nc, err := net.Dial("tcp", ta.addr)
 		if err != nil {
 			break
 		}
 		nc.Close()
 		time.Sleep(5 * time.Millisecond)
 	}
-	if d := time.Since(began); d < 700*time.Millisecond {
-		t.Errorf("accepted for %v only", d)
+	if d := time.Since(start); d < 700*time.Millisecond {
+		t.Errorf("new connections were accepted for only %v", d)
 	}
-	f.Answer(first.ID, served("done"))
-	if _, body := before.answer(); body != "done" {
+	ta.Answer(first.ID, servedReply("done"))
+	if _, body := before.readResponse(); body != "done" {
 		t.Error(body)
 	}
 	<-ended
 }
 
-// lendable is a large answer whose beginning is held and whose rest the test gives.
-func lendable(room *flow.Room, length int, held string) (reducer.Reply, *io.PipeWriter) {
+// streamedReply returns a large answer whose beginning is held; the test writes the rest. A negative length means that
+// the answer states none.
+func streamedReply(room *flow.Room, length int, held string) (reducer.Reply, *io.PipeWriter) {
 	lease, err := room.Take(nil, 0)
 	if err != nil {
 		panic(err)
 	}
-	rest, more := io.Pipe()
+	rest, writer := io.Pipe()
 	m := &message.Answer{Status: 200, Header: http.Header{}, Trailer: new(http.Header),
 		Flow: flow.New(lease, append(lease.Held(), held...), rest, 1<<30)}
 	if length >= 0 {
 		m.Header.Set("Content-Length", strconv.Itoa(length))
 	}
-	return reducer.Reply{Kind: reducer.Served, Message: m}, more
+	return reducer.Reply{Kind: reducer.Served, Message: m}, writer
 }
 
-// What flows reaches the client piece by piece, as it comes, and whole; the memory comes back; the connection is used on.
-func TestAnAnswerFlows(t *testing.T) {
-	f := newFront(t, 10)
-	c := f.dial()
+// A streamed answer reaches the client piece by piece, as it is received, and complete. Its memory is returned, and the
+// connection is reused.
+func TestAnswerIsStreamed(t *testing.T) {
+	ta := startAcceptor(t, 10)
+	c := ta.dial()
 	for _, length := range []int{9, -1} {
-		c.send(lookup, "")
-		call := (<-f.events).(reducer.Arrived).Call
+		c.send(lookupRequest, "")
+		call := (<-ta.events).(reducer.Arrived).Call
 		room := flow.NewRoom(1)
-		reply, more := lendable(room, length, "abc")
-		f.Answer(call.ID, reply)
+		reply, writer := streamedReply(room, length, "abc")
+		ta.Answer(call.ID, reply)
 		resp, err := http.ReadResponse(c.Reader, nil)
 		if err != nil {
 			t.Fatal(err)
 		}
-		for _, piece := range []string{"abc", "def", "ghi"} { // each before the next is there
+		for _, piece := range []string{"abc", "def", "ghi"} { // each is received before the next is written
 			if piece != "abc" {
-				io.WriteString(more, piece)
+				io.WriteString(writer, piece)
 			}
 			got := make([]byte, 3)
 			if _, err := io.ReadFull(resp.Body, got); err != nil || string(got) != piece {
@@ -397,31 +406,32 @@
 		if length < 0 {
 			reply.Message.(*message.Answer).Trailer = &http.Header{"X-Sum": {"5"}}
 		}
-		more.Close()
+		writer.Close()
 		if rest, err := io.ReadAll(resp.Body); len(rest) != 0 || err != nil {
 			t.Errorf("%q %v", rest, err)
 		}
 		if length < 0 && resp.Trailer.Get("X-Sum") != "5" {
 			t.Errorf("trailer %v", resp.Trailer)
 		}
-		c.send("GET /health/ready HTTP/1.1\nHost: x\n", "").answer() // the same connection
+		c.send("GET /health/ready HTTP/1.1\nHost: x\n", "").readResponse() // reuses the connection
 		if now, _ := room.Lent(); now != 0 {
 			t.Errorf("%d bytes still lent", now)
 		}
 	}
 }
 
-// A break in the middle must show: a body short of its length, or chunks without their last.
-func TestABrokenFlowShows(t *testing.T) {
+// Guards against a truncated answer that looks complete: the client must see a body shorter than its length, or chunks
+// without the last one.
+func TestTruncatedStreamIsVisible(t *testing.T) {
 	for _, length := range []int{100, -1} {
-		f := newFront(t, 10)
-		c := f.dial().send(lookup, "")
-		call := (<-f.events).(reducer.Arrived).Call
+		ta := startAcceptor(t, 10)
+		c := ta.dial().send(lookupRequest, "")
+		call := (<-ta.events).(reducer.Arrived).Call
 		room := flow.NewRoom(1)
-		reply, more := lendable(room, length, "abc")
-		f.Answer(call.ID, reply)
-		io.WriteString(more, "def")
-		more.CloseWithError(io.ErrUnexpectedEOF)
+		reply, writer := streamedReply(room, length, "abc")
+		ta.Answer(call.ID, reply)
+		io.WriteString(writer, "def")
+		writer.CloseWithError(io.ErrUnexpectedEOF)
 		resp, err := http.ReadResponse(c.Reader, nil)
 		if err != nil {
 			t.Fatal(err)
@@ -430,53 +440,53 @@
 			t.Errorf("%q %v", got, err)
 		}
 		if _, err := c.ReadByte(); err == nil {
-			t.Error("the connection goes on")
+			t.Error("the connection is still open")
 		}
-		f.idle(room)
+		ta.waitMemoryReturned(room)
 	}
 }
 
-// idle waits until nothing is lent any more.
-func (f *front) idle(room *flow.Room) {
-	f.t.Helper()
+// waitMemoryReturned waits until nothing of room is lent any more.
+func (ta *testAcceptor) waitMemoryReturned(room *flow.Room) {
+	ta.t.Helper()
 	for until := time.Now().Add(20 * time.Second); ; time.Sleep(time.Millisecond) {
 		if now, _ := room.Lent(); now == 0 {
 			return
 		} else if time.Now().After(until) {
-			f.t.Fatalf("%d bytes still lent", now)
+			ta.t.Fatalf("%d bytes still lent", now)
 		}
 	}
 }
 
-// A client that leaves while nothing comes for it is told of, and one that takes nothing ends the flow by itself: when it
-// has been idle for too long, or at the call's deadline. One that takes little, but something, is waited for.
-func TestAFlowWithoutItsClient(t *testing.T) {
-	f := newFront(t, 10)
-	c := f.dial().send(lookup, "")
-	call := (<-f.events).(reducer.Arrived).Call
+// The disconnect of a client is reported while it receives no data, and the answer to a client that reads nothing ends
+// after ClientIdle.
+func TestStreamEndsWithoutItsClient(t *testing.T) {
+	ta := startAcceptor(t, 10)
+	c := ta.dial().send(lookupRequest, "")
+	call := (<-ta.events).(reducer.Arrived).Call
 	room := flow.NewRoom(1)
-	reply, more := lendable(room, -1, "abc")
-	f.Answer(call.ID, reply)
+	reply, writer := streamedReply(room, -1, "abc")
+	ta.Answer(call.ID, reply)
 	c.ReadByte()
 	c.Close()
-	if gone, ok := (<-f.events).(reducer.ClientGone); !ok || gone.Call != call.ID {
+	if gone, ok := (<-ta.events).(reducer.ClientGone); !ok || gone.Call != call.ID {
 		t.Fatalf("%+v", gone)
 	}
-	more.CloseWithError(net.ErrClosed) // as the delegation does
-	f.idle(room)
+	writer.CloseWithError(net.ErrClosed) // as the delegation package does
+	ta.waitMemoryReturned(room)
 
-	f.bounds.ClientIdle = 40 * time.Millisecond
-	c = f.dial()
-	c.send(lookup, "")
-	call = (<-f.events).(reducer.Arrived).Call
-	reply, more = lendable(room, -1, "abc")
-	f.Answer(call.ID, reply)
+	ta.bounds.ClientIdle = 40 * time.Millisecond
+	c = ta.dial()
+	c.send(lookupRequest, "")
+	call = (<-ta.events).(reducer.Arrived).Call
+	reply, writer = streamedReply(room, -1, "abc")
+	ta.Answer(call.ID, reply)
 	endless := make(chan struct{})
 	go func() {
 		defer close(endless)
 		piece := make([]byte, 1<<20)
 		for {
-			if _, err := more.Write(piece); err != nil {
+			if _, err := writer.Write(piece); err != nil {
 				return
 			}
 		}
@@ -485,26 +495,26 @@
 	if err := reply.Message.(*message.Answer).Flow.Err(); err != flow.ErrStopped {
 		t.Error(err)
 	}
-	more.CloseWithError(net.ErrClosed)
+	writer.CloseWithError(net.ErrClosed)
 	<-endless
-	f.idle(room)
+	ta.waitMemoryReturned(room)
 }
 
-// An upload goes on to whoever reads it, and a 100 Continue goes to the client when that begins; an answer in its middle
-// ends it and the connection; where uploads are not taken they are refused unread.
-func TestAnUploadFlows(t *testing.T) {
-	f := newFrontTaking(t, 10, 1<<20)
-	f.bounds.ClientIdle = time.Hour // so that nothing here ends by itself
-	head := "POST" + lookup[3:] + "Content-Length: 100000\n"
+// An upload is passed to its reader, and the first read sends 100 Continue to the client. An answer before its end ends
+// the upload and closes the connection. An upload over the limit is rejected unread.
+func TestUploadIsStreamed(t *testing.T) {
+	ta := startAcceptorWithUploads(t, 10, 1<<20)
+	ta.bounds.ClientIdle = time.Hour // no timeout during the test
+	header := "POST" + lookupRequest[3:] + "Content-Length: 100000\n"
 	body := strings.Repeat("0123456789", 10000)
-	c := f.dial().send(head+"Expect: 100-continue\n", "")
-	call := (<-f.events).(reducer.Arrived).Call
-	up := sent(call).Upload
+	c := ta.dial().send(header+"Expect: 100-continue\n", "")
+	call := (<-ta.events).(reducer.Arrived).Call
+	up := callMessage(call).Upload
 	if !call.OneShot || up == nil || up.Length != 100000 {
 		t.Fatalf("%+v", call)
 	}
 	if c.Buffered() != 0 {
-		t.Error("told to go on before anybody reads")
+		t.Error("100 Continue was sent before the first read")
 	}
 	got := make(chan string)
 	go func() {
@@ -518,131 +528,131 @@
 	if all := <-got; all != body {
 		t.Errorf("%d bytes", len(all))
 	}
-	if e := (<-f.events).(reducer.Uploaded); e.Call != call.ID {
+	if e := (<-ta.events).(reducer.Uploaded); e.Call != call.ID {
 		t.Errorf("%+v", e)
 	}
-	f.Answer(call.ID, served("kept"))
-	if resp, text := c.answer(); text != "kept" || resp.Close {
+	ta.Answer(call.ID, servedReply("kept"))
+	if resp, text := c.readResponse(); text != "kept" || resp.Close {
 		t.Errorf("%+v %q", resp, text)
 	}
-	c.send(head, body[:1000])
-	call = (<-f.events).(reducer.Arrived).Call
-	go io.Copy(io.Discard, sent(call).Upload)
-	for !sent(call).Upload.Touched() {
+	c.send(header, body[:1000])
+	call = (<-ta.events).(reducer.Arrived).Call
+	go io.Copy(io.Discard, callMessage(call).Upload)
+	for !callMessage(call).Upload.Touched() {
 		time.Sleep(time.Millisecond)
 	}
-	f.Answer(call.ID, served("enough"))
-	if resp, text := c.answer(); text != "enough" || !resp.Close {
+	ta.Answer(call.ID, servedReply("enough"))
+	if resp, text := c.readResponse(); text != "enough" || !resp.Close {
 		t.Errorf("%+v %q", resp, text)
 	}
-	io.WriteString(c, body[1000:50000]) // nobody wants it, and it does not cost the client its answer
+	io.WriteString(c, body[1000:50000]) // the unwanted rest must not cost the client its answer
 	if _, err := c.ReadByte(); err == nil {
-		t.Error("the connection goes on")
+		t.Error("the connection is still open")
 	}
-	if resp, _ := f.dial().send("POST"+lookup[3:]+"Content-Length: 1048577\n", "").answer(); resp.StatusCode != 413 {
+	if resp, _ := ta.dial().send("POST"+lookupRequest[3:]+"Content-Length: 1048577\n", "").readResponse(); resp.StatusCode != 413 {
 		t.Errorf("%d for an upload over the limit", resp.StatusCode)
 	}
 }
 
-// A body that takes longer than the server has for a whole call does not cost the client its answer.
-func TestASlowBodyHasItsAnswer(t *testing.T) {
-	f := newFrontWith(t, 10, 1<<20, func(a *Acceptor) { a.server.WriteTimeout = 20 * time.Millisecond })
-	c := f.dial().send("POST"+lookup[3:]+"Content-Length: 100000\n", "")
-	call := (<-f.events).(reducer.Arrived).Call
+// Guards against a body that takes longer than the server's write timeout and loses the client its answer.
+func TestSlowBodyIsAnswered(t *testing.T) {
+	ta := startAcceptorWith(t, 10, 1<<20, func(a *Acceptor) { a.server.WriteTimeout = 20 * time.Millisecond })
+	c := ta.dial().send("POST"+lookupRequest[3:]+"Content-Length: 100000\n", "")
+	call := (<-ta.events).(reducer.Arrived).Call
 	read := make(chan error, 1)
 	go func() {
-		_, err := io.Copy(io.Discard, sent(call).Upload)
+		_, err := io.Copy(io.Discard, callMessage(call).Upload)
 		read <- err
 	}()
 	for range 10 {
-		time.Sleep(4 * time.Millisecond) // past the server's time, whatever else delays it
+		time.Sleep(4 * time.Millisecond) // past the server's write timeout in all
 		io.WriteString(c, strings.Repeat("x", 10000))
 	}
 	if err := <-read; err != nil {
 		t.Fatal(err)
 	}
-	<-f.events
-	f.Answer(call.ID, served("kept"))
-	if resp, text := c.answer(); text != "kept" || resp.StatusCode != 200 {
+	<-ta.events
+	ta.Answer(call.ID, servedReply("kept"))
+	if resp, text := c.readResponse(); text != "kept" || resp.StatusCode != 200 {
 		t.Errorf("%+v %q", resp, text)
 	}
 }
 
-// A body in chunks, with extensions and a trailer, is taken whole where it is short. It is the connection's last: what stands
-// behind it is never read as a request.
-func TestABodyInChunks(t *testing.T) {
-	f := newFrontTaking(t, 10, 1<<20)
-	head := "POST" + lookup[3:] + "Transfer-Encoding: chunked\n"
-	c := f.dial().send(head, "3;why=not\r\nabc\r\n2\r\nde\r\n0\r\nX-Sum: 5\r\n\r\n"+strings.ReplaceAll(lookup, "\n", "\r\n")+"\r\n")
-	call := (<-f.events).(reducer.Arrived).Call
-	if m := sent(call); string(m.Body) != "abcde" || m.Upload != nil || call.OneShot {
+// A short chunked body, with extensions and a trailer, is buffered whole; a long one becomes an upload. It is the
+// connection's last request: bytes behind it are never read as a request.
+func TestChunkedBody(t *testing.T) {
+	ta := startAcceptorWithUploads(t, 10, 1<<20)
+	header := "POST" + lookupRequest[3:] + "Transfer-Encoding: chunked\n"
+	c := ta.dial().send(header, "3;why=not\r\nabc\r\n2\r\nde\r\n0\r\nX-Sum: 5\r\n\r\n"+strings.ReplaceAll(lookupRequest, "\n", "\r\n")+"\r\n")
+	call := (<-ta.events).(reducer.Arrived).Call
+	if m := callMessage(call); string(m.Body) != "abcde" || m.Upload != nil || call.OneShot {
 		t.Fatalf("%+v", m)
 	}
-	f.Answer(call.ID, served("kept"))
-	if resp, text := c.answer(); text != "kept" || !resp.Close {
+	ta.Answer(call.ID, servedReply("kept"))
+	if resp, text := c.readResponse(); text != "kept" || !resp.Close {
 		t.Errorf("%+v %q", resp, text)
 	}
 	if _, err := c.ReadByte(); err == nil {
-		t.Error("the connection goes on")
+		t.Error("the connection is still open")
 	}
-	if len(f.events) != 0 {
-		t.Errorf("the reducer heard %T", <-f.events)
+	if len(ta.events) != 0 {
+		t.Errorf("the reducer received %T", <-ta.events)
 	}
 	long := strings.Repeat("0123456789", 20000)
-	c = f.dial().send(head, "")
+	c = ta.dial().send(header, "")
 	go fmt.Fprintf(c, "%x\r\n%s\r\n0\r\n\r\n", len(long), long)
-	call = (<-f.events).(reducer.Arrived).Call
-	up := sent(call).Upload
+	call = (<-ta.events).(reducer.Arrived).Call
+	up := callMessage(call).Upload
 	if !call.OneShot || up == nil || up.Length != -1 {
 		t.Fatalf("%+v", call)
 	}
 	if all, err := io.ReadAll(up); string(all) != long || err != nil {
 		t.Errorf("%d bytes, %v", len(all), err)
 	}
-	if e := (<-f.events).(reducer.Uploaded); e.Call != call.ID {
+	if e := (<-ta.events).(reducer.Uploaded); e.Call != call.ID {
 		t.Errorf("%+v", e)
 	}
-	f.Answer(call.ID, served("kept too"))
-	if resp, text := c.answer(); text != "kept too" || !resp.Close {
+	ta.Answer(call.ID, servedReply("kept too"))
+	if resp, text := c.readResponse(); text != "kept too" || !resp.Close {
 		t.Errorf("%+v %q", resp, text)
 	}
 }
 
-// A client that takes a little now and then is no idle one: its patience counts from the last byte that it took, not from
-// the beginning of a piece that is too large for the buffers between.
-func TestAClientThatReadsSlowlyIsWaitedFor(t *testing.T) {
+// A client that reads a little now and then is not idle: the timeout counts from the last acknowledged byte, not from the
+// start of a write that exceeds the socket buffers.
+func TestSlowReaderIsNotTimedOut(t *testing.T) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer l.Close()
-	far, err := net.Dial("tcp", l.Addr().String())
+	remote, err := net.Dial("tcp", l.Addr().String())
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer far.Close()
-	far.(*net.TCPConn).SetReadBuffer(8 << 10)
+	defer remote.Close()
+	remote.(*net.TCPConn).SetReadBuffer(8 << 10)
 	nc, err := l.Accept()
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer nc.Close()
 	nc.(*net.TCPConn).SetWriteBuffer(8 << 10)
-	k := &client{TCPConn: nc.(*net.TCPConn)}
-	k.flow(true, time.Second)
+	conn := &clientConn{TCPConn: nc.(*net.TCPConn)}
+	conn.setStreaming(true, time.Second)
 	wrote := make(chan error, 1)
 	go func() {
-		n, err := k.Write(make([]byte, 400<<10))
+		n, err := conn.Write(make([]byte, 400<<10))
 		if err == nil && n != 400<<10 {
 			err = io.ErrShortWrite
 		}
 		wrote <- err
 	}()
-	read, tick := 0, time.NewTicker(40*time.Millisecond) // 1.6 s in all, past the patience
+	read, tick := 0, time.NewTicker(40*time.Millisecond) // 1.6 s in all, past the timeout
 	defer tick.Stop()
 	for range 40 {
 		<-tick.C
-		n, err := io.ReadFull(far, make([]byte, 10<<10))
+		n, err := io.ReadFull(remote, make([]byte, 10<<10))
 		if read += n; err != nil {
 			t.Fatalf("after %d bytes: %v, %v", read, err, <-wrote)
 		}
@@ -652,31 +662,31 @@
 	}
 }
 
-// While another version serves, clients' connections between calls go that are over this one's part, and the front is told
-// yes to the end, since the other one is ready.
-func TestTheClientsPartIsShared(t *testing.T) {
-	f := newFront(t, 8)
-	f.Ready()
-	var kept []*caller
+// While another version listens on the same address, idle connections over this one's share are closed, and the readiness
+// check succeeds even while this one drains, since the other is ready.
+func TestClientBudgetIsShared(t *testing.T) {
+	ta := startAcceptor(t, 8)
+	ta.Ready()
+	var kept []*testClient
 	for range 6 {
-		c := f.dial().send("GET /health/ready HTTP/1.1\nHost: x\n", "")
-		if resp, _ := c.answer(); resp.StatusCode != 200 {
+		c := ta.dial().send("GET /health/ready HTTP/1.1\nHost: x\n", "")
+		if resp, _ := c.readResponse(); resp.StatusCode != 200 {
 			t.Fatalf("%+v", resp)
 		}
 		kept = append(kept, c)
 	}
-	f.Share(2)
-	for _, c := range kept[:2] { // the oldest two of six, for four
+	ta.Share(2)
+	for _, c := range kept[:2] { // the oldest two of six; the share is four
 		if _, err := c.ReadByte(); err != io.EOF {
 			t.Errorf("%v", err)
 		}
 	}
-	f.draining.Store(true)
-	if resp, _ := kept[5].send("GET /health/ready HTTP/1.1\nHost: x\n", "").answer(); resp.StatusCode != 200 || !resp.Close {
+	ta.draining.Store(true)
+	if resp, _ := kept[5].send("GET /health/ready HTTP/1.1\nHost: x\n", "").readResponse(); resp.StatusCode != 200 || !resp.Close {
 		t.Errorf("%+v", resp)
 	}
-	f.Share(1)
-	if resp, _ := f.dial().send("GET /health/ready HTTP/1.1\nHost: x\n", "").answer(); resp.StatusCode != 503 {
+	ta.Share(1)
+	if resp, _ := ta.dial().send("GET /health/ready HTTP/1.1\nHost: x\n", "").readResponse(); resp.StatusCode != 503 {
 		t.Errorf("%+v", resp)
 	}
 }
