--- a/internal/roster/bench_test.go
+++ b/internal/roster/bench_test.go
@@ -7,9 +7,10 @@
 	"time"
 )
 
-const many = 10_000
+const entryCount = 10_000
 
-func list(n int) []Entry {
+// makeEntries returns n entries that are up.
+func makeEntries(n int) []Entry {
 	all := make([]Entry, n)
 	for i := range all {
 		all[i] = Entry{ID: fmt.Sprintf("s-%06x", i), Address: fmt.Sprintf("10.%d.%d.%d:5000", i>>16, i>>8&255, i&255), Zone: "a",
@@ -18,7 +19,8 @@
 	return all
 }
 
-func listing(b testing.TB, sources int) (*Roster, []Entry) {
+// newFilledRoster returns a roster with entryCount entries listed by each of its sources.
+func newFilledRoster(b testing.TB, sources int) (*Roster, []Entry) {
 	s := Settings{Hold: 30 * time.Second, LossShare: 0.5, LossFor: time.Minute, SuspectFails: 3, SuspectOver: time.Second,
 		SuspectShare: 0.5, TrialFirst: time.Second, TrialMost: time.Minute, TrialFor: time.Second}
 	for i := range sources {
@@ -28,15 +30,16 @@
 	if err != nil {
 		b.Fatal(err)
 	}
-	all := list(many)
+	all := makeEntries(entryCount)
 	for i := range sources {
 		r.Said(time.Hour, i, true, 1, all)
 	}
-	settleAt(r, time.Hour)
+	tickUntilIdle(r, time.Hour)
 	return r, all
 }
 
-func settleAt(r *Roster, now time.Duration) (all []Change) {
+// tickUntilIdle calls Tick until nothing is due, and returns all changes.
+func tickUntilIdle(r *Roster, now time.Duration) (all []Change) {
 	for {
 		at, ok := r.Due()
 		if !ok || at > now {
@@ -46,24 +49,24 @@
 	}
 }
 
-// A second of 10,000 entries of which 1 % change, one by one: drains, removals and starts.
+// Changes of single entries among 10,000, 10 ms apart, so that 1 % of them change per second: drains, removals and starts.
 func BenchmarkChanges(b *testing.B) {
 	for _, sources := range []int{1, 2} {
 		b.Run(fmt.Sprintf("%d-sources", sources), func(b *testing.B) {
-			r, all := listing(b, sources)
+			r, all := newFilledRoster(b, sources)
 			now, rev, i := time.Hour, int64(1), 0
 			b.ReportAllocs()
 			for b.Loop() {
-				e := &all[i%many]
+				e := &all[i%entryCount]
 				switch e.State = (e.State + 1) % 3; e.State {
 				case Up:
 					e.Started = now
-				case Gone: // the next is another's turn; this one's is over
+				case Gone: // done with this entry; continue with another
 					i += 7919
 				}
 				rev++
 				now += 10 * time.Millisecond
-				if got := r.Said(now, 0, false, rev, all[i%many:i%many+1]); len(got) > 1 {
+				if got := r.Said(now, 0, false, rev, all[i%entryCount:i%entryCount+1]); len(got) > 1 {
 					b.Fatal(got)
 				}
 				r.Tick(now)
@@ -72,9 +75,9 @@
 	}
 }
 
-// A whole list in which nothing has changed.
+// A full list without changes.
 func BenchmarkWholeList(b *testing.B) {
-	r, all := listing(b, 1)
+	r, all := newFilledRoster(b, 1)
 	now := time.Hour
 	for b.Loop() {
 		now += time.Second
@@ -82,18 +85,18 @@
 			b.Fatal(got)
 		}
 	}
-	b.ReportMetric(float64(b.Elapsed().Nanoseconds())/float64(b.N)/many, "ns/entry")
+	b.ReportMetric(float64(b.Elapsed().Nanoseconds())/float64(b.N)/entryCount, "ns/entry")
 }
 
-// The longest call where another source takes over 10,000 entries, and where a list in slices is committed.
+// The longest Tick after another source starts deciding on 10,000 entries, or after a list given in slices is committed.
 func BenchmarkTickWhileTakingOver(b *testing.B) {
-	r, all := listing(b, 2)
+	r, all := newFilledRoster(b, 2)
 	longest := time.Duration(0)
 	now := time.Hour
 	for b.Loop() {
 		now += time.Second
 		r.Begin(now, 0, 1)
-		for at := 0; at < many; at += 100 {
+		for at := 0; at < entryCount; at += 100 {
 			r.Add(now, 0, all[at:at+100])
 		}
 		r.Commit(now, 0)
@@ -109,12 +112,12 @@
 	b.ReportMetric(float64(longest.Microseconds()), "us-longest-tick")
 }
 
-// A connect that succeeds, as there is one for each call.
+// A successful connect, which is recorded for each call.
 func BenchmarkConnect(b *testing.B) {
-	r, all := listing(b, 1)
+	r, all := newFilledRoster(b, 1)
 	i := 0
 	for b.Loop() {
-		i = (i + 1) % many
+		i = (i + 1) % entryCount
 		r.Connect(time.Hour, all[i].ID, true)
 	}
 }
@@ -124,17 +127,17 @@
 		b.Run(fmt.Sprintf("%d-sources", sources), func(b *testing.B) {
 			var before, after runtime.MemStats
 			var r *Roster
-			all := list(many)
+			all := makeEntries(entryCount)
 			for b.Loop() {
 				r = nil
 				runtime.GC()
 				runtime.ReadMemStats(&before)
-				r, _ = listing(b, sources)
+				r, _ = newFilledRoster(b, sources)
 				runtime.GC()
 				runtime.ReadMemStats(&after)
 			}
-			// The text of ids and addresses is the source's, which made it.
-			b.ReportMetric((float64(after.HeapAlloc)-float64(before.HeapAlloc))/many, "bytes/entry-with-text")
+			// The strings of ids and addresses belong to the source that allocated them.
+			b.ReportMetric((float64(after.HeapAlloc)-float64(before.HeapAlloc))/entryCount, "bytes/entry-with-text")
 			runtime.KeepAlive(r)
 			runtime.KeepAlive(all)
 		})
--- a/internal/roster/cases_test.go
+++ b/internal/roster/cases_test.go
@@ -9,8 +9,9 @@
 	"github.com/cockroachdb/datadriven"
 )
 
-// The hard cases, one file each: what is said, and what is told of it. Times are in seconds.
-func TestHardCases(t *testing.T) {
+// TestCases runs the cases in testdata/cases, one file each: the calls, and the changes and log lines they produce. Times
+// are in seconds.
+func TestCases(t *testing.T) {
 	datadriven.Walk(t, "testdata/cases", func(t *testing.T, path string) {
 		var r *Roster
 		datadriven.RunTest(t, path, func(t *testing.T, d *datadriven.TestData) string {
@@ -48,8 +49,8 @@
 				}
 				return ""
 			case "whole", "changes":
-				all = r.Said(now, source, d.Cmd == "whole", rev, entriesOf(t, d.Input))
-			case "heard": // again and again, where since says from when
+				all = r.Said(now, source, d.Cmd == "whole", rev, parseEntries(t, d.Input))
+			case "heard": // every 4 s from since on, if it is given
 				since := at
 				d.MaybeScanArgs(t, "since", &since)
 				for ; since < at; since += 4 {
@@ -73,7 +74,7 @@
 				}
 				return out
 			default:
-				t.Fatalf("%s: no such command", d.Cmd)
+				t.Fatalf("%s: unknown command", d.Cmd)
 			}
 			for {
 				if due, ok := r.Due(); !ok || due > now {
@@ -103,8 +104,8 @@
 	})
 }
 
-// entriesOf reads lines of an id, a state, and where they are given an address and a start.
-func entriesOf(t *testing.T, text string) (all []Entry) {
+// parseEntries reads lines of an id, a state, and optionally an address and a start time.
+func parseEntries(t *testing.T, text string) (all []Entry) {
 	for line := range strings.Lines(strings.TrimSpace(text)) {
 		e := Entry{}
 		state, started := "", 0.0
@@ -115,7 +116,7 @@
 		}
 		var ok bool
 		if e.State, ok = map[string]State{"up": Up, "draining": Draining, "gone": Gone}[state]; !ok && strings.TrimSpace(line) != "" {
-			t.Fatalf("%q: no such state", line)
+			t.Fatalf("%q: unknown state", line)
 		}
 		if e.ID != "" {
 			all = append(all, e)
@@ -124,14 +125,14 @@
 	return all
 }
 
-// Each fault in the settings is named by its key.
-func TestAFaultInTheSettingsIsNamed(t *testing.T) {
+// The error for an invalid setting names its key.
+func TestInvalidSettingIsNamed(t *testing.T) {
 	good := Settings{Sources: []Source{{Name: "a", Stale: 1, Lost: 2}, {Name: "b", Stale: 1}}, Hold: 1, LossShare: 0.5, LossFor: 1,
 		SuspectFails: 1, SuspectShare: 1, TrialFirst: 1, TrialMost: 1, TrialFor: 1}
 	if _, err := New(good); err != nil {
 		t.Fatal(err)
 	}
-	for key, spoil := range map[string]func(*Settings){
+	for key, invalidate := range map[string]func(*Settings){
 		"sources:":                func(s *Settings) { s.Sources = nil },
 		"sources[1].name":         func(s *Settings) { s.Sources[1].Name = "a" },
 		"sources[0].role":         func(s *Settings) { s.Sources[0].Role = 3 },
@@ -149,9 +150,9 @@
 	} {
 		s := good
 		s.Sources = append([]Source(nil), good.Sources...)
-		spoil(&s)
+		invalidate(&s)
 		if _, err := New(s); err == nil || !strings.Contains(err.Error(), key) {
-			t.Errorf("%v, want one naming %s", err, key)
+			t.Errorf("error %v, want one that names %s", err, key)
 		}
 	}
 }
--- a/internal/roster/merge.go
+++ b/internal/roster/merge.go
@@ -1,211 +1,213 @@
 package roster
 
-// crowd is how many nodes at one address are held against each other: a registry that gives one address to all must not
-// make each change cost the whole list.
-const crowd = 16
+// maxNodesPerAddress bounds how many nodes at one address are compared with each other. Without a bound, a registry that
+// reports the same address for every node would make each change cost as much as the whole list.
+const maxNodesPerAddress = 16
 
-// touch has a node resolved at the end of the call.
-func (r *Roster) touch(n *node) {
+// markDirty schedules a node to be resolved at the end of the current call.
+func (r *Roster) markDirty(n *node) {
 	if !n.dirty {
 		n.dirty = true
 		r.dirty = append(r.dirty, n)
 	}
 }
 
-// flush resolves what has been touched, and gives what that changes.
+// flush resolves all dirty nodes and returns the resulting changes.
 func (r *Roster) flush() (out []Change) {
-	for i := 0; i < len(r.dirty); i++ { // refile adds those at the same address
+	for i := 0; i < len(r.dirty); i++ { // updateAddressIndex appends nodes at the same address
 		n := r.dirty[i]
-		n.base = nil
-		for w := n.words; w != nil; w = w.other {
-			if w.entry.State != Gone && (n.base == nil || w.before(n.base)) && w.source.standing >= DrainsOnly {
-				n.base = w
+		n.deciding = nil
+		for rep := n.reports; rep != nil; rep = rep.nextOfNode {
+			if rep.entry.State != Gone && (n.deciding == nil || rep.outranks(n.deciding)) && rep.source.standing >= DrainsOnly {
+				n.deciding = rep
 			}
 		}
 		if len(r.sources) > 1 {
-			r.refile(n)
+			r.updateAddressIndex(n)
 		}
 	}
-	r.weighFailing() // first, so that there are never too many suspects
+	r.updateLocalFault() // before resolving, so that there are never more than maxSuspects suspects
 	for _, n := range r.dirty {
 		out = r.resolve(n, out)
 		n.dirty = false
 	}
 	clear(r.dirty)
 	r.dirty = r.dirty[:0]
-	if len(r.newly) > 0 {
-		r.note("suspects: listed as up, and no connect succeeds: %s; with them %d of %d", sayNames(r.newly), len(r.failing), r.listed)
-		r.newly = r.newly[:0]
+	if len(r.newSuspects) > 0 {
+		r.note("suspects: listed as up, and no connect succeeds: %s; with them %d of %d", joinNames(r.newSuspects), len(r.failing), r.upCount)
+		r.newSuspects = r.newSuspects[:0]
 	}
-	r.weighFailing()
+	r.updateLocalFault()
 	return out
 }
 
-// before says that a word wins over another.
-func (w *word) before(o *word) bool {
-	if a, b := w.source.standing, o.source.standing; a != b {
+// outranks reports whether a report takes precedence over another.
+func (rep *report) outranks(o *report) bool {
+	if a, b := rep.source.standing, o.source.standing; a != b {
 		return a > b
 	}
-	return w.source.rank < o.source.rank
+	return rep.source.rank < o.source.rank
 }
 
-// refile files a node under its address; those there, and where it was, are resolved as well. One without a deciding word
-// stays where it was, since its ends hold there.
-func (r *Roster) refile(n *node) {
-	place := n.place
+// updateAddressIndex indexes a node by its address, and marks the nodes at its old and new address dirty. A node without
+// a deciding report keeps its old address, because its drains and removals still apply there.
+func (r *Roster) updateAddressIndex(n *node) {
+	address := n.indexedAddress
 	switch {
-	case n.base != nil:
-		place = n.base.entry.Address
-	case n.words == nil:
-		place = ""
-	case place == "": // listed by nobody who decides
-		for w := n.words; w != nil; w = w.other {
-			if w.entry.Address != "" {
-				place = w.entry.Address
+	case n.deciding != nil:
+		address = n.deciding.entry.Address
+	case n.reports == nil:
+		address = ""
+	case address == "": // no source that can decide lists it
+		for rep := n.reports; rep != nil; rep = rep.nextOfNode {
+			if rep.entry.Address != "" {
+				address = rep.entry.Address
 			}
 		}
 	}
-	r.touchAt(n.place)
-	if place == n.place {
+	r.markDirtyAt(n.indexedAddress)
+	if address == n.indexedAddress {
 		return
 	}
-	if n.place != "" {
-		for at, first := r.places[n.place], true; at != nil; at, first = at.next, false {
+	if n.indexedAddress != "" {
+		for at, first := r.byAddress[n.indexedAddress], true; at != nil; at, first = at.nextAtAddress, false {
 			if first && at == n {
-				if n.next == nil {
-					delete(r.places, n.place)
+				if n.nextAtAddress == nil {
+					delete(r.byAddress, n.indexedAddress)
 				} else {
-					r.places[n.place] = n.next
+					r.byAddress[n.indexedAddress] = n.nextAtAddress
 				}
 				break
 			}
-			if at.next == n {
-				at.next = n.next
+			if at.nextAtAddress == n {
+				at.nextAtAddress = n.nextAtAddress
 				break
 			}
 		}
-		n.next = nil
+		n.nextAtAddress = nil
 	}
-	if n.place = place; place != "" {
-		n.next = r.places[place]
-		r.places[place] = n
+	if n.indexedAddress = address; address != "" {
+		n.nextAtAddress = r.byAddress[address]
+		r.byAddress[address] = n
 	}
-	r.touchAt(place)
+	r.markDirtyAt(address)
 }
 
-func (r *Roster) touchAt(place string) {
-	if place == "" {
+// markDirtyAt marks the nodes at an address dirty, up to maxNodesPerAddress.
+func (r *Roster) markDirtyAt(address string) {
+	if address == "" {
 		return
 	}
-	for n, left := r.places[place], crowd; n != nil && left > 0; n, left = n.next, left-1 {
-		r.touch(n)
+	for n, left := r.byAddress[address], maxNodesPerAddress; n != nil && left > 0; n, left = n.nextAtAddress, left-1 {
+		r.markDirty(n)
 	}
 }
 
-// knows says that a source lists a node.
-func (n *node) knows(s *source) bool {
-	for w := n.words; w != nil; w = w.other {
-		if w.source == s && w.entry.State != Gone {
+// listedBy reports whether a source lists the node.
+func (n *node) listedBy(s *source) bool {
+	for rep := n.reports; rep != nil; rep = rep.nextOfNode {
+		if rep.source == s && rep.entry.State != Gone {
 			return true
 		}
 	}
 	return false
 }
 
-// behind says that a node is another under an id that counts less.
-func (n *node) behind(o *node) bool {
-	if n.base == nil || o.base == nil || !o.base.before(n.base) {
+// aliasOf reports whether n is the same node as o, listed under an id of lower precedence.
+func (n *node) aliasOf(o *node) bool {
+	if n.deciding == nil || o.deciding == nil || !o.deciding.outranks(n.deciding) {
 		return false
 	}
-	for w := n.words; w != nil; w = w.other {
-		if w.entry.State != Gone && o.knows(w.source) {
+	for rep := n.reports; rep != nil; rep = rep.nextOfNode {
+		if rep.entry.State != Gone && o.listedBy(rep.source) {
 			return false
 		}
 	}
 	return true
 }
 
-// ends says that a word speaks against fresh work.
-func (r *Roster) ends(w *word) bool {
-	if w.source.standing == Out {
+// blocksNewWork reports whether a report is a drain or removal that keeps new work from its node.
+func (r *Roster) blocksNewWork(rep *report) bool {
+	if rep.source.standing == Out {
 		return false
 	}
-	return w.state() == Draining || w.entry.State == Gone && !w.missed && r.now < w.until
+	return rep.reportedState() == Draining || rep.entry.State == Gone && !rep.omitted && r.now < rep.holdUntil
 }
 
-// stateOf is what all words together make of a node.
-func (r *Roster) stateOf(n *node) State {
-	if n.base == nil {
+// mergedState returns the state of a node that results from the reports of all sources.
+func (r *Roster) mergedState(n *node) State {
+	if n.deciding == nil {
 		return Gone
 	}
-	state := n.base.state()
-	if n.base.source.standing == DrainsOnly {
+	state := n.deciding.reportedState()
+	if n.deciding.source.standing == DrainsOnly {
 		state = Draining
 	}
-	for w := n.words; w != nil; w = w.other {
-		if r.ends(w) {
+	for rep := n.reports; rep != nil; rep = rep.nextOfNode {
+		if r.blocksNewWork(rep) {
 			state = Draining
 		}
 	}
-	if n.place == "" {
+	if n.indexedAddress == "" {
 		return state
 	}
-	var up, end [SourcesMost]bool // of other sources, under other ids
-	for o, left := r.places[n.place], crowd; o != nil && left > 0; o, left = o.next, left-1 {
+	var up, drained [MaxSources]bool // reports by sources that list the address under other ids only
+	for o, left := r.byAddress[n.indexedAddress], maxNodesPerAddress; o != nil && left > 0; o, left = o.nextAtAddress, left-1 {
 		if o == n {
 			continue
 		}
-		if n.behind(o) {
+		if n.aliasOf(o) {
 			return Gone
 		}
-		for w := o.words; w != nil; w = w.other {
-			i := w.source.rank
+		for rep := o.reports; rep != nil; rep = rep.nextOfNode {
+			i := rep.source.rank
 			switch {
-			case n.knows(w.source):
-			case r.ends(w):
-				end[i] = true
-			case w.entry.State == Up && w.source.standing != Out:
+			case n.listedBy(rep.source):
+			case r.blocksNewWork(rep):
+				drained[i] = true
+			case rep.entry.State == Up && rep.source.standing != Out:
 				up[i] = true
 			}
 		}
 	}
-	for i := range end {
-		if end[i] && !up[i] {
+	for i := range drained {
+		if drained[i] && !up[i] {
 			state = Draining
 		}
 	}
 	return state
 }
 
-// resolve tells of a node what differs from what was told.
+// resolve appends a Change to out if the node's state differs from the published one.
 func (r *Roster) resolve(n *node, out []Change) []Change {
-	state := r.stateOf(n)
-	is := Change{}
+	state := r.mergedState(n)
+	change := Change{}
 	if state == Gone {
-		is.Entry = n.told.Entry
-		n.fails, n.lastOK = 0, 0 // at its address there may be another by the time it comes back
+		change.Entry = n.published.Entry
+		n.failures, n.lastOK = 0, 0 // by the time it returns, another process may be at its address
 	} else {
-		is.Entry = n.base.entry
-		if n.told.State == Gone || is.Started != n.told.Started || is.Address != n.told.Address || state == Up && !n.counted {
-			r.clearSuspicion(n) // there is news of it
+		change.Entry = n.deciding.entry
+		if n.published.State == Gone || change.Started != n.published.Started || change.Address != n.published.Address ||
+			state == Up && !n.countedUp {
+			r.clearSuspicion(n) // its sources report something new about it
 		}
 	}
-	is.State = state
-	r.count(n, state == Up)
-	if n.failing > 0 && !r.ours {
-		is.Suspect = true
+	change.State = state
+	r.setCountedUp(n, state == Up)
+	if n.failingPos > 0 && !r.localFault {
+		change.Suspect = true
 		if !n.onTrial {
-			is.State = Draining
+			change.State = Draining
 		}
 	}
-	if is.Suspect && !n.told.Suspect {
-		r.newly = append(r.newly, n.id)
+	if change.Suspect && !n.published.Suspect {
+		r.newSuspects = append(r.newSuspects, n.id)
 	}
-	if is.Suspect != n.told.Suspect || !is.same(&n.told.Entry) {
-		n.told = is
-		out = append(out, is)
+	if change.Suspect != n.published.Suspect || !change.equal(&n.published.Entry) {
+		n.published = change
+		out = append(out, change)
 	}
-	if n.words == nil {
+	if n.reports == nil {
 		delete(r.nodes, n.id)
 	}
 	return out
--- a/internal/roster/model_test.go
+++ b/internal/roster/model_test.go
@@ -14,76 +14,80 @@
 
 func TestMain(m *testing.M) { walks.Main(m, 0, 0) }
 
-// naive works everything out anew from each source's plain map, and knows no queue, slice, index or dirty mark.
-type naive struct {
-	cfg     Settings
-	now     time.Duration
-	sources []*plainSource
-	doubts  map[string]*plainDoubt
-	view    map[string]Change
-	up      map[string]bool // by the words
-	ours    bool
+// model is a reference implementation: it recomputes everything from plain maps per source, without timers, slices,
+// indexes or dirty flags.
+type model struct {
+	cfg        Settings
+	now        time.Duration
+	sources    []*modelSource
+	connects   map[string]*modelConnects
+	view       map[string]Change
+	reportedUp map[string]bool // by the sources' reports
+	localFault bool
 }
 
-type plainSource struct {
-	words              map[string]*plainWord
-	heard, open, guard bool
-	at, back, lostAt   time.Duration
-	guardEnd           time.Duration
-	health             Health
-	standing           Standing
-	rev, most, openRev int64
-	ref                int
-	named              map[string]bool
+// modelSource is a source of the model.
+type modelSource struct {
+	reports                       map[string]*modelReport
+	heard, listOpen, guarded      bool
+	lastSeen, returnUntil, lostAt time.Duration
+	guardEnd                      time.Duration
+	health                        Health
+	standing                      Standing
+	rev, maxRev, listRev          int64
+	guardBaseline                 int
+	listed                        map[string]bool
 }
 
-type plainWord struct {
+// modelReport is the latest report of a source about an id.
+type modelReport struct {
 	Entry
-	raw, until, last     time.Duration // last: the start of what has ended
-	rev                  int64
-	held, doubt, missing bool
+	reportedStart, holdUntil, endedStart time.Duration // endedStart: start of the process that drained or was removed
+	endRev                               int64
+	overruled, doubted, omitted          bool
 }
 
-type plainDoubt struct { // of a node that connects fail to
-	fails                    int
-	from, pause, turn, heard time.Duration
-	failing, trial           bool
+// modelConnects holds the connect results of a node.
+type modelConnects struct {
+	failures                                  int
+	failingSince, trialPause, trialAt, lastOK time.Duration
+	failing, onTrial                          bool
 }
 
-func newNaive(s Settings) *naive {
-	m := &naive{cfg: s, doubts: map[string]*plainDoubt{}, view: map[string]Change{}, up: map[string]bool{}}
+func newModel(s Settings) *model {
+	m := &model{cfg: s, connects: map[string]*modelConnects{}, view: map[string]Change{}, reportedUp: map[string]bool{}}
 	for range s.Sources {
-		m.sources = append(m.sources, &plainSource{words: map[string]*plainWord{}})
+		m.sources = append(m.sources, &modelSource{reports: map[string]*modelReport{}})
 	}
 	return m
 }
 
-func (s *plainSource) live() (n int) {
-	for _, w := range s.words {
-		if w.State != Gone {
+func (s *modelSource) live() (n int) {
+	for _, rep := range s.reports {
+		if rep.State != Gone {
 			n++
 		}
 	}
 	return n
 }
 
-func (m *naive) able(i int) bool {
+func (m *model) eligible(i int) bool {
 	s := m.sources[i]
-	return (s.health == Fresh || s.health == Stale) && s.back == 0
+	return (s.health == Fresh || s.health == Stale) && s.returnUntil == 0
 }
 
-func (m *naive) lead(role Role) int {
+func (m *model) pickDecider(role Role) int {
 	most, held := 0, false
 	for i, s := range m.sources {
-		if m.cfg.Sources[i].Role != Joined && m.able(i) {
+		if m.cfg.Sources[i].Role != Joined && m.eligible(i) {
 			most = max(most, s.live())
 		}
 		held = held || m.cfg.LossShare > 0 && m.cfg.Sources[i].Role != Joined && s.standing == Decides && s.live() > 0
 	}
 	for _, want := range []Health{Fresh, Stale} {
 		for i, s := range m.sources {
-			thin := most >= leastGuarded && float64(s.live()) < m.cfg.LossShare*float64(most) || held && s.live() == 0
-			if m.cfg.Sources[i].Role == role && m.able(i) && s.health == want && !thin {
+			tooShort := most >= minGuardedEntries && float64(s.live()) < m.cfg.LossShare*float64(most) || held && s.live() == 0
+			if m.cfg.Sources[i].Role == role && m.eligible(i) && s.health == want && !tooShort {
 				return i
 			}
 		}
@@ -91,11 +95,11 @@
 	return -1
 }
 
-func (m *naive) stand() {
+func (m *model) updateStandings() {
 	primaries, joined := false, false
 	for i, s := range m.sources {
 		c := m.cfg.Sources[i]
-		age := m.now - s.at
+		age := m.now - s.lastSeen
 		was := s.health
 		switch {
 		case !s.heard:
@@ -108,24 +112,24 @@
 			s.health = Fresh
 		}
 		if s.health == Lost && was != Lost {
-			s.lostAt, s.back = s.at+c.Lost, 0
+			s.lostAt, s.returnUntil = s.lastSeen+c.Lost, 0
 		}
-		if s.back <= m.now {
-			s.back = 0
+		if s.returnUntil <= m.now {
+			s.returnUntil = 0
 		}
 		primaries = primaries || c.Role == Primary
-		joined = joined || c.Role == Joined && m.able(i)
-		if s.guard && s.guardEnd <= m.now {
-			m.guardEnds(s)
+		joined = joined || c.Role == Joined && m.eligible(i)
+		if s.guarded && s.guardEnd <= m.now {
+			m.guardExpired(s)
 		}
 	}
-	main := m.lead(Primary)
+	main := m.pickDecider(Primary)
 	if main < 0 && (primaries || !joined) {
-		main = m.lead(Fallback)
+		main = m.pickDecider(Fallback)
 	}
 	if main < 0 {
 		for i, s := range m.sources {
-			if s.heard && !(m.cfg.Sources[i].Role == Joined && primaries) && (main < 0 || s.at > m.sources[main].at) {
+			if s.heard && !(m.cfg.Sources[i].Role == Joined && primaries) && (main < 0 || s.lastSeen > m.sources[main].lastSeen) {
 				main = i
 			}
 		}
@@ -137,11 +141,11 @@
 	}
 	for i, s := range m.sources {
 		switch {
-		case i == main || m.cfg.Sources[i].Role == Joined && m.able(i):
+		case i == main || m.cfg.Sources[i].Role == Joined && m.eligible(i):
 			s.standing = Decides
-		case m.able(i) && s.health == Fresh:
+		case m.eligible(i) && s.health == Fresh:
 			s.standing = Standby
-		case m.able(i) || s.back > 0 || s.health == Lost && m.now < s.lostAt+m.cfg.Hold:
+		case m.eligible(i) || s.returnUntil > 0 || s.health == Lost && m.now < s.lostAt+m.cfg.Hold:
 			s.standing = DrainsOnly
 		default:
 			s.standing = Out
@@ -149,192 +153,192 @@
 	}
 }
 
-func (m *naive) guardEnds(s *plainSource) {
+func (m *model) guardExpired(s *modelSource) {
 	s.guardEnd = m.now + m.cfg.LossFor
-	doubted := 0
-	for _, w := range s.words {
-		if w.doubt {
-			doubted++
+	doubtedCount := 0
+	for _, rep := range s.reports {
+		if rep.doubted {
+			doubtedCount++
 		}
 	}
-	if s.health != Fresh || s.live() == doubted {
+	if s.health != Fresh || s.live() == doubtedCount {
 		return
 	}
-	for id, w := range s.words {
-		if d := m.doubts[id]; w.doubt && !(d != nil && d.heard > 0 && m.now-d.heard < m.cfg.LossFor) {
-			m.remove(w, s.rev, true)
-			doubted--
+	for id, rep := range s.reports {
+		if d := m.connects[id]; rep.doubted && !(d != nil && d.lastOK > 0 && m.now-d.lastOK < m.cfg.LossFor) {
+			m.remove(rep, s.rev, true)
+			doubtedCount--
 		}
 	}
-	s.guard = doubted > 0
+	s.guarded = doubtedCount > 0
 }
 
-func (m *naive) alive(i int, moved bool) {
+func (m *model) markAlive(i int, moved bool) {
 	s := m.sources[i]
 	if moved {
-		s.back = 0
-	} else if lost := m.cfg.Sources[i].Lost; s.heard && lost > 0 && m.now-s.at >= lost && len(m.sources) > 1 {
-		s.back = m.now + m.cfg.Hold
+		s.returnUntil = 0
+	} else if lost := m.cfg.Sources[i].Lost; s.heard && lost > 0 && m.now-s.lastSeen >= lost && len(m.sources) > 1 {
+		s.returnUntil = m.now + m.cfg.Hold
 	}
-	s.heard, s.at = true, m.now
-	m.stand()
+	s.heard, s.lastSeen = true, m.now
+	m.updateStandings()
 }
 
-func (m *naive) begin(i int, rev int64) {
+func (m *model) beginList(i int, rev int64) {
 	s := m.sources[i]
-	s.open, s.openRev, s.named = true, rev, map[string]bool{}
-	if !s.guard {
-		s.ref = s.live()
+	s.listOpen, s.listRev, s.listed = true, rev, map[string]bool{}
+	if !s.guarded {
+		s.guardBaseline = s.live()
 	}
 }
 
-func (m *naive) commit(i int) {
+func (m *model) commitList(i int) {
 	s := m.sources[i]
-	s.open, s.rev, s.most = false, s.openRev, max(s.most, s.openRev)
-	short := m.cfg.LossShare > 0 && s.ref > 0 && (len(s.named) == 0 ||
-		s.ref >= leastGuarded && float64(len(s.named)) < m.cfg.LossShare*float64(s.ref))
-	if short && !s.guard {
+	s.listOpen, s.rev, s.maxRev = false, s.listRev, max(s.maxRev, s.listRev)
+	short := m.cfg.LossShare > 0 && s.guardBaseline > 0 && (len(s.listed) == 0 ||
+		s.guardBaseline >= minGuardedEntries && float64(len(s.listed)) < m.cfg.LossShare*float64(s.guardBaseline))
+	if short && !s.guarded {
 		s.guardEnd = m.now + m.cfg.LossFor
 	}
-	s.guard = short
-	for id, w := range s.words {
-		if !s.named[id] && w.State != Gone {
+	s.guarded = short
+	for id, rep := range s.reports {
+		if !s.listed[id] && rep.State != Gone {
 			if short {
-				w.doubt = true
+				rep.doubted = true
 			} else {
-				m.remove(w, s.rev, true)
+				m.remove(rep, s.rev, true)
 			}
 		}
 	}
 }
 
-func (m *naive) remove(w *plainWord, rev int64, missing bool) {
-	if !missing || !w.held {
-		w.until = m.now + m.cfg.Hold
+func (m *model) remove(rep *modelReport, rev int64, missing bool) {
+	if !missing || !rep.overruled {
+		rep.holdUntil = m.now + m.cfg.Hold
 	}
-	w.missing = missing && w.State == Up && !w.held
-	w.State, w.held, w.doubt = Gone, false, false
-	w.rev, w.last = max(w.rev, rev), max(w.last, w.raw)
+	rep.omitted = missing && rep.State == Up && !rep.overruled
+	rep.State, rep.overruled, rep.doubted = Gone, false, false
+	rep.endRev, rep.endedStart = max(rep.endRev, rev), max(rep.endedStart, rep.reportedStart)
 }
 
-func (m *naive) learn(i int, e Entry, rev int64) {
+func (m *model) applyEntry(i int, e Entry, rev int64) {
 	s := m.sources[i]
-	w := s.words[e.ID]
-	if w == nil {
-		w = &plainWord{}
-		w.State = Gone
+	rep := s.reports[e.ID]
+	if rep == nil {
+		rep = &modelReport{}
+		rep.State = Gone
 		if e.State == Gone {
 			for _, o := range m.sources {
-				if o.words[e.ID] != nil {
-					w.Address = o.words[e.ID].Address
+				if o.reports[e.ID] != nil {
+					rep.Address = o.reports[e.ID].Address
 				}
 			}
 			if len(m.sources) > 1 || rev != 0 {
-				s.words[e.ID], w.last = w, m.now
-				m.remove(w, rev, false)
+				s.reports[e.ID], rep.endedStart = rep, m.now
+				m.remove(rep, rev, false)
 			}
 			return
 		}
-		s.words[e.ID] = w
+		s.reports[e.ID] = rep
 	}
 	if e.State == Gone {
-		m.remove(w, rev, false)
-		delete(s.named, e.ID)
+		m.remove(rep, rev, false)
+		delete(s.listed, e.ID)
 		return
 	}
-	if s.open {
-		s.named[e.ID] = true
+	if s.listOpen {
+		s.listed[e.ID] = true
 	}
-	ended := w.State != Up || w.held
-	held := ended && e.State == Up && rev != 0 && rev < w.rev && m.now < w.until && e.Started <= w.last
-	started, again := w.Started, w.State == Draining && w.raw == e.Started
-	if w.State == Gone && !held || w.raw != e.Started {
+	ended := rep.State != Up || rep.overruled
+	held := ended && e.State == Up && rev != 0 && rev < rep.endRev && m.now < rep.holdUntil && e.Started <= rep.endedStart
+	started, again := rep.Started, rep.State == Draining && rep.reportedStart == e.Started
+	if rep.State == Gone && !held || rep.reportedStart != e.Started {
 		started = min(e.Started, m.now)
 	}
 	if e.State == Draining {
 		if !again {
-			w.until = m.now + m.cfg.Hold
+			rep.holdUntil = m.now + m.cfg.Hold
 		}
-		w.rev, w.last = max(w.rev, rev), max(w.last, e.Started)
+		rep.endRev, rep.endedStart = max(rep.endRev, rev), max(rep.endedStart, e.Started)
 	} else if !held {
-		w.rev, w.until, w.last = 0, 0, 0
+		rep.endRev, rep.holdUntil, rep.endedStart = 0, 0, 0
 	}
-	w.Entry, w.raw, w.held, w.doubt, w.missing = e, e.Started, held, false, false
-	w.Started = started
+	rep.Entry, rep.reportedStart, rep.overruled, rep.doubted, rep.omitted = e, e.Started, held, false, false
+	rep.Started = started
 }
 
-func (m *naive) changes(i int, rev int64, entries []Entry) {
+func (m *model) applyChanges(i int, rev int64, entries []Entry) {
 	s := m.sources[i]
 	older := rev != 0 && rev < s.rev
-	m.alive(i, !older && rev > s.most)
+	m.markAlive(i, !older && rev > s.maxRev)
 	if !older {
-		s.rev, s.most = rev, max(s.most, rev)
+		s.rev, s.maxRev = rev, max(s.maxRev, rev)
 	}
 	for _, e := range entries {
 		if !older || e.State != Up {
-			m.learn(i, e, rev)
+			m.applyEntry(i, e, rev)
 		}
 	}
-	m.stand()
+	m.updateStandings()
 }
 
-func (m *naive) connect(id string, ok bool) {
+func (m *model) connect(id string, ok bool) {
 	if _, listed := m.view[id]; !listed {
 		return
 	}
-	d := m.doubts[id]
+	d := m.connects[id]
 	if d == nil {
-		d = &plainDoubt{}
-		m.doubts[id] = d
+		d = &modelConnects{}
+		m.connects[id] = d
 	}
 	switch {
 	case ok:
-		*d = plainDoubt{heard: max(m.now, 1)}
+		*d = modelConnects{lastOK: max(m.now, 1)}
 	case m.cfg.SuspectFails == 0:
-	case d.failing && d.trial:
-		d.pause = min(2*d.pause, m.cfg.TrialMost)
-		d.trial, d.turn = false, m.now+d.pause
+	case d.failing && d.onTrial:
+		d.trialPause = min(2*d.trialPause, m.cfg.TrialMost)
+		d.onTrial, d.trialAt = false, m.now+d.trialPause
 	case !d.failing:
-		if d.fails++; d.fails == 1 {
-			d.from = m.now
+		if d.failures++; d.failures == 1 {
+			d.failingSince = m.now
 		}
-		if m.up[id] && d.fails >= m.cfg.SuspectFails && m.now-d.from >= m.cfg.SuspectOver {
-			d.failing, d.pause, d.turn = true, m.cfg.TrialFirst, m.now+m.cfg.TrialFirst
+		if m.reportedUp[id] && d.failures >= m.cfg.SuspectFails && m.now-d.failingSince >= m.cfg.SuspectOver {
+			d.failing, d.trialPause, d.trialAt = true, m.cfg.TrialFirst, m.now+m.cfg.TrialFirst
 		}
 	}
 }
 
-func (m *naive) tick() {
-	m.stand()
+func (m *model) tick() {
+	m.updateStandings()
 	for _, s := range m.sources {
-		for id, w := range s.words {
-			if w.until > m.now {
+		for id, rep := range s.reports {
+			if rep.holdUntil > m.now {
 				continue
 			}
-			if w.held {
-				w.held, w.rev, w.last = false, 0, 0
+			if rep.overruled {
+				rep.overruled, rep.endRev, rep.endedStart = false, 0, 0
 			}
-			if w.State == Gone {
-				delete(s.words, id)
+			if rep.State == Gone {
+				delete(s.reports, id)
 			}
 		}
 	}
-	for _, d := range m.doubts {
-		if d.failing && d.turn <= m.now {
-			if d.trial = !d.trial && !m.ours; d.trial {
-				d.turn = m.now + m.cfg.TrialFor
+	for _, d := range m.connects {
+		if d.failing && d.trialAt <= m.now {
+			if d.onTrial = !d.onTrial && !m.localFault; d.onTrial {
+				d.trialAt = m.now + m.cfg.TrialFor
 			} else {
-				d.turn = m.now + d.pause
+				d.trialAt = m.now + d.trialPause
 			}
 		}
 	}
 }
 
-// best is the source whose word decides on an id, or -1.
-func (m *naive) best(id string) int {
+// decidingSource returns the source whose report about an id takes precedence, or -1.
+func (m *model) decidingSource(id string) int {
 	best := -1
 	for i, s := range m.sources {
-		if w := s.words[id]; w != nil && w.State != Gone && s.standing >= DrainsOnly &&
+		if rep := s.reports[id]; rep != nil && rep.State != Gone && s.standing >= DrainsOnly &&
 			(best < 0 || s.standing > m.sources[best].standing) {
 			best = i
 		}
@@ -342,85 +346,85 @@
 	return best
 }
 
-func (m *naive) ends(s *plainSource, w *plainWord) bool {
-	return s.standing != Out && w != nil && (w.held || w.State == Draining || w.State == Gone && !w.missing && m.now < w.until)
+func (m *model) blocksNewWork(s *modelSource, rep *modelReport) bool {
+	return s.standing != Out && rep != nil && (rep.overruled || rep.State == Draining || rep.State == Gone && !rep.omitted && m.now < rep.holdUntil)
 }
 
-func (m *naive) lists(i int, id string) bool {
-	w := m.sources[i].words[id]
-	return w != nil && w.State != Gone
+func (m *model) listedBy(i int, id string) bool {
+	rep := m.sources[i].reports[id]
+	return rep != nil && rep.State != Gone
 }
 
-// behind says that a is b under another id.
-func (m *naive) behind(a, b string) bool {
-	x, y := m.best(a), m.best(b)
+// aliasOf reports whether a is the same node as b, listed under an id of lower precedence.
+func (m *model) aliasOf(a, b string) bool {
+	x, y := m.decidingSource(a), m.decidingSource(b)
 	if a == b || x < 0 || y < 0 || x == y {
 		return false
 	}
 	if s, o := m.sources[x], m.sources[y]; s.standing > o.standing || s.standing == o.standing && x < y ||
-		s.words[a].Address != o.words[b].Address {
+		s.reports[a].Address != o.reports[b].Address {
 		return false
 	}
 	for i := range m.sources {
-		if m.lists(i, a) && m.lists(i, b) {
+		if m.listedBy(i, a) && m.listedBy(i, b) {
 			return false
 		}
 	}
 	return true
 }
 
-func (m *naive) resolve() map[string]Change {
+func (m *model) resolve() map[string]Change {
 	ids := map[string]bool{}
 	for _, s := range m.sources {
-		for id := range s.words {
+		for id := range s.reports {
 			ids[id] = true
 		}
 	}
 	next, up := map[string]Change{}, map[string]bool{}
 	for id := range ids {
-		best := m.best(id)
+		best := m.decidingSource(id)
 		hidden := false
 		for o := range ids {
-			hidden = hidden || m.behind(id, o)
+			hidden = hidden || m.aliasOf(id, o)
 		}
 		if best < 0 || hidden {
 			continue
 		}
-		is := Change{Entry: m.sources[best].words[id].Entry}
+		is := Change{Entry: m.sources[best].reports[id].Entry}
 		if m.sources[best].standing == DrainsOnly {
 			is.State = Draining
 		}
 		for i, s := range m.sources {
-			if m.ends(s, s.words[id]) {
+			if m.blocksNewWork(s, s.reports[id]) {
 				is.State = Draining
 			}
-			if m.lists(i, id) {
+			if m.listedBy(i, id) {
 				continue
 			}
-			says, end := false, false // that others at the address are up, or at their end
-			for o, w := range s.words {
-				if o != id && m.place(o) == is.Address {
-					end = end || m.ends(s, w)
-					says = says || w.State == Up && !w.held && s.standing != Out
+			up, drained := false, false // whether other ids at the address are up, or drain or are removed
+			for o, rep := range s.reports {
+				if o != id && m.addressOf(o) == is.Address {
+					drained = drained || m.blocksNewWork(s, rep)
+					up = up || rep.State == Up && !rep.overruled && s.standing != Out
 				}
 			}
-			if end && !says {
+			if drained && !up {
 				is.State = Draining
 			}
 		}
 		was, listed := m.view[id]
 		up[id] = is.State == Up
-		if d := m.doubts[id]; d != nil && (!up[id] || !listed || !m.up[id] || was.Started != is.Started || was.Address != is.Address) {
-			*d = plainDoubt{heard: d.heard}
+		if d := m.connects[id]; d != nil && (!up[id] || !listed || !m.reportedUp[id] || was.Started != is.Started || was.Address != is.Address) {
+			*d = modelConnects{lastOK: d.lastOK}
 		}
 		next[id] = is
 	}
 	failing, listed := 0, 0
-	for id, d := range m.doubts {
+	for id, d := range m.connects {
 		if _, listed := next[id]; !listed {
-			delete(m.doubts, id)
+			delete(m.connects, id)
 		} else if !up[id] && d.failing {
-			*d = plainDoubt{heard: d.heard}
+			*d = modelConnects{lastOK: d.lastOK}
 		} else if d.failing {
 			failing++
 		}
@@ -435,38 +439,38 @@
 		most = 0
 	}
 	ours := failing > most
-	for id, d := range m.doubts {
-		if ours != m.ours && d.failing && d.trial {
-			d.trial, d.turn = false, m.now+d.pause
+	for id, d := range m.connects {
+		if ours != m.localFault && d.failing && d.onTrial {
+			d.onTrial, d.trialAt = false, m.now+d.trialPause
 		}
 		if d.failing && !ours {
 			is := next[id]
 			is.Suspect = true
-			if !d.trial {
+			if !d.onTrial {
 				is.State = Draining
 			}
 			next[id] = is
 		}
 	}
-	m.view, m.up, m.ours = next, up, ours
+	m.view, m.reportedUp, m.localFault = next, up, ours
 	return next
 }
 
-// place is where an id counts: at the address of the word that decides, or, of one that only ends are told of, that of any
-// word; the test gives each id one address at all sources, or none other.
-func (m *naive) place(id string) string {
-	if best := m.best(id); best >= 0 {
-		return m.sources[best].words[id].Address
+// addressOf returns the address of an id: that of the deciding report, or of any report if there are only removals. The
+// test gives each id the same address in all sources.
+func (m *model) addressOf(id string) string {
+	if best := m.decidingSource(id); best >= 0 {
+		return m.sources[best].reports[id].Address
 	}
 	for _, s := range m.sources {
-		if w := s.words[id]; w != nil && w.Address != "" {
-			return w.Address
+		if rep := s.reports[id]; rep != nil && rep.Address != "" {
+			return rep.Address
 		}
 	}
 	return ""
 }
 
-func testSettings(t *rapid.T) Settings {
+func drawSettings(t *rapid.T) Settings {
 	s := Settings{Hold: 4 * time.Second}
 	for i := range rapid.IntRange(1, 3).Draw(t, "sources") {
 		src := Source{Name: strconv.Itoa(i), Role: Role(rapid.IntRange(0, 2).Draw(t, "role")), Stale: 3 * time.Second}
@@ -485,14 +489,14 @@
 	return s
 }
 
-func testEntries(t *rapid.T, ids int) (all []Entry) {
+func drawEntries(t *rapid.T, ids int) (all []Entry) {
 	for i := range ids {
 		if !rapid.Bool().Draw(t, "named") {
 			continue
 		}
 		e := Entry{ID: "n" + strconv.Itoa(i), Address: "at" + strconv.Itoa(i/2), Zone: "a",
 			State: State(max(0, rapid.IntRange(-2, 2).Draw(t, "state")))}
-		e.Started = []time.Duration{0, 50 * time.Second, 200 * time.Second}[rapid.IntRange(0, 2).Draw(t, "started")] // the last lies ahead
+		e.Started = []time.Duration{0, 50 * time.Second, 200 * time.Second}[rapid.IntRange(0, 2).Draw(t, "started")] // the last is in the future
 		if rapid.IntRange(0, 9).Draw(t, "label") == 0 {
 			e.Labels = map[string]string{"v": "2"}
 		}
@@ -501,15 +505,16 @@
 	return all
 }
 
-// The roster tells what a naive model works out, whatever is said, and Due never misses a moment.
-func TestItTellsWhatANaiveModelWorksOut(t *testing.T) {
+// For any sequence of calls, the changes of the roster add up to the state of the model, and Due is never later than the
+// next change.
+func TestMatchesReferenceModel(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		cfg := testSettings(t)
+		cfg := drawSettings(t)
 		r, err := New(cfg)
 		if err != nil {
 			t.Fatal(err)
 		}
-		m := newNaive(cfg)
+		m := newModel(cfg)
 		m.now = 100 * time.Second
 		view := map[string]Change{}
 		take := func(all []Change) {
@@ -529,20 +534,20 @@
 				}
 				take(r.Tick(now))
 			}
-			if !maps.EqualFunc(view, m.view, func(a, b Change) bool { return a.same(&b.Entry) && a.Suspect == b.Suspect }) {
-				t.Fatalf("after %s at %v:\n%v\nthe model has\n%v%s", what, now, show(view), show(m.view), differs(r, m, view))
+			if !maps.EqualFunc(view, m.view, func(a, b Change) bool { return a.equal(&b.Entry) && a.Suspect == b.Suspect }) {
+				t.Fatalf("after %s at %v:\n%v\nthe model has\n%v%s", what, now, formatView(view), formatView(m.view), explainDifferences(r, m, view))
 			}
 			if shown := r.Entries(); len(shown) != len(view) {
-				t.Fatalf("%d entries are shown, of %d", len(shown), len(view))
+				t.Fatalf("Entries returned %d entries, want %d", len(shown), len(view))
 			}
 			for i, s := range r.Sources() {
 				if s.Entries != m.sources[i].live() || s.Health != m.sources[i].health || s.Standing != m.sources[i].standing {
-					t.Fatalf("after %s: source %d is shown as %+v", what, i, s)
+					t.Fatalf("after %s: Sources returned %+[3]v for source %[2]d, which differs from the model", what, i, s)
 				}
 			}
 		}
 		const ids = 6
-		lists := make([]int64, len(cfg.Sources)) // the highest revision of each, or -1: without
+		lists := make([]int64, len(cfg.Sources)) // highest revision of each source; -1: it has no revisions
 		for i := range lists {
 			lists[i] = int64(rapid.IntRange(-1, 5).Draw(t, "revision"))
 		}
@@ -560,60 +565,60 @@
 		t.Repeat(map[string]func(*rapid.T){
 			"whole": func(t *rapid.T) {
 				i := rapid.IntRange(0, len(lists)-1).Draw(t, "source")
-				rev, entries := revision(i), testEntries(t, ids)
-				m.alive(i, rev > m.sources[i].most)
-				m.begin(i, rev)
+				rev, entries := revision(i), drawEntries(t, ids)
+				m.markAlive(i, rev > m.sources[i].maxRev)
+				m.beginList(i, rev)
 				for _, e := range entries {
-					m.learn(i, e, rev)
+					m.applyEntry(i, e, rev)
 				}
-				m.commit(i)
-				m.stand()
+				m.commitList(i)
+				m.updateStandings()
 				take(r.Said(now, i, true, rev, entries))
 				settle("a whole list")
 			},
 			"changes": func(t *rapid.T) {
 				i := rapid.IntRange(0, len(lists)-1).Draw(t, "source")
-				rev, entries := revision(i), testEntries(t, ids)
-				m.changes(i, rev, entries)
+				rev, entries := revision(i), drawEntries(t, ids)
+				m.applyChanges(i, rev, entries)
 				take(r.Said(now, i, false, rev, entries))
 				settle("changes")
 			},
 			"slices": func(t *rapid.T) {
 				i := rapid.IntRange(0, len(lists)-1).Draw(t, "source")
 				rev, s := revision(i), m.sources[i]
-				m.begin(i, rev)
+				m.beginList(i, rev)
 				nobody := true
 				for _, o := range m.sources {
 					nobody = nobody && o.standing != Decides
 				}
 				if nobody {
-					m.alive(i, true)
+					m.markAlive(i, true)
 				}
 				r.Begin(now, i, rev)
 				for range rapid.IntRange(0, 2).Draw(t, "slices") {
-					entries := testEntries(t, ids)
+					entries := drawEntries(t, ids)
 					for _, e := range entries {
-						m.learn(i, e, rev)
+						m.applyEntry(i, e, rev)
 					}
 					take(r.Add(now, i, entries))
-					m.stand()
+					m.updateStandings()
 					settle("a slice")
 				}
 				if rapid.Bool().Draw(t, "whole") {
-					m.alive(i, rev > s.most)
-					m.commit(i)
-					m.stand()
+					m.markAlive(i, rev > s.maxRev)
+					m.commitList(i)
+					m.updateStandings()
 					take(r.Commit(now, i))
 					settle("a list in slices")
 				} else {
-					s.open = false
+					s.listOpen = false
 					r.Broke(now, i, "broken")
 				}
 			},
 			"heard": func(t *rapid.T) {
 				i := rapid.IntRange(0, len(lists)-1).Draw(t, "source")
 				if m.sources[i].heard {
-					m.alive(i, false)
+					m.markAlive(i, false)
 				}
 				r.Heard(now, i)
 				settle("a sign of life")
@@ -634,7 +639,7 @@
 					m.tick()
 					all := r.Tick(now)
 					if len(all) > 0 && !(ok && at <= now) {
-						t.Fatalf("%v changes at %v, and Due said %v, %v", all, now, at, ok)
+						t.Fatalf("changes %v at %v, but Due returned %v, %v", all, now, at, ok)
 					}
 					take(all)
 					settle("a second")
@@ -644,18 +649,19 @@
 	})
 }
 
-func show(view map[string]Change) (s string) {
+// formatView prints a view, one entry per line.
+func formatView(view map[string]Change) (s string) {
 	for _, id := range slices.Sorted(maps.Keys(view)) {
 		s += fmt.Sprintf("  %+v\n", view[id])
 	}
 	return s
 }
 
-// differs says why the roster holds what the model does not.
-func differs(r *Roster, m *naive, view map[string]Change) (s string) {
+// explainDifferences returns Roster.Why for each id on which the roster and the model differ.
+func explainDifferences(r *Roster, m *model, view map[string]Change) (s string) {
 	for i := range 10 {
 		id := "n" + strconv.Itoa(i)
-		if a, b := view[id], m.view[id]; !a.same(&b.Entry) || a.Suspect != b.Suspect {
+		if a, b := view[id], m.view[id]; !a.equal(&b.Entry) || a.Suspect != b.Suspect {
 			s += r.Why(id) + "\n"
 		}
 	}
--- a/internal/roster/roster.go
+++ b/internal/roster/roster.go
@@ -1,29 +1,34 @@
-// Package roster is the one place where what registries say of app nodes becomes the list that the reducer hears: which
-// source decides, how old its word may grow, what a list that loses most of its entries is worth, and which entries are
-// listed as up while nobody answers there. It owns each source's last word and nothing else. It must never do I/O, read
-// a clock, start a goroutine or lock: one goroutine drives it, and the same calls always give the same changes.
+// Package roster merges the lists of app nodes from several registries (sources) into the one list that the reducer uses.
+// It decides which source is authoritative, for how long an unreachable source is trusted, whether to accept a list that
+// lost most of its entries, and which entries are listed as up although no connect succeeds. It stores only the latest
+// report of each source about each node. It must not do I/O, read a clock, start goroutines or take locks: one goroutine
+// drives it, and the same calls always produce the same changes.
 //
-// The rules, in the order in which they win:
+// The rules, highest precedence first:
 //
-//   - Drains and removals. What any source with a list that still counts for something says of an entry's end holds,
-//     whatever the others say: a drain for as long as that source says so, a removal for Settings.Hold after it was told.
-//     A removed entry that another source still has is draining, not gone. No guard and no age stands against a drain.
-//     What a whole list lacks though it was up was not told: it goes with that source, and no other need mind.
-//   - Who decides. Of the primary sources the first that is fresh, else the first that is stale; a fallback where no
-//     primary is either; joined ones add to that. Where nobody else can decide, the last that did goes on, at any age.
-//   - Age. A source that is lost while another decides is one from which only drains are taken: what it alone has drains,
-//     and after Hold its list is out. One that comes back from there with a list that has not moved is treated so for Hold.
-//   - The same node is one with the same id; or, from different sources, with the same address: then it goes by the id
-//     that the deciding, more trusted source has for it. One source that has two ids at an address means two nodes.
-//   - Older words. A source that goes on with lower revisions has forgotten something. Its whole list is taken, but what
-//     it said of ends holds against it for Hold; of changes with lower revisions only drains are taken (see Wants).
-//   - Loss. A whole list that is shorter than a share of what the source had is doubted: what it does not name stays for
-//     LossFor. Then it is believed, but for entries to which a connect has succeeded within LossFor, and unless it lists
-//     nobody at all or the source is not fresh. A source that has much less than another does not decide in its place.
-//   - Suspects. An entry that is up by all this while no connect succeeds gets no fresh work but a rare trial.
+//   - Drains and removals. A drain or removal reported by any source whose standing is not Out applies whatever the other
+//     sources report: a drain for as long as that source reports it, a removal for Settings.Hold after it was reported.
+//     A removed entry that another source still lists is draining, not gone. Neither the loss guard nor the age of a list
+//     overrides a drain. An entry that was up and is merely absent from a full list was not reported as removed: it is
+//     dropped for that source only.
+//   - Deciding source. The first fresh primary source decides, else the first stale one; a fallback source decides if no
+//     primary is fresh or stale. Joined sources add entries. If no other source can decide, the last one that did goes on,
+//     however old its list is.
+//   - Age. From a source that is lost while another decides, only drains are taken: entries that it alone lists drain, and
+//     after Hold its list is ignored. If it returns with a list of no higher revision, the same applies for Hold.
+//   - Identity. Entries with the same id are one node. So are entries of different sources with the same address: the node
+//     then has the id that the deciding, more trusted source uses. Two ids at one address in one source are two nodes.
+//   - Lower revisions. A source that continues with lower revisions has lost data. Its full list is accepted, but the
+//     drains and removals that it reported before still apply for Hold; of changes with lower revisions only drains and
+//     removals are taken (see Wants).
+//   - Loss. A full list that is shorter than a share of the source's previous list is doubted: entries absent from it are
+//     kept for LossFor. After that the list is accepted, except for entries to which a connect succeeded within LossFor,
+//     and unless the list is empty or the source is not fresh. A source that lists far fewer entries than another does not
+//     decide in its place.
+//   - Suspects. An entry that is up by all these rules while no connect succeeds gets no new work except rare trials.
 //
-// Entries are told at once, except where a source's standing changes or a list given in slices has been committed: then
-// they are walked through in slices, one a Tick, so that no call's work grows with the list.
+// Changes take effect at once, except after a change of a source's standing or the commit of a list given in slices: then
+// the entries are rechecked in slices, one per Tick, so that the work of a call does not grow with the list.
 package roster
 
 import (
@@ -32,7 +37,7 @@
 	"time"
 )
 
-// State of an entry.
+// State is the state of an entry.
 type State uint8
 
 const (
@@ -43,246 +48,250 @@
 
 func (s State) String() string { return [...]string{"up", "draining", "gone"}[s] }
 
-// Entry is one app node as a source knows it.
+// Entry is one app node as a source reports it.
 type Entry struct {
 	ID, Address, Zone, Kind string
 	Cell                    int
 	Weight                  float64
-	Started                 time.Duration // on our clock; 0: long ago. One that lies ahead counts as the moment it is told
+	Started                 time.Duration // on the local clock; 0: long ago. A time in the future counts as the time of the report
 	State                   State
-	Labels                  map[string]string // never written to
+	Labels                  map[string]string // read-only
 }
 
-func (e *Entry) same(o *Entry) bool {
+// equal reports whether all fields of two entries are equal.
+func (e *Entry) equal(o *Entry) bool {
 	return e.ID == o.ID && e.Address == o.Address && e.Zone == o.Zone && e.Kind == o.Kind && e.Cell == o.Cell &&
 		e.Weight == o.Weight && e.Started == o.Started && e.State == o.State && maps.Equal(e.Labels, o.Labels)
 }
 
-// Change is an entry as it counts from now on. A suspect is Draining, and Up for a moment where it is on trial: one
-// connect of its own tells as much as a call.
+// Change is the new merged state of an entry. A suspect is Draining, and briefly Up while on trial: a connect made to
+// probe it counts as much as one made for a call.
 type Change struct {
 	Entry
 	Suspect bool
 }
 
-// Role of a source among the others.
+// Role is how a source relates to the other sources.
 type Role uint8
 
 const (
-	Primary  Role = iota // lists the whole fleet; the first that is heard decides
-	Joined               // lists further nodes
-	Fallback             // lists the whole fleet where no primary is heard
+	Primary  Role = iota // lists the whole fleet; the first that is fresh decides, else the first that is stale
+	Joined               // lists additional nodes
+	Fallback             // lists the whole fleet; decides if no primary source can
 )
 
 func (r Role) String() string { return [...]string{"primary", "joined", "fallback"}[r] }
 
-// Source is one registry. Those named first are trusted more.
+// Source is one registry. Sources named earlier are trusted more.
 type Source struct {
 	Name  string
 	Role  Role
-	Stale time.Duration // without a sign of life for so long, it is stale
-	Lost  time.Duration // and for so long, lost; 0: never
+	Stale time.Duration // age of the latest contact at which the source is stale
+	Lost  time.Duration // age at which it is lost; 0: never
 }
 
-// Settings of a roster. What is 0 is off.
+// Settings configures a roster. A setting of 0 is disabled.
 type Settings struct {
 	Sources []Source
-	Hold    time.Duration // that a removal, or an end that was told at a later revision, holds against other words
+	Hold    time.Duration // how long a removal, or a drain reported at a higher revision, overrides other reports
 
-	LossShare float64       // a whole list shorter than this share of what was held is doubted
-	LossFor   time.Duration // for so long, if the source is heard all the while
+	LossShare float64       // a full list shorter than this share of the previous one is doubted
+	LossFor   time.Duration // how long entries absent from it are kept, if the source stays fresh
 
-	SuspectFails int           // connects in a row that fail
-	SuspectOver  time.Duration // and for how long at the least
-	SuspectShare float64       // of the entries that are up; with more, the fault is taken for our own
-	TrialFirst   time.Duration // pause before the first trial; it doubles
-	TrialMost    time.Duration
-	TrialFor     time.Duration // a trial ends at a connect, and after that without
+	SuspectFails int           // consecutive failed connects that make a node a suspect
+	SuspectOver  time.Duration // minimum time over which they must have failed
+	SuspectShare float64       // of the entries that are up; above it, the local network is assumed to be at fault
+	TrialFirst   time.Duration // pause before the first trial; doubles after each failed one
+	TrialMost    time.Duration // longest pause
+	TrialFor     time.Duration // length of a trial in which no connect is made
 }
 
-// SourcesMost bounds the sources; a switch between them looks at each.
-const SourcesMost = 8
+// MaxSources limits the number of sources, since choosing the deciding source visits each.
+const MaxSources = 8
 
 const (
-	// sliceMost bounds the entries that one Tick walks through, so that it stays well under a millisecond.
-	sliceMost = 250
-	// leastGuarded: of fewer entries, losing most is an ordinary day. Losing all never is.
-	leastGuarded = 3
+	// maxEntriesPerTick limits the entries that one Tick visits, so that it takes well under a millisecond.
+	maxEntriesPerTick = 250
+	// minGuardedEntries is the list length from which the loss guard applies. Losing most of a shorter list is normal;
+	// losing all entries never is.
+	minGuardedEntries = 3
 )
 
-// fault names a field of Settings, by the key that the settings file has for it.
-func fault(key string, v any, want string) error {
-	return fmt.Errorf("roster: %s: %v, where %s is wanted", key, v, want)
+// settingError describes an invalid setting, named by its key in the settings file.
+func settingError(key string, v any, want string) error {
+	return fmt.Errorf("roster: %s: got %v, want %s", key, v, want)
 }
 
-func (s *Settings) check() error {
-	if len(s.Sources) < 1 || len(s.Sources) > SourcesMost {
-		return fault("sources", len(s.Sources), fmt.Sprintf("a number of 1 to %d", SourcesMost))
+// validate returns an error that names the first invalid setting, or nil.
+func (s *Settings) validate() error {
+	if len(s.Sources) < 1 || len(s.Sources) > MaxSources {
+		return settingError("sources", len(s.Sources), fmt.Sprintf("1 to %d of them", MaxSources))
 	}
 	names := map[string]bool{}
 	for i, src := range s.Sources {
 		at := fmt.Sprintf("sources[%d].", i)
 		switch {
 		case src.Name == "" || names[src.Name]:
-			return fault(at+"name", fmt.Sprintf("%q", src.Name), "a name of its own")
+			return settingError(at+"name", fmt.Sprintf("%q", src.Name), "a name that is not empty and not used by another source")
 		case src.Role > Fallback:
-			return fault(at+"role", uint8(src.Role), "a role")
+			return settingError(at+"role", uint8(src.Role), "a known role")
 		case src.Stale <= 0:
-			return fault(at+"stale_ms", src.Stale, "a time")
+			return settingError(at+"stale_ms", src.Stale, "a duration above 0")
 		case src.Lost != 0 && src.Lost < src.Stale:
-			return fault(at+"lost_ms", src.Lost, "0 or no less than stale_ms")
+			return settingError(at+"lost_ms", src.Lost, "0 or at least stale_ms")
 		}
 		names[src.Name] = true
 	}
 	switch {
 	case s.Hold < 0 || s.Hold == 0 && len(s.Sources) > 1:
-		return fault("hold_ms", s.Hold, "a time, where there are several sources")
+		return settingError("hold_ms", s.Hold, "a duration above 0 if there are several sources, else 0 or more")
 	case !(s.LossShare >= 0 && s.LossShare < 1):
-		return fault("loss.share", s.LossShare, "a share under 1")
+		return settingError("loss.share", s.LossShare, "a share of at least 0 and below 1")
 	case s.LossShare > 0 && s.LossFor <= 0:
-		return fault("loss.for_ms", s.LossFor, "a time")
+		return settingError("loss.for_ms", s.LossFor, "a duration above 0")
 	case s.SuspectFails < 0:
-		return fault("suspects.fails", s.SuspectFails, "0 or more")
+		return settingError("suspects.fails", s.SuspectFails, "0 or more")
 	case s.SuspectFails == 0:
 		return nil
 	case s.SuspectOver < 0:
-		return fault("suspects.over_ms", s.SuspectOver, "0 or more")
+		return settingError("suspects.over_ms", s.SuspectOver, "0 or more")
 	case !(s.SuspectShare > 0 && s.SuspectShare <= 1):
-		return fault("suspects.share", s.SuspectShare, "a share over 0")
+		return settingError("suspects.share", s.SuspectShare, "a share above 0 and at most 1")
 	case s.TrialFirst <= 0:
-		return fault("suspects.trial_first_ms", s.TrialFirst, "a time")
+		return settingError("suspects.trial_first_ms", s.TrialFirst, "a duration above 0")
 	case s.TrialMost < s.TrialFirst:
-		return fault("suspects.trial_most_ms", s.TrialMost, "no less than trial_first_ms")
+		return settingError("suspects.trial_most_ms", s.TrialMost, "at least trial_first_ms")
 	case s.TrialFor <= 0:
-		return fault("suspects.trial_ms", s.TrialFor, "a time")
+		return settingError("suspects.trial_ms", s.TrialFor, "a duration above 0")
 	}
 	return nil
 }
 
-// node is all that is said of one id.
+// node holds everything known about one id.
 type node struct {
-	id    string
-	words *word // the latest words of the sources, in no order
-	dirty bool
-	told  Change // Gone: not told, or told to be gone
-	base  *word  // what decides, after resolve; nil: nothing
-	place string // the address that it is filed under, where there are several sources
-	next  *node  // at that address
+	id             string
+	reports        *report // linked list of the sources' latest reports, unordered
+	dirty          bool
+	published      Change  // latest Change returned; Gone if none was, or if it was removed
+	deciding       *report // the report that takes precedence, set by flush; nil: none
+	indexedAddress string  // its key in Roster.byAddress, with several sources
+	nextAtAddress  *node   // next node at that address
 
-	fails    int
-	failFrom time.Duration
-	lastOK   time.Duration
-	pause    time.Duration // before the next trial
-	trialAt  time.Duration // its moment, or that of the end of the one under way
-	onTrial  bool
-	failing  int // place in Roster.failing and one, or 0
-	counted  bool
+	failures     int
+	failingSince time.Duration
+	lastOK       time.Duration
+	trialPause   time.Duration // pause before the next trial
+	trialAt      time.Duration // when the next trial begins, or the current one ends
+	onTrial      bool
+	failingPos   int // index in Roster.failing plus one, or 0
+	countedUp    bool
 }
 
-// word is the latest that a source said of an id. It stays for a while after a removal.
-type word struct {
-	node   *node
-	other  *word // of the same node
-	source *source
-	entry  Entry
-	raw    time.Duration // Started as told
-	at     int           // in source.words
-	list   uint64        // the latest whole list, or the one since which it was named
-	rev    int64         // at which its end was told
-	ended  time.Duration // Started, as told, of what has ended
-	until  time.Duration // that this holds against lower revisions and, if it was a removal, against other sources
-	missed bool          // gone, as a whole list did not name it: nothing that was told, so no other source need mind
-	held   bool          // it is told to be up, but at a lower revision
-	doubt  bool          // a list that is too short does not name it
+// report is the latest that a source reported about an id. After a removal it is kept for Settings.Hold.
+type report struct {
+	node          *node
+	nextOfNode    *report // next report about the same node
+	source        *source
+	entry         Entry
+	reportedStart time.Duration // Started as reported
+	index         int           // in source.reports
+	listSeq       uint64        // source.listSeq when the source last reported it
+	endRev        int64         // revision at which its drain or removal was reported
+	endedStart    time.Duration // reported Started of the process that drained or was removed
+	holdUntil     time.Duration // until then a drain or removal overrides lower revisions, and a removal also other sources
+	omitted       bool          // gone because absent from a full list, not reported as removed: does not affect other sources
+	overruled     bool          // reported up at a lower revision than its drain or removal: counts as draining
+	doubted       bool          // absent from a list that is too short, and kept
 }
 
-// state is what the source's word amounts to.
-func (w *word) state() State {
-	if w.held {
+// reportedState returns the state of the source's entry; Draining if the entry is overruled.
+func (rep *report) reportedState() State {
+	if rep.overruled {
 		return Draining
 	}
-	return w.entry.State
+	return rep.entry.State
 }
 
-// Roster is the whole state. Make it with New.
+// Roster merges the reports of all sources. Create it with New.
 type Roster struct {
-	cfg     Settings
-	now     time.Duration
-	sources []*source
-	nodes   map[string]*node
-	places  map[string]*node // by address, where there are several sources
-	dirty   []*node
-	due     queue
-	seq     uint64
-	notes   []string
+	cfg       Settings
+	now       time.Duration
+	sources   []*source
+	nodes     map[string]*node
+	byAddress map[string]*node // first node at each address, with several sources
+	dirty     []*node
+	timers    timerQueue
+	seq       uint64
+	notes     []string
 
-	listed  int      // nodes that are up by the sources' words
-	failing []*node  // those of them that fail
-	walk    int      // of these still to be looked at since ours changed; from the end
-	ours    bool     // so many fail that it must be our own network
-	newly   []string // suspects since the last line
+	upCount     int      // nodes that are up by the sources' reports
+	failing     []*node  // of these, nodes to which connects fail
+	failingLeft int      // number of failing nodes still to be rechecked since localFault changed; from the end
+	localFault  bool     // so many nodes fail that the local network must be at fault
+	newSuspects []string // ids of suspects not logged yet
 }
 
-// New makes a roster without entries.
+// New returns a roster without entries, or an error that names the invalid setting.
 func New(s Settings) (*Roster, error) {
-	if err := s.check(); err != nil {
+	if err := s.validate(); err != nil {
 		return nil, err
 	}
-	r := &Roster{cfg: s, nodes: map[string]*node{}, places: map[string]*node{}}
+	r := &Roster{cfg: s, nodes: map[string]*node{}, byAddress: map[string]*node{}}
 	for i, src := range s.Sources {
-		r.sources = append(r.sources, &source{Source: src, rank: i, words: nil, byID: map[string]*word{}})
+		r.sources = append(r.sources, &source{Source: src, rank: i, reports: nil, byID: map[string]*report{}})
 	}
 	return r, nil
 }
 
+// note adds a line to Notes.
 func (r *Roster) note(format string, args ...any) {
 	r.notes = append(r.notes, fmt.Sprintf(format, args...))
 }
 
-// Notes gives the lines for the operator since it was last called.
+// Notes returns the log lines added since the previous call.
 func (r *Roster) Notes() []string {
 	n := r.notes
 	r.notes = nil
 	return n
 }
 
-// advance takes the time; it never runs back.
+// advance sets the current time; it never goes back.
 func (r *Roster) advance(now time.Duration) { r.now = max(r.now, now) }
 
-// Tick does what time brings about, and goes on with what is walked through in slices.
+// Tick fires due timers and continues rechecking entries in slices.
 func (r *Roster) Tick(now time.Duration) []Change {
 	r.advance(now)
-	r.restand()
-	for n := sliceMost; n > 0 && len(r.due) > 0 && r.due[0].at <= r.now; n-- {
-		r.fall(r.due.pop())
+	r.updateStandings()
+	for n := maxEntriesPerTick; n > 0 && len(r.timers) > 0 && r.timers[0].at <= r.now; n-- {
+		r.fire(r.timers.pop())
 	}
-	left := sliceMost
+	left := maxEntriesPerTick
 	for _, s := range r.sources {
-		left = r.walkSource(s, left)
+		left = r.recheckSource(s, left)
 	}
-	r.walkFailing(left)
-	r.restand() // a list that has become shorter may not decide any more
+	r.recheckFailing(left)
+	r.updateStandings() // a source whose list became shorter may no longer decide
 	return r.flush()
 }
 
-// Due is when Tick has something to do next; ok is false where nothing waits. A moment that has passed means at once.
+// Due returns when Tick is to be called next; ok is false if nothing is pending. A time in the past means now.
 func (r *Roster) Due() (at time.Duration, ok bool) {
 	add := func(t time.Duration) {
 		if !ok || t < at {
 			at, ok = t, true
 		}
 	}
-	if len(r.dirty) > 0 || r.walk > 0 {
+	if len(r.dirty) > 0 || r.failingLeft > 0 {
 		add(r.now)
 	}
-	if len(r.due) > 0 {
-		add(r.due[0].at)
+	if len(r.timers) > 0 {
+		add(r.timers[0].at)
 	}
 	for _, s := range r.sources {
-		if s.left > 0 {
+		if s.recheckLeft > 0 {
 			add(r.now)
 		}
-		if t, is := r.nextOf(s); is {
+		if t, pending := r.nextDeadline(s); pending {
 			add(t)
 		}
 	}
--- a/internal/roster/sources.go
+++ b/internal/roster/sources.go
@@ -5,11 +5,11 @@
 	"time"
 )
 
-// Health of a source, by the age of its latest sign of life.
+// Health is the health of a source, by the age of its latest contact.
 type Health uint8
 
 const (
-	Never Health = iota // nothing was heard yet, or no list
+	Never Health = iota // no contact yet
 	Fresh
 	Stale
 	Lost
@@ -17,58 +17,60 @@
 
 func (h Health) String() string { return [...]string{"never heard", "fresh", "stale", "lost"}[h] }
 
-// Standing is what a source's word counts for.
+// Standing is how far the reports of a source count.
 type Standing uint8
 
 const (
-	Out        Standing = iota // nothing
-	Standby                    // its ends alone, of what others list: another decides
-	DrainsOnly                 // its ends, and what it alone lists drains
-	Decides
+	Out        Standing = iota // not at all
+	Standby                    // another source decides: only its drains and removals, of entries that others list
+	DrainsOnly                 // its drains and removals; entries that it alone lists are draining
+	Decides                    // its entries are authoritative
 )
 
 func (s Standing) String() string {
 	return [...]string{"out", "standing by", "drains only", "decides"}[s]
 }
 
+// source is a configured source with its reports and the state of its contact.
 type source struct {
 	Source
-	rank  int
-	words []*word
-	byID  map[string]*word
-	live  int // words that are not Gone, those in doubt included
-	doubt int // words in doubt
+	rank         int // index in Roster.sources; a lower one is more trusted
+	reports      []*report
+	byID         map[string]*report
+	live         int // reports that are not Gone, doubted ones included
+	doubtedCount int // reports that are doubted
 
-	heard    bool // ever
-	at       time.Duration
-	health   Health
-	standing Standing
-	lostAt   time.Duration
-	back     time.Duration // until then it has come back with a list that has not moved; 0: it has not
-	why      string        // it broke, since it was last heard
-	rev      int64
-	revMost  int64 // ever
+	heard       bool // whether there was any contact
+	lastSeen    time.Duration
+	health      Health
+	standing    Standing
+	lostAt      time.Duration
+	returnUntil time.Duration // end of the Hold after it returned from Lost with no higher revision; 0: not in force
+	lastError   string        // error since the latest contact, or empty
+	rev         int64
+	maxRev      int64 // highest revision ever received
 
-	list    uint64 // whole lists begun
-	open    bool   // the latest is being told
-	openRev int64
-	named   int // by the open list, not Gone
-	wants   bool
+	listSeq       uint64 // number of full lists begun
+	listOpen      bool   // a full list was begun and not yet committed
+	listRev       int64
+	listLive      int // entries in the open list that are not Gone
+	needsFullList bool
 
-	left  int  // words still to be looked at, from the end
-	stood bool // since its standing changed
-	sweep bool // what the latest list does not name goes
-	clear bool // and what is in doubt as well
+	recheckLeft     int  // reports still to be rechecked, from the end
+	standingChanged bool // its standing changed, so its nodes must be resolved again
+	sweepOmitted    bool // remove what is absent from the latest list
+	sweepDoubted    bool // remove what is doubted
 
-	guard    bool // a list was too short
-	guardRef int  // entries before
-	guardEnd time.Duration
-	kept     bool // it has been said that the doubt goes on
+	guarded       bool // the latest list was too short, so entries absent from it are kept
+	guardBaseline int  // entries in the list before it
+	guardEnd      time.Duration
+	keptNoted     bool // it was logged that doubted entries stay
 }
 
-// age is the time since the latest sign of life.
-func (r *Roster) age(s *source) time.Duration { return r.now - s.at }
+// age is the time since the latest contact with a source.
+func (r *Roster) age(s *source) time.Duration { return r.now - s.lastSeen }
 
+// healthOf returns the health of a source at the current time.
 func (r *Roster) healthOf(s *source) Health {
 	switch {
 	case !s.heard:
@@ -81,58 +83,60 @@
 	return Fresh
 }
 
-// nextOf is when time alone changes something about a source.
-func (r *Roster) nextOf(s *source) (at time.Duration, ok bool) {
-	add := func(t time.Duration, on bool) {
-		if on && (!ok || t < at) {
+// nextDeadline returns the earliest time at which the state of a source changes without a call; ok is false if there is
+// none.
+func (r *Roster) nextDeadline(s *source) (at time.Duration, ok bool) {
+	add := func(t time.Duration, applies bool) {
+		if applies && (!ok || t < at) {
 			at, ok = t, true
 		}
 	}
 	switch s.health {
 	case Fresh:
-		add(s.at+s.Stale, true)
+		add(s.lastSeen+s.Stale, true)
 	case Stale:
-		add(s.at+s.Source.Lost, s.Source.Lost > 0)
+		add(s.lastSeen+s.Source.Lost, s.Source.Lost > 0)
 	case Lost:
 		add(s.lostAt+r.cfg.Hold, s.standing == DrainsOnly)
 	}
-	add(s.back, s.back > 0)
-	add(s.guardEnd, s.guard)
+	add(s.returnUntil, s.returnUntil > 0)
+	add(s.guardEnd, s.guarded)
 	return at, ok
 }
 
-// restand finds what each source counts for now, and has what changes by it looked at again.
-func (r *Roster) restand() {
+// updateStandings recomputes the health and standing of each source, and schedules a recheck of the reports of those whose
+// standing changed.
+func (r *Roster) updateStandings() {
 	for _, s := range r.sources {
 		if h := r.healthOf(s); h != s.health {
-			r.sayHealth(s, h)
+			r.noteHealth(s, h)
 			if h == Lost {
-				s.lostAt, s.back = s.at+s.Source.Lost, 0
+				s.lostAt, s.returnUntil = s.lastSeen+s.Source.Lost, 0
 			}
 			s.health = h
 		}
-		if s.back > 0 && s.back <= r.now {
-			s.back = 0
+		if s.returnUntil > 0 && s.returnUntil <= r.now {
+			s.returnUntil = 0
 		}
-		if s.guard && s.guardEnd <= r.now {
-			r.guardOut(s)
+		if s.guarded && s.guardEnd <= r.now {
+			r.guardExpired(s)
 		}
 	}
-	var next [SourcesMost]Standing
-	main := r.lead(Primary)
-	if main == nil && (r.joined() == 0 || r.has(Primary)) {
-		main = r.lead(Fallback)
+	var next [MaxSources]Standing
+	decider := r.pickDecider(Primary)
+	if decider == nil && (r.eligibleJoined() == 0 || r.hasRole(Primary)) {
+		decider = r.pickDecider(Fallback)
 	}
-	if main == nil { // nobody can take its place
-		main = r.last()
+	if decider == nil { // no source is eligible
+		decider = r.lastDecider()
 	}
 	for i, s := range r.sources {
 		switch {
-		case s == main, s.Role == Joined && s.able():
+		case s == decider, s.Role == Joined && s.eligible():
 			next[i] = Decides
-		case s.able() && s.health == Fresh:
+		case s.eligible() && s.health == Fresh:
 			next[i] = Standby
-		case s.able() || s.back > 0 || s.health == Lost && r.now < s.lostAt+r.cfg.Hold:
+		case s.eligible() || s.returnUntil > 0 || s.health == Lost && r.now < s.lostAt+r.cfg.Hold:
 			next[i] = DrainsOnly
 		}
 	}
@@ -141,40 +145,43 @@
 			if len(r.sources) > 1 {
 				r.note("source %s: %s, was: %s", s.Name, next[i], s.standing)
 			}
-			s.standing, s.left, s.stood = next[i], len(s.words), true
+			s.standing, s.recheckLeft, s.standingChanged = next[i], len(s.reports), true
 		}
 	}
 }
 
-// able says that a source may decide.
-func (s *source) able() bool { return (s.health == Fresh || s.health == Stale) && s.back == 0 }
+// eligible reports whether a source may decide.
+func (s *source) eligible() bool {
+	return (s.health == Fresh || s.health == Stale) && s.returnUntil == 0
+}
 
-// lead is the source of a role that decides: the first that is fresh, else the first that is stale. One that lists much
-// less than another that could decide is like a list that has lost most of its entries, and one that lists nobody takes
-// nobody's place, lost or not.
-func (r *Roster) lead(role Role) *source {
-	most := 0
+// pickDecider returns the source of a role that is to decide: the first fresh one, else the first stale one, or nil. It
+// skips a source that lists far fewer entries than another eligible one, as a list that lost most of its entries. With
+// the loss guard enabled, a source without entries never replaces one that decides and has some.
+func (r *Roster) pickDecider(role Role) *source {
+	longest := 0
 	for _, s := range r.sources {
-		if s.Role != Joined && s.able() {
-			most = max(most, s.live)
+		if s.Role != Joined && s.eligible() {
+			longest = max(longest, s.live)
 		}
 	}
-	held := r.cfg.LossShare > 0 && slices.ContainsFunc(r.sources, func(s *source) bool {
+	decided := r.cfg.LossShare > 0 && slices.ContainsFunc(r.sources, func(s *source) bool {
 		return s.Role != Joined && s.standing == Decides && s.live > 0
 	})
 	var found *source
 	for _, s := range r.sources {
-		if most >= leastGuarded && float64(s.live) < r.cfg.LossShare*float64(most) || held && s.live == 0 {
+		if longest >= minGuardedEntries && float64(s.live) < r.cfg.LossShare*float64(longest) || decided && s.live == 0 {
 			continue
 		}
-		if s.Role == role && s.able() && (found == nil || found.health != Fresh && s.health == Fresh) {
+		if s.Role == role && s.eligible() && (found == nil || found.health != Fresh && s.health == Fresh) {
 			found = s
 		}
 	}
 	return found
 }
 
-func (r *Roster) has(role Role) bool {
+// hasRole reports whether a source with the role is configured.
+func (r *Roster) hasRole(role Role) bool {
 	for _, s := range r.sources {
 		if s.Role == role {
 			return true
@@ -183,90 +190,95 @@
 	return false
 }
 
-func (r *Roster) joined() (n int) {
+// eligibleJoined counts the joined sources that may decide.
+func (r *Roster) eligibleJoined() (n int) {
 	for _, s := range r.sources {
-		if s.Role == Joined && s.able() {
+		if s.Role == Joined && s.eligible() {
 			n++
 		}
 	}
 	return n
 }
 
-// last is the source that has decided and goes on, since nobody can take its place; where none has, the one that has
-// been heard last.
-func (r *Roster) last() *source {
+// lastDecider returns the source that keeps deciding when no source is eligible: the one that decided so far, or else
+// the one with the latest contact. It returns nil if there was no contact yet.
+func (r *Roster) lastDecider() *source {
 	var found *source
 	for _, s := range r.sources {
-		if !s.heard || s.Role == Joined && r.has(Primary) {
+		if !s.heard || s.Role == Joined && r.hasRole(Primary) {
 			continue
 		}
 		if s.standing == Decides && s.Role != Joined {
 			return s
 		}
-		if found == nil || s.at > found.at {
+		if found == nil || s.lastSeen > found.lastSeen {
 			found = s
 		}
 	}
 	return found
 }
 
-func (r *Roster) sayHealth(s *source, h Health) {
+// noteHealth logs a change of a source's health to h.
+func (r *Roster) noteHealth(s *source, h Health) {
 	switch {
 	case h == Fresh && s.health == Never:
 		r.note("source %s: first heard", s.Name)
 	case h == Fresh:
 		r.note("source %s: heard again, was: %s", s.Name, s.health)
-	case s.why != "":
-		r.note("source %s: %s, not heard for %v: %s", s.Name, h, r.age(s), s.why)
+	case s.lastError != "":
+		r.note("source %s: %s, not heard for %v: %s", s.Name, h, r.age(s), s.lastError)
 	default:
 		r.note("source %s: %s, not heard for %v", s.Name, h, r.age(s))
 	}
 }
 
-// alive notes a sign of life. moved: with it came something newer than all before.
-func (r *Roster) alive(s *source, moved bool) {
+// markAlive records contact with a source. moved means that it brought a higher revision than any before.
+func (r *Roster) markAlive(s *source, moved bool) {
 	h := r.healthOf(s)
-	s.heard, s.at, s.why = true, r.now, ""
+	s.heard, s.lastSeen, s.lastError = true, r.now, ""
 	switch {
 	case moved:
-		s.back = 0
+		s.returnUntil = 0
 	case h == Lost && len(r.sources) > 1:
-		s.back = r.now + r.cfg.Hold
+		s.returnUntil = r.now + r.cfg.Hold
 		r.note("source %s: back with a list that has not moved; only drains are taken from it for %v", s.Name, r.cfg.Hold)
 	}
-	r.restand()
+	r.updateStandings()
 }
 
-// Heard: a sign of life without news: the list as it was last told is the present one.
+// Heard records contact with a source without changes: its list is still the one last reported.
 func (r *Roster) Heard(now time.Duration, source int) {
 	r.advance(now)
-	if s := r.source(source); s != nil && s.heard {
-		r.alive(s, false)
+	if s := r.sourceAt(source); s != nil && s.heard {
+		r.markAlive(s, false)
 	}
 }
 
-// Broke: the watch ended, or a call failed. A list that was being told is over; what it has told stays.
+// Broke records that the watch of a source ended or a call to it failed. A list that is being received is abandoned; the
+// entries received so far stay.
 func (r *Roster) Broke(now time.Duration, source int, why string) {
 	r.advance(now)
-	s := r.source(source)
+	s := r.sourceAt(source)
 	if s == nil {
 		return
 	}
-	s.wants = s.wants || s.open // a part of a list, of whatever revision, is mixed with what there was
-	s.open = false
-	if s.why == "" {
+	s.needsFullList = s.needsFullList || s.listOpen // entries of a partial list, of any revision, are now mixed with older ones
+	s.listOpen = false
+	if s.lastError == "" {
 		r.note("source %s: broke: %s", s.Name, why)
 	}
-	s.why = why
+	s.lastError = why
 }
 
-// Wants says that a source's changes do not follow on what was held, so that its whole list must be asked for.
+// Wants reports whether the full list of a source must be requested, because its changes do not continue from the stored
+// state.
 func (r *Roster) Wants(source int) bool {
-	s := r.source(source)
-	return s != nil && s.wants
+	s := r.sourceAt(source)
+	return s != nil && s.needsFullList
 }
 
-func (r *Roster) source(i int) *source {
+// sourceAt returns a source by its index, or nil if there is none.
+func (r *Roster) sourceAt(i int) *source {
 	if i < 0 || i >= len(r.sources) {
 		return nil
 	}
--- a/internal/roster/suspects.go
+++ b/internal/roster/suspects.go
@@ -5,127 +5,129 @@
 	"time"
 )
 
-// Connect says whether a connect to an app node, or a call's answer, came. A failure counts where the address was tried
-// alone: refused, reset before a byte came back, or no answer in the time for connects.
+// Connect records whether a connect to an app node, or a call to it, succeeded. A failure must concern that address alone:
+// connection refused, reset before the first byte of a response, or no answer within the connect timeout.
 func (r *Roster) Connect(now time.Duration, id string, ok bool) {
 	r.advance(now)
 	n := r.nodes[id]
 	switch {
-	case n == nil || n.told.State == Gone:
+	case n == nil || n.published.State == Gone:
 	case ok:
 		n.lastOK = max(r.now, 1)
-		if r.clearSuspicion(n) && !r.ours {
+		if r.clearSuspicion(n) && !r.localFault {
 			r.note("suspect %s: it answers again", id)
 		}
 	case r.cfg.SuspectFails == 0:
-	case n.failing > 0:
+	case n.failingPos > 0:
 		if n.onTrial {
 			n.onTrial = false
-			n.pause = min(2*n.pause, r.cfg.TrialMost)
-			r.setTrial(n, n.pause)
-			r.touch(n)
+			n.trialPause = min(2*n.trialPause, r.cfg.TrialMost)
+			r.scheduleTrial(n, n.trialPause)
+			r.markDirty(n)
 		}
 	default:
-		if n.fails == 0 {
-			n.failFrom = r.now
+		if n.failures == 0 {
+			n.failingSince = r.now
 		}
-		n.fails++
-		if n.counted && n.fails >= r.cfg.SuspectFails && r.now-n.failFrom >= r.cfg.SuspectOver {
+		n.failures++
+		if n.countedUp && n.failures >= r.cfg.SuspectFails && r.now-n.failingSince >= r.cfg.SuspectOver {
 			r.failing = append(r.failing, n)
-			n.failing, n.pause = len(r.failing), r.cfg.TrialFirst
-			r.setTrial(n, n.pause)
-			r.touch(n)
+			n.failingPos, n.trialPause = len(r.failing), r.cfg.TrialFirst
+			r.scheduleTrial(n, n.trialPause)
+			r.markDirty(n)
 		}
 	}
 }
 
-func (r *Roster) setTrial(n *node, after time.Duration) {
+// scheduleTrial sets the time at which the trial of a node next begins or ends.
+func (r *Roster) scheduleTrial(n *node, after time.Duration) {
 	n.trialAt = r.now + after
-	r.at(n.trialAt, trialTurn, nil, n)
+	r.schedule(n.trialAt, trialTimer, nil, n)
 }
 
-// turnTrial begins a trial, or ends one in which no connect was made: it tells nothing, so the pause stays.
-func (r *Roster) turnTrial(m moment) {
+// toggleTrial begins a trial, or ends one in which no connect was made. The latter is no evidence, so the pause stays.
+func (r *Roster) toggleTrial(m timer) {
 	n := m.node
-	if n.failing == 0 || n.trialAt != m.at {
+	if n.failingPos == 0 || n.trialAt != m.at {
 		return
 	}
-	if n.onTrial = !n.onTrial && !r.ours; n.onTrial {
-		r.setTrial(n, r.cfg.TrialFor)
+	if n.onTrial = !n.onTrial && !r.localFault; n.onTrial {
+		r.scheduleTrial(n, r.cfg.TrialFor)
 	} else {
-		r.setTrial(n, n.pause)
+		r.scheduleTrial(n, n.trialPause)
 	}
-	r.touch(n)
+	r.markDirty(n)
 }
 
-// clearSuspicion forgets all failures of a node, and says whether there was a suspicion.
+// clearSuspicion clears the failures of a node, and reports whether it was failing.
 func (r *Roster) clearSuspicion(n *node) bool {
-	n.fails, n.onTrial, n.trialAt = 0, false, 0
-	if n.failing == 0 {
+	n.failures, n.onTrial, n.trialAt = 0, false, 0
+	if n.failingPos == 0 {
 		return false
 	}
 	last := r.failing[len(r.failing)-1]
-	r.failing[n.failing-1], last.failing = last, n.failing
+	r.failing[n.failingPos-1], last.failingPos = last, n.failingPos
 	r.failing[len(r.failing)-1] = nil
 	r.failing = r.failing[:len(r.failing)-1]
-	n.failing = 0
-	r.touch(n)
+	n.failingPos = 0
+	r.markDirty(n)
 	return true
 }
 
-// count keeps the number of nodes that are up by their sources' words.
-func (r *Roster) count(n *node, up bool) {
-	if n.counted == up {
+// setCountedUp maintains upCount, the number of nodes that are up by their sources' reports.
+func (r *Roster) setCountedUp(n *node, up bool) {
+	if n.countedUp == up {
 		return
 	}
-	n.counted = up
+	n.countedUp = up
 	if up {
-		r.listed++
+		r.upCount++
 		return
 	}
-	r.listed--
+	r.upCount--
 	r.clearSuspicion(n)
 }
 
-// suspectsMost is how many may be suspects together.
-func (r *Roster) suspectsMost() int {
-	if r.listed < 2 {
-		return 0 // the only one
+// maxSuspects is how many nodes may be suspects at the same time.
+func (r *Roster) maxSuspects() int {
+	if r.upCount < 2 {
+		return 0 // never suspect the only node
 	}
-	return max(1, int(r.cfg.SuspectShare*float64(r.listed)))
+	return max(1, int(r.cfg.SuspectShare*float64(r.upCount)))
 }
 
-// weighFailing looks whether so many fail that it must be our own network: then nobody is a suspect.
-func (r *Roster) weighFailing() {
-	ours := len(r.failing) > r.suspectsMost()
-	if ours == r.ours {
+// updateLocalFault checks whether more nodes fail than maxSuspects. Then the local network is assumed to be at fault, and
+// no node is a suspect.
+func (r *Roster) updateLocalFault() {
+	ours := len(r.failing) > r.maxSuspects()
+	if ours == r.localFault {
 		return
 	}
-	r.ours, r.walk = ours, len(r.failing)
+	r.localFault, r.failingLeft = ours, len(r.failing)
 	if ours {
 		r.note("suspects: connects to %d of %d app nodes fail; that is taken for our own network, and nobody is a suspect",
-			len(r.failing), r.listed)
+			len(r.failing), r.upCount)
 	} else {
-		r.note("suspects: connects fail to %d of %d app nodes only; they are suspects again", len(r.failing), r.listed)
+		r.note("suspects: connects fail to %d of %d app nodes only; they are suspects again", len(r.failing), r.upCount)
 	}
 }
 
-// walkFailing has those that fail looked at after that has changed.
-func (r *Roster) walkFailing(n int) {
-	r.walk = min(r.walk, len(r.failing))
-	for ; n > 0 && r.walk > 0; n-- {
-		r.walk--
-		f := r.failing[r.walk]
+// recheckFailing marks up to n failing nodes dirty after localFault changed.
+func (r *Roster) recheckFailing(n int) {
+	r.failingLeft = min(r.failingLeft, len(r.failing))
+	for ; n > 0 && r.failingLeft > 0; n-- {
+		r.failingLeft--
+		f := r.failing[r.failingLeft]
 		if f.onTrial {
 			f.onTrial = false
-			r.setTrial(f, f.pause)
+			r.scheduleTrial(f, f.trialPause)
 		}
-		r.touch(f)
+		r.markDirty(f)
 	}
 }
 
-// sayNames joins some names for a line.
-func sayNames(names []string) string {
+// joinNames joins the first names for a log line.
+func joinNames(names []string) string {
 	const most = 3
 	if len(names) > most {
 		return strings.Join(names[:most], ", ") + ", ..."
--- a/internal/roster/sight.go
+++ b/internal/roster/views.go
@@ -8,26 +8,26 @@
 	"time"
 )
 
-// SourceView is a source as operators see it.
+// SourceView is the state of a source as shown to operators.
 type SourceView struct {
 	Name     string
 	Role     Role
 	Health   Health
 	Standing Standing
-	Age      time.Duration // since the latest sign of life; 0 where it was never heard
+	Age      time.Duration // since the latest contact; 0 if there was none
 	Revision int64
 	Entries  int
-	Doubted  int    // of these, what its latest list lacks
-	Wants    bool   // a whole list is wanted
-	Why      string // it broke, if it has not been heard since
+	Doubted  int    // of these, entries absent from its latest list
+	Wants    bool   // its full list must be requested
+	Why      string // error since the latest contact, or empty
 }
 
-// Sources gives each source, in order of trust.
+// Sources returns all sources, the most trusted first.
 func (r *Roster) Sources() []SourceView {
 	out := make([]SourceView, len(r.sources))
 	for i, s := range r.sources {
 		out[i] = SourceView{Name: s.Name, Role: s.Role, Health: s.health, Standing: s.standing, Revision: s.rev, Entries: s.live,
-			Doubted: s.doubt, Wants: s.wants, Why: s.why}
+			Doubted: s.doubtedCount, Wants: s.needsFullList, Why: s.lastError}
 		if s.heard {
 			out[i].Age = r.age(s)
 		}
@@ -35,28 +35,28 @@
 	return out
 }
 
-// EntryView is an entry as it counts, with who says so.
+// EntryView is a merged entry with the sources that it comes from.
 type EntryView struct {
 	Change
 	By   []string // the sources that list it
-	From string   // the source whose word decides
+	From string   // the source whose report takes precedence
 }
 
-// Entries gives what is listed, by id. Its work grows with the list: it is for people.
+// Entries returns all listed entries, sorted by id. Its cost grows with the list: it is meant for operators' queries.
 func (r *Roster) Entries() []EntryView {
 	var out []EntryView
 	for _, n := range r.nodes {
-		if n.told.State == Gone {
+		if n.published.State == Gone {
 			continue
 		}
-		v := EntryView{Change: n.told}
+		v := EntryView{Change: n.published}
 		for _, s := range r.sources {
-			if n.knows(s) {
+			if n.listedBy(s) {
 				v.By = append(v.By, s.Name)
 			}
 		}
-		if n.base != nil {
-			v.From = n.base.source.Name
+		if n.deciding != nil {
+			v.From = n.deciding.source.Name
 		}
 		out = append(out, v)
 	}
@@ -64,7 +64,7 @@
 	return out
 }
 
-// Why says in a line what each source says of an id, and what came of that.
+// Why explains in one line what each source reports about an id, and the resulting state.
 func (r *Roster) Why(id string) string {
 	n := r.nodes[id]
 	if n == nil {
@@ -72,32 +72,32 @@
 	}
 	parts := []string{}
 	for _, s := range r.sources {
-		w := s.byID[id]
-		if w == nil {
+		rep := s.byID[id]
+		if rep == nil {
 			continue
 		}
-		part := fmt.Sprintf("%s (%s, %s) says %s", s.Name, s.health, s.standing, w.entry.State)
+		part := fmt.Sprintf("%s (%s, %s) says %s", s.Name, s.health, s.standing, rep.entry.State)
 		switch {
-		case w.held:
-			part += fmt.Sprintf(", at a lower revision than that of its end, which holds for %v", w.until-r.now)
-		case w.doubt:
+		case rep.overruled:
+			part += fmt.Sprintf(", at a lower revision than that of its end, which holds for %v", rep.holdUntil-r.now)
+		case rep.doubted:
 			part += ", and its latest list, which is too short, lacks it"
 		}
 		parts = append(parts, part)
 	}
-	for o := r.places[n.place]; n.place != "" && o != nil; o = o.next {
-		if o != n && n.behind(o) {
+	for o := r.byAddress[n.indexedAddress]; n.indexedAddress != "" && o != nil; o = o.nextAtAddress {
+		if o != n && n.aliasOf(o) {
 			parts = append(parts, "it is "+o.id+", at the same address")
 		}
 	}
 	switch {
-	case n.failing > 0 && r.ours:
+	case n.failingPos > 0 && r.localFault:
 		parts = append(parts, "connects to it fail, as those to most; nobody is a suspect")
-	case n.failing > 0 && n.onTrial:
-		parts = append(parts, fmt.Sprintf("a suspect on trial: no connect has succeeded for %v", r.now-n.failFrom))
-	case n.failing > 0:
+	case n.failingPos > 0 && n.onTrial:
+		parts = append(parts, fmt.Sprintf("a suspect on trial: no connect has succeeded for %v", r.now-n.failingSince))
+	case n.failingPos > 0:
 		parts = append(parts, fmt.Sprintf("a suspect: no connect has succeeded for %v; the next trial is in %v",
-			r.now-n.failFrom, n.trialAt-r.now))
+			r.now-n.failingSince, n.trialAt-r.now))
 	}
-	return fmt.Sprintf("%s: %s. %s", id, n.told.State, strings.Join(parts, "; "))
+	return fmt.Sprintf("%s: %s. %s", id, n.published.State, strings.Join(parts, "; "))
 }
