--- a/internal/catalog/catalog.go
+++ b/internal/catalog/catalog.go
@@ -1,25 +1,26 @@
-// Package catalog owns what operators configure entry by entry: routes, pools and tenants, each a key with a revision, and
-// which of them are in force. A change costs itself, and not the entries beside it. It reads entries by internal/config,
-// keeps routes in an internal/routes tree and tenants in an internal/tenants table, and must never know a store, a socket,
-// a clock, a call or an app node.
+// Package catalog holds the configuration that operators edit entry by entry: routes, pools and tenants, each stored under
+// a key with a revision. It determines which entries are in force. The cost of a change does not depend on the number of
+// unrelated entries. The package decodes entries with internal/config and keeps routes in an internal/routes tree and
+// tenants in an internal/tenants table. It must not access a store, a socket, a clock, calls or app nodes.
 //
-// # What is in force
+// # Which entries are in force
 //
-// An entry is told by the store, by the files, or by both; the store's goes before the files', which count as of revision
-// 0. What the store says of a key goes before what it said at a lower revision, in whatever order they come. A value that
-// makes no sense refuses itself alone: it is named, and the last good value of its key stays in force in this process, or
-// the files'.
+// An entry comes from the store, from the configuration files, or from both. The store takes precedence over the files,
+// whose entries have revision 0. For one key, a higher revision takes precedence over a lower one, in whatever order they
+// arrive. An invalid value affects only its own key: it is refused and reported as a flaw, and the last valid value that
+// this process received for the key, or the one from the files, stays in force.
 //
-// A route leads somewhere only while every pool that it names is there; until then it is unresolved, named, and out of
-// force. Of two routes that match the same calls with equal precedence, the lower revision holds them, then the lower key;
-// the other is shadowed, named, and takes over when the first goes. Of several default pools the same goes for calls that
-// no route matches; where none is the default, the pool with the best rank has them. So what is in force is a function of
-// the values accepted alone.
+// A route is in force only while every pool that it names exists; until then it is unresolved, and reported. Of two routes
+// that match the same calls with equal precedence, the one with the lower revision wins, then the one with the lower key;
+// the other is shadowed, reported, and takes over when the first is removed. The same order chooses between several
+// default pools for calls that no route matches, and between all pools if none is a default. So what is in force depends
+// only on the accepted values.
 //
-// # What a change costs
+// # Cost of a change
 //
-// A route: the way to it in the tree, and the routes that lie at the same host and path. A pool that comes or goes: the
-// routes that name it. A tenant: its place in the table. Entries that are refused cost 16 bytes beside their key.
+// A route costs the path to it in the tree and the routes at the same host and path. A pool that appears or disappears
+// costs the routes that name it. A tenant costs its slot in the table. A refused entry takes 16 bytes in addition to its
+// key.
 package catalog
 
 import (
@@ -36,167 +37,169 @@
 	"pewterrudder/internal/tenants"
 )
 
-// Record is what the store says of a key: routes/NAME, pools/NAME or tenants/NAME.
+// Record is the state of a key in the store. Keys are routes/NAME, pools/NAME and tenants/NAME.
 type Record struct {
 	Key      string
-	Value    []byte // JSON, the same object as in the files
-	Revision int64  // that wrote or deleted it, above 0
+	Value    []byte // JSON object, as in the configuration files
+	Revision int64  // revision of the write or deletion, above 0
 	Deleted  bool
 }
 
-// The kinds of entries, which are the beginnings of their keys.
+// Key prefixes of the kinds of entries.
 const (
 	routeKey  = "routes/"
 	poolKey   = "pools/"
 	tenantKey = "tenants/"
 )
 
-// Catalog is one balancer's entries. It is no more than one goroutine's at a time; what View and the tenants' table give
-// may be read from anywhere.
+// Catalog holds the entries of one balancer. It is not safe for concurrent use; the results of View and the tenants table
+// may be read concurrently.
 type Catalog struct {
-	classes []string
-	tenants *tenants.Table
-	under   map[string]tenants.Terms // granted by the files to tenants of whom the store speaks
-
-	routes   map[string]*route
-	pools    map[string]*pool
-	order    []*pool                        // in force: the first has what no route matches
-	users    map[string]map[*route]struct{} // the routes that name a pool, by its name
-	ids      idle
-	tree     routes.Tree
-	shadowed map[string][]routes.Tie // by the place where they lie
-	lost     map[string]bool         // the keys of routes that have lost calls to others
-	lacking  map[*route]struct{}     // routes that name a pool which is not there
-
-	refused  map[string]word
-	why      map[string]reason // of some that are refused
-	gone     removed
-	held     int // keys of the store
-	revision int64
-	digest   uint64
+	classes   []string
+	tenants   *tenants.Table
+	fileTerms map[string]tenants.Terms // granted by the files to tenants that the store contains as well
+
+	routes       map[string]*route
+	pools        map[string]*pool
+	poolOrder    []*pool                        // pools in force; the first takes the calls that no route matches
+	routesByPool map[string]map[*route]struct{} // routes that name a pool, by its name
+	poolIDs      idAllocator
+	tree         routes.Tree
+	ties         map[string][]routes.Tie // by routes.Claim.Place
+	shadowed     map[string]bool         // keys of routes that lose calls to others
+	unresolved   map[*route]struct{}     // routes that name a pool that does not exist
+
+	refused    map[string]version // latest version of each key whose latest value was refused
+	reasons    map[string]reason  // of at most maxNamedFlaws refused entries
+	tombstones tombstoneSet
+	keyCount   int // keys of the store, refused ones included
+	revision   int64
+	digest     uint64
 }
 
-// word of the store about a key.
-type word struct {
+// version identifies a value of a key in the store; revision 0: there is none.
+type version struct {
 	revision int64
 	sum      uint32
 }
 
-// New makes a catalog without entries, that fills a table of tenants. classes are all that calls can have.
+// New returns a catalog without entries that keeps its tenants in table. classes are the classes that calls can have.
 func New(classes []string, table *tenants.Table) *Catalog {
-	return &Catalog{classes: classes, tenants: table, under: map[string]tenants.Terms{}, routes: map[string]*route{},
-		pools: map[string]*pool{}, users: map[string]map[*route]struct{}{}, shadowed: map[string][]routes.Tie{},
-		lost: map[string]bool{}, lacking: map[*route]struct{}{}, refused: map[string]word{}, why: map[string]reason{},
-		gone: removed{at: map[string]int64{}}}
+	return &Catalog{classes: classes, tenants: table, fileTerms: map[string]tenants.Terms{}, routes: map[string]*route{},
+		pools: map[string]*pool{}, routesByPool: map[string]map[*route]struct{}{}, ties: map[string][]routes.Tie{},
+		shadowed: map[string]bool{}, unresolved: map[*route]struct{}{}, refused: map[string]version{}, reasons: map[string]reason{},
+		tombstones: tombstoneSet{revisions: map[string]int64{}}}
 }
 
-// Classes has calls be of other classes from now on. Routes that were refused are looked at again, as far as their values
-// are kept; another waits until the store tells it anew. Those accepted stay, and match no call of a class that is gone.
+// Classes replaces the classes that calls can have. Refused routes are checked again if their values were kept; others
+// stay refused until the store sends them again. Accepted routes stay, and match no calls of removed classes.
 func (c *Catalog) Classes(classes []string) Changes {
 	var ch Changes
 	c.classes = classes
-	for _, key := range slices.Sorted(maps.Keys(c.why)) {
-		if kind, _ := split(key); kind == routeKey && c.why[key].value != nil {
-			w := c.refused[key]
-			if c.put(key, c.why[key].value, w, &ch) == nil {
+	for _, key := range slices.Sorted(maps.Keys(c.reasons)) {
+		if kind, _ := splitKey(key); kind == routeKey && c.reasons[key].value != nil {
+			v := c.refused[key]
+			if c.put(key, c.reasons[key].value, v, &ch) == nil {
 				delete(c.refused, key)
-				delete(c.why, key)
+				delete(c.reasons, key)
 			}
 		}
 	}
 	return ch
 }
 
-// Changes are what a call of the catalog has come to.
+// Changes is the result of a call that modifies the catalog.
 type Changes struct {
-	Pools  []PoolChange // in their order
-	Routed bool         // View is another one
-	Said   []string     // for the log
+	Pools  []PoolChange // in the order in which they took effect
+	Routed bool         // View returns a different view than before
+	Said   []string     // lines for the log
 }
 
-// PoolChange is a pool that came, changed or went. Its ID is another pool's only after it has gone.
+// PoolChange is a pool that was added, changed or removed. Its ID is reused for another pool only after its removal.
 type PoolChange struct {
 	ID   int
-	Pool *config.Pool // nil: gone
+	Pool *config.Pool // nil: removed
 }
 
-// mostSaid bounds the log of one call: a store full of faults must not fill it.
-const mostSaid = 20
+// maxLogLines limits the log lines of one call, so that a store full of invalid entries does not flood the log.
+const maxLogLines = 20
 
-func (ch *Changes) say(text string) {
+// addLog adds a log line, up to maxLogLines.
+func (ch *Changes) addLog(text string) {
 	switch len(ch.Said) {
-	case mostSaid:
-	case mostSaid - 1:
-		ch.Said = append(ch.Said, "catalog: there is more to say")
+	case maxLogLines:
+	case maxLogLines - 1:
+		ch.Said = append(ch.Said, "catalog: further messages are omitted")
 	default:
 		ch.Said = append(ch.Said, "catalog: "+text)
 	}
 }
 
-// Apply takes what the store says of some keys, in any order. The revision is that at which the store says just what is
-// held then; 0: there is more to come until then. whole has it take the word of a history that is not the one followed
-// until now: no revision held says anything against it. What such a history lacks is told as deleted.
+// Apply applies records from the store, in any order. revision is the store revision that the catalog corresponds to after
+// this call; 0 means that more records follow. whole means that the records belong to another history than the one
+// followed so far, so that stored revisions do not override them; keys absent from the new history are passed as deleted.
 func (c *Catalog) Apply(whole bool, revision int64, records []Record) Changes {
 	var ch Changes
 	before := c.View()
 	for i := range records {
-		c.take(whole, &records[i], &ch)
+		c.applyRecord(whole, &records[i], &ch)
 	}
 	if revision > 0 {
 		if c.revision = revision; whole {
-			c.gone.clear() // of another history
+			c.tombstones.clear() // they belong to the previous history
 		}
 	}
 	ch.Routed = ch.Routed || before.fallback != c.View().fallback
 	return ch
 }
 
-func (c *Catalog) take(whole bool, r *Record, ch *Changes) {
+// applyRecord applies one record unless it is a duplicate or older than the stored one.
+func (c *Catalog) applyRecord(whole bool, r *Record, ch *Changes) {
 	revision, sum, ok := c.At(r.Key)
-	said := word{r.Revision, Sum(r.Value)}
+	received := version{r.Revision, Sum(r.Value)}
 	switch {
-	case ok && !r.Deleted && said == word{revision, sum}:
-		return // told again
-	case !whole && (ok && r.Revision < revision || !ok && r.Revision <= c.gone.at[r.Key]):
-		return // overtaken
+	case ok && !r.Deleted && received == version{revision, sum}:
+		return // duplicate
+	case !whole && (ok && r.Revision < revision || !ok && r.Revision <= c.tombstones.revisions[r.Key]):
+		return // older than the stored value or deletion
 	case r.Deleted && ok:
 		c.remove(r.Key, ch)
-		c.held--
+		c.keyCount--
 	case !r.Deleted:
 		if !ok {
-			c.held++
+			c.keyCount++
 		}
-		if err := c.put(r.Key, r.Value, said, ch); err != nil {
-			c.refuse(r, said, err, ch)
+		if err := c.put(r.Key, r.Value, received, ch); err != nil {
+			c.refuse(r, received, err, ch)
 		} else if len(c.refused) > 0 {
 			delete(c.refused, r.Key)
-			delete(c.why, r.Key)
+			delete(c.reasons, r.Key)
 		}
 	}
 	if r.Deleted && !whole {
-		c.gone.note(r.Key, r.Revision)
+		c.tombstones.add(r.Key, r.Revision)
 	}
 }
 
-// put has a value take the place of what its key held.
-func (c *Catalog) put(key string, value []byte, said word, ch *Changes) error {
-	kind, name := split(key)
+// put replaces the stored value of a key, or returns an error if the value is invalid.
+func (c *Catalog) put(key string, value []byte, v version, ch *Changes) error {
+	kind, name := splitKey(key)
 	switch kind {
 	case routeKey:
-		return c.putRoute(key, name, value, said, ch)
+		return c.putRoute(key, name, value, v, ch)
 	case poolKey:
-		return c.putPool(key, name, value, said, ch)
+		return c.putPool(key, name, value, v, ch)
 	case tenantKey:
-		return c.putTenant(key, name, value, said)
+		return c.putTenant(key, name, value, v)
 	}
-	return errNoKind
+	return errUnknownKind
 }
 
-// remove takes back what the store said of a key.
+// remove removes the stored value of a key.
 func (c *Catalog) remove(key string, ch *Changes) {
 	delete(c.refused, key)
-	delete(c.why, key)
-	switch kind, name := split(key); kind {
+	delete(c.reasons, key)
+	switch kind, name := splitKey(key); kind {
 	case routeKey:
 		c.removeRoute(name, ch)
 	case poolKey:
@@ -206,8 +209,8 @@
 	}
 }
 
-// split a key in its kind and its name; without a kind that is known both are empty.
-func split(key string) (kind, name string) {
+// splitKey splits a key into its kind and name. Both are empty if the kind is unknown or the name is missing.
+func splitKey(key string) (kind, name string) {
 	for _, kind := range [...]string{tenantKey, routeKey, poolKey} {
 		if name, ok := strings.CutPrefix(key, kind); ok && name != "" {
 			return kind, name
@@ -216,37 +219,37 @@
 	return "", ""
 }
 
-// At gives the revision of the store's last word on a key and the Sum of its value, whether that was refused or not.
+// At returns the revision and Sum of the latest value of a key in the store, whether it was accepted or refused.
 func (c *Catalog) At(key string) (revision int64, sum uint32, ok bool) {
-	if w, ok := c.refused[key]; ok {
-		return w.revision, w.sum, true
+	if v, ok := c.refused[key]; ok {
+		return v.revision, v.sum, true
 	}
-	w := c.accepted(key)
-	return w.revision, w.sum, w.revision > 0
+	v := c.acceptedVersion(key)
+	return v.revision, v.sum, v.revision > 0
 }
 
-// accepted is the word in force of the store's on a key; revision 0: none.
-func (c *Catalog) accepted(key string) word {
-	switch kind, name := split(key); kind {
+// acceptedVersion returns the version of the accepted value of a key in the store; revision 0: there is none.
+func (c *Catalog) acceptedVersion(key string) version {
+	switch kind, name := splitKey(key); kind {
 	case routeKey:
 		if r := c.routes[name]; r != nil {
-			return r.at
+			return r.version
 		}
 	case poolKey:
 		if p := c.pools[name]; p != nil {
-			return p.at
+			return p.version
 		}
 	case tenantKey:
 		revision, sum, _ := c.tenants.At(name)
-		return word{revision, sum}
+		return version{revision, sum}
 	}
-	return word{}
+	return version{}
 }
 
-// Len is the number of keys of the store that are held, those refused among them.
-func (c *Catalog) Len() int { return c.held }
+// Len returns the number of keys held from the store, refused ones included.
+func (c *Catalog) Len() int { return c.keyCount }
 
-// Keys are all of the store's that are held, in no order.
+// Keys iterates over all keys held from the store, unordered.
 func (c *Catalog) Keys() iter.Seq[string] {
 	return func(yield func(string) bool) {
 		for key := range c.refused {
@@ -254,136 +257,142 @@
 				return
 			}
 		}
-		told := func(key string, revision int64) bool { // and was not given yet
+		yieldStored := func(key string, revision int64) bool { // false: stop; refused keys were yielded already
 			_, refused := c.refused[key]
 			return refused || revision == 0 || yield(key)
 		}
 		for name, r := range c.routes {
-			if !told(routeKey+name, r.at.revision) {
+			if !yieldStored(routeKey+name, r.version.revision) {
 				return
 			}
 		}
 		for name, p := range c.pools {
-			if !told(poolKey+name, p.at.revision) {
+			if !yieldStored(poolKey+name, p.version.revision) {
 				return
 			}
 		}
 		for name := range c.tenants.All() {
-			if revision, _, _ := c.tenants.At(name); !told(tenantKey+name, revision) {
+			if revision, _, _ := c.tenants.At(name); !yieldStored(tenantKey+name, revision) {
 				return
 			}
 		}
 	}
 }
 
-// Revision of the store at which it said just what is held; 0: never yet.
+// Revision returns the store revision that the catalog corresponds to; 0: none yet.
 func (c *Catalog) Revision() int64 { return c.revision }
 
-// Digest is the same for catalogs that have the same of the store's entries in force: the same keys, each with the revision
-// and the value accepted. What is refused tells in it where another process still has a good value, or none.
+// Digest returns a hash of the accepted entries from the store: their keys, revisions and values. Catalogs with the same
+// accepted entries have the same digest. After a refused value, digests differ between processes that hold different
+// earlier valid values of the key, or none.
 func (c *Catalog) Digest() uint64 { return c.digest }
 
-// count takes a key's accepted word in the digest in place of the one before. The sum has no order, and is undone by its
-// difference.
-func (c *Catalog) count(key string, before, now word) {
-	c.digest += mark(key, now) - mark(key, before)
+// updateDigest replaces a key's accepted version in the digest. The digest is a sum, so it does not depend on the order of
+// changes, and a term is removed by subtracting it.
+func (c *Catalog) updateDigest(key string, previous, next version) {
+	c.digest += digestTerm(key, next) - digestTerm(key, previous)
 }
 
-func mark(key string, w word) uint64 {
-	if w.revision == 0 {
+// digestTerm returns the contribution of a key to the digest; 0 without an accepted version.
+func digestTerm(key string, v version) uint64 {
+	if v.revision == 0 {
 		return 0
 	}
-	// 2^64 over the golden ratio, so that neighbouring revisions do not stand in for sums (Knuth, volume 3, section 6.4)
-	h := xxhash.Sum64String(key) ^ (uint64(w.revision)<<32|uint64(w.sum))*0x9e3779b97f4a7c15 ^ uint64(w.revision)>>32
+	// 2^64 / golden ratio, so that a change of the revision does not cancel one of the sum (Knuth, volume 3, section 6.4)
+	h := xxhash.Sum64String(key) ^ (uint64(v.revision)<<32|uint64(v.sum))*0x9e3779b97f4a7c15 ^ uint64(v.revision)>>32
 	h ^= h >> 29
-	return h * 0xbf58476d1ce4e5b9 // of the finalizer of SplitMix64 (Steele, Lea, Flood 2014)
+	return h * 0xbf58476d1ce4e5b9 // constant of the SplitMix64 finalizer (Steele, Lea, Flood 2014)
 }
 
-// Sum of a value, by which it is told from others of its key: the lower half of its xxhash, as a follower compares it.
+// Sum returns the lower half of the xxhash of a value. Followers compare it to detect a different value of a key.
 func Sum(value []byte) uint32 { return uint32(xxhash.Sum64(value)) }
 
-// View is how calls find their pools. It never changes; the next one has what changes later.
+// View maps calls to pools. It is immutable; later changes appear in a new View.
 type View struct {
 	tree     routes.Tree
 	fallback int
 }
 
-// View of what is in force.
+// View returns a view of the entries in force.
 func (c *Catalog) View() *View {
 	v := &View{tree: c.tree, fallback: -1}
-	if len(c.order) > 0 {
-		v.fallback = c.order[0].id
+	if len(c.poolOrder) > 0 {
+		v.fallback = c.poolOrder[0].id
 	}
 	return v
 }
 
-// Match gives the route of a call, or nil.
+// Match returns the route of a call, or nil.
 func (v *View) Match(host, path, method, class string) *routes.Claim {
 	return v.tree.Match(host, path, method, class)
 }
 
-// Fallback is the ID of the pool that takes what no route matches; -1: there is no pool at all.
+// Fallback returns the ID of the pool that takes the calls that no route matches; -1: there are no pools.
 func (v *View) Fallback() int { return v.fallback }
 
-// mostRemoved is how many removals are kept, against older words that come after them. A store tells the changes of a key in
-// their order, so that those words are rare; one that comes behind more removals than this is found by the follower's look.
-const mostRemoved = 1024
+// maxTombstones is how many deletions are kept, to detect older records of the same keys that arrive after them. A store
+// sends the changes of a key in order, so such records are rare. One that arrives after more deletions than this is undone
+// when the follower next compares the catalog with the store.
+const maxTombstones = 1024
 
-// removed keys, by the revisions that did it.
-type removed struct {
-	at   map[string]int64
-	line []struct {
+// tombstoneSet holds the latest maxTombstones deletions of keys.
+type tombstoneSet struct {
+	revisions map[string]int64
+	queue     []struct {
 		key      string
 		revision int64
 	}
 }
 
-func (g *removed) note(key string, revision int64) {
-	if g.at[key] >= revision {
+// add records a deletion, and drops the oldest one if there are too many.
+func (s *tombstoneSet) add(key string, revision int64) {
+	if s.revisions[key] >= revision {
 		return
 	}
-	g.at[key] = revision
-	g.line = append(g.line, struct {
+	s.revisions[key] = revision
+	s.queue = append(s.queue, struct {
 		key      string
 		revision int64
 	}{key, revision})
-	if len(g.line) <= mostRemoved {
+	if len(s.queue) <= maxTombstones {
 		return
 	}
-	if first := g.line[0]; g.at[first.key] == first.revision {
-		delete(g.at, first.key)
+	if first := s.queue[0]; s.revisions[first.key] == first.revision {
+		delete(s.revisions, first.key)
 	}
-	g.line = append(g.line[:0:0], g.line[1:]...)
+	s.queue = append(s.queue[:0:0], s.queue[1:]...)
 }
 
-func (g *removed) clear() { clear(g.at); g.line = nil }
+// clear removes all tombstones.
+func (s *tombstoneSet) clear() { clear(s.revisions); s.queue = nil }
 
-// idle are the pools' IDs that are free below the first that was never given.
-type idle struct {
+// idAllocator allocates pool IDs. free holds the released IDs, all below next, the lowest ID never used.
+type idAllocator struct {
 	free []int
 	next int
 }
 
-// take gives the lowest, so that they stay few.
-func (f *idle) take() int {
-	if len(f.free) == 0 {
-		f.next++
-		return f.next - 1
+// alloc returns the lowest free ID, so that the range of IDs stays small.
+func (a *idAllocator) alloc() int {
+	if len(a.free) == 0 {
+		a.next++
+		return a.next - 1
 	}
-	i := slices.Index(f.free, slices.Min(f.free))
-	id := f.free[i]
-	f.free = slices.Delete(f.free, i, i+1)
+	i := slices.Index(a.free, slices.Min(a.free))
+	id := a.free[i]
+	a.free = slices.Delete(a.free, i, i+1)
 	return id
 }
 
-func (f *idle) give(id int) { f.free = append(f.free, id) }
+// release frees an ID.
+func (a *idAllocator) release(id int) { a.free = append(a.free, id) }
 
-// rank among entries that stand in each other's way.
-type rank struct {
+// precedence orders conflicting entries; the lower one wins.
+type precedence struct {
 	revision int64
 	key      string
 }
 
-func (a rank) compare(b rank) int {
+func (a precedence) compare(b precedence) int {
 	return cmp.Or(cmp.Compare(a.revision, b.revision), cmp.Compare(a.key, b.key))
 }
--- a/internal/catalog/catalog_test.go
+++ b/internal/catalog/catalog_test.go
@@ -9,11 +9,13 @@
 	"pewterrudder/internal/tenants"
 )
 
-func told(c *Catalog, revision int64, key, value string) Changes {
+// applyOne applies one record as a change; an empty value means a deletion.
+func applyOne(c *Catalog, revision int64, key, value string) Changes {
 	return c.Apply(false, revision, []Record{{Key: key, Value: []byte(value), Revision: revision, Deleted: value == ""}})
 }
 
-func fresh(t *testing.T) *Catalog {
+// newTestCatalog returns a catalog with the pool "all" from the files.
+func newTestCatalog(t *testing.T) *Catalog {
 	c := New(classes, new(tenants.Table))
 	if _, err := c.Files([]config.Pool{{Name: "all"}}, nil); err != nil {
 		t.Fatal(err)
@@ -21,18 +23,18 @@
 	return c
 }
 
-// A flaw is named with its key, its revision and what is wrong, and the store's last good value serves on.
-func TestAFlawIsNamed(t *testing.T) {
-	c := fresh(t)
-	told(c, 4, "routes/a", `{"path":"/a","pool":"all"}`)
-	if ch := told(c, 5, "routes/a", `{"path":"a","pool":"all"}`); len(ch.Said) != 1 || ch.Routed {
+// A flaw names the key, the revision and the reason, and the last valid value from the store stays in force.
+func TestFlawsNameKeyAndRevision(t *testing.T) {
+	c := newTestCatalog(t)
+	applyOne(c, 4, "routes/a", `{"path":"/a","pool":"all"}`)
+	if ch := applyOne(c, 5, "routes/a", `{"path":"a","pool":"all"}`); len(ch.Said) != 1 || ch.Routed {
 		t.Errorf("%+v", ch)
 	}
-	told(c, 6, "routes/b", `{"path":"/b","pool":"far"}`)
-	told(c, 7, "routes/c", `{"path":"/a","pool":"all"}`)
-	told(c, 8, "tenants/", `{}`)
-	told(c, 9, "pools/x", `{"default":true}`)
-	told(c, 10, "pools/y", `{"default":true}`)
+	applyOne(c, 6, "routes/b", `{"path":"/b","pool":"far"}`)
+	applyOne(c, 7, "routes/c", `{"path":"/a","pool":"all"}`)
+	applyOne(c, 8, "tenants/", `{}`)
+	applyOne(c, 9, "pools/x", `{"default":true}`)
+	applyOne(c, 10, "pools/y", `{"default":true}`)
 	want := []string{
 		`"routes/a" of revision 5 is refused: path: "a" does not begin with a slash`,
 		`"tenants/" of revision 8 is refused: key: is none of routes/NAME, pools/NAME and tenants/NAME`,
@@ -46,34 +48,34 @@
 	if got := c.View().Match("x", "/a", "GET", "read"); got == nil || got.Key != "routes/a" || got.Revision != 4 {
 		t.Errorf("%v", got)
 	}
-	if c.View().Fallback() != 1 { // x, which came second
-		t.Errorf("the rest goes to %d", c.View().Fallback())
+	if c.View().Fallback() != 1 { // x, which was added second
+		t.Errorf("the fallback pool is %d, want 1", c.View().Fallback())
 	}
 }
 
-// A store full of faults fills neither the log nor the memory.
-func TestFlawsAreNamedUpToABound(t *testing.T) {
-	c := fresh(t)
-	var bad, astray []Record
+// A store full of invalid entries floods neither the log nor the memory.
+func TestFlawsAreBounded(t *testing.T) {
+	c := newTestCatalog(t)
+	var invalid, unresolved []Record
 	for i := range 1000 {
-		bad = append(bad, Record{Key: fmt.Sprintf("tenants/%d", i), Value: []byte("{"), Revision: 5})
-		astray = append(astray, Record{Key: fmt.Sprintf("routes/%d", i), Value: []byte(`{"pool":"none"}`), Revision: 5})
+		invalid = append(invalid, Record{Key: fmt.Sprintf("tenants/%d", i), Value: []byte("{"), Revision: 5})
+		unresolved = append(unresolved, Record{Key: fmt.Sprintf("routes/%d", i), Value: []byte(`{"pool":"none"}`), Revision: 5})
 	}
-	for _, list := range [][]Record{bad, astray} {
-		if ch := c.Apply(false, 5, list); len(ch.Said) != mostSaid {
-			t.Errorf("%d lines", len(ch.Said))
+	for _, list := range [][]Record{invalid, unresolved} {
+		if ch := c.Apply(false, 5, list); len(ch.Said) != maxLogLines {
+			t.Errorf("%d log lines", len(ch.Said))
 		}
 	}
-	if f := c.Flaws(); f.Refused != 1000 || f.Unresolved != 1000 || len(f.Named) != 2*mostNamed || c.Len() != 2000 {
+	if f := c.Flaws(); f.Refused != 1000 || f.Unresolved != 1000 || len(f.Named) != 2*maxNamedFlaws || c.Len() != 2000 {
 		t.Errorf("%d refused, %d unresolved, %d named, %d held", f.Refused, f.Unresolved, len(f.Named), c.Len())
 	}
 }
 
-// A route of a class that is not there yet comes into force with the class.
-func TestARouteWaitsForItsClass(t *testing.T) {
-	c := fresh(t)
-	told(c, 4, "pools/p", `{}`)
-	told(c, 5, "routes/a", `{"class":"bulk","pool":"p"}`)
+// A route with an unknown class is refused, and comes into force when the class is added.
+func TestRefusedRouteIsAcceptedWithItsClass(t *testing.T) {
+	c := newTestCatalog(t)
+	applyOne(c, 4, "pools/p", `{}`)
+	applyOne(c, 5, "routes/a", `{"class":"bulk","pool":"p"}`)
 	if f := c.Flaws(); f.Refused != 1 || c.View().Match("x", "/", "GET", "bulk") != nil {
 		t.Errorf("%+v", f)
 	}
@@ -86,15 +88,15 @@
 	}
 }
 
-// Removals are remembered against older words, but not without end.
-func TestRemovalsAreForgottenAtLast(t *testing.T) {
-	c := fresh(t)
-	for i := range int64(3 * mostRemoved) {
+// Deletions are kept to detect older records that arrive late, but only the latest maxTombstones.
+func TestTombstonesAreBounded(t *testing.T) {
+	c := newTestCatalog(t)
+	for i := range int64(3 * maxTombstones) {
 		key := fmt.Sprintf("tenants/%d", i)
-		told(c, 10+2*i, key, `{}`)
-		told(c, 11+2*i, key, "")
+		applyOne(c, 10+2*i, key, `{}`)
+		applyOne(c, 11+2*i, key, "")
 	}
-	if len(c.gone.at) != mostRemoved || len(c.gone.line) != mostRemoved || c.Len() != 0 {
-		t.Errorf("%d and %d removals are kept, and %d keys", len(c.gone.at), len(c.gone.line), c.Len())
+	if len(c.tombstones.revisions) != maxTombstones || len(c.tombstones.queue) != maxTombstones || c.Len() != 0 {
+		t.Errorf("%d and %d removals are kept, and %d keys", len(c.tombstones.revisions), len(c.tombstones.queue), c.Len())
 	}
 }
--- a/internal/catalog/model_test.go
+++ b/internal/catalog/model_test.go
@@ -19,18 +19,18 @@
 
 func TestMain(m *testing.M) { walks.Main(m, 10_000, 0) }
 
-// twin knows what the store has said of each key, and what of it was good, in words of its own. What is in force it finds
-// by loading all that was accepted anew.
-type twin struct {
+// model is a reference implementation: it keeps the latest and the latest valid record of each key, and computes the
+// entries in force by loading all accepted records from scratch.
+type model struct {
 	filePools  []config.Pool
 	fileRoutes []config.Route
 	fileTerms  map[string]tenants.Terms
 
-	last map[string]Record // the word that counts for a key, a removal too
-	good map[string]Record // the last good one
+	latest   map[string]Record // the latest record of a key, also a deletion
+	accepted map[string]Record // the latest valid record
 }
 
-func isGood(r Record) bool {
+func isValid(r Record) bool {
 	kind, name, _ := strings.Cut(r.Key, "/")
 	switch kind {
 	case "routes":
@@ -58,8 +58,8 @@
 	return false
 }
 
-func (w *twin) hear(whole bool, r Record) {
-	last, known := w.last[r.Key]
+func (m *model) apply(whole bool, r Record) {
+	last, known := m.latest[r.Key]
 	there := known && !last.Deleted
 	switch {
 	case !whole && known && r.Revision < last.Revision,
@@ -67,42 +67,43 @@
 		there && !r.Deleted && r.Revision == last.Revision && string(r.Value) == string(last.Value):
 		return
 	case whole && r.Deleted:
-		delete(w.last, r.Key)
-		delete(w.good, r.Key)
+		delete(m.latest, r.Key)
+		delete(m.accepted, r.Key)
 		return
 	}
-	w.last[r.Key] = r
+	m.latest[r.Key] = r
 	if r.Deleted {
-		delete(w.good, r.Key)
-	} else if isGood(r) {
-		w.good[r.Key] = r
+		delete(m.accepted, r.Key)
+	} else if isValid(r) {
+		m.accepted[r.Key] = r
 	}
 }
 
-// anew forgets the removals of a history that has ended.
-func (w *twin) anew() {
-	maps.DeleteFunc(w.last, func(_ string, r Record) bool { return r.Deleted })
+// forgetRemovals drops the deletions of a history that was replaced.
+func (m *model) forgetRemovals() {
+	maps.DeleteFunc(m.latest, func(_ string, r Record) bool { return r.Deleted })
 }
 
-// wide is a route that is in force or was wanted to be, with one method at the most.
-type wide struct {
+// candidate is a route that competes to be in force, with at most one method.
+type candidate struct {
 	key      string
 	revision int64
 	rule     routes.Rule
 }
 
-// inForce loads all that is accepted: pools by name, the pool for the rest, a table of the routes that hold their calls.
-func (w *twin) inForce(t *rapid.T) (pools map[string]config.Pool, rest string, table *routes.Table, names []string, unresolved, shadowed int) {
+// inForce loads all accepted records: it returns the pools by name, the fallback pool, the table of the routes in force, the
+// sorted pool names, and the numbers of unresolved and shadowed entries.
+func (m *model) inForce(t *rapid.T) (pools map[string]config.Pool, fallback string, table *routes.Table, names []string, unresolved, shadowed int) {
 	pools, ranks := map[string]config.Pool{}, map[string]int64{}
-	for _, p := range w.filePools {
+	for _, p := range m.filePools {
 		pools[p.Name] = p
 	}
-	list := map[string]wide{}
-	for _, r := range w.fileRoutes {
+	list := map[string]candidate{}
+	for _, r := range m.fileRoutes {
 		rule, _ := r.Rule()
-		list["routes/"+r.Name] = wide{"routes/" + r.Name, 0, rule}
+		list["routes/"+r.Name] = candidate{"routes/" + r.Name, 0, rule}
 	}
-	for key, r := range w.good {
+	for key, r := range m.accepted {
 		kind, name, _ := strings.Cut(key, "/")
 		switch kind {
 		case "pools":
@@ -111,7 +112,7 @@
 		case "routes":
 			route, _ := config.DecodeRoute(r.Value, name)
 			rule, _ := route.Rule()
-			list[key] = wide{key, r.Revision, rule}
+			list[key] = candidate{key, r.Revision, rule}
 		}
 	}
 	defaults := 0
@@ -119,12 +120,12 @@
 		if p.Default {
 			defaults++
 		}
-		if best := pools[rest]; rest == "" || p.Default && !best.Default ||
-			p.Default == best.Default && cmp.Or(cmp.Compare(ranks[name], ranks[rest]), cmp.Compare(name, rest)) < 0 {
-			rest = name
+		if best := pools[fallback]; fallback == "" || p.Default && !best.Default ||
+			p.Default == best.Default && cmp.Or(cmp.Compare(ranks[name], ranks[fallback]), cmp.Compare(name, fallback)) < 0 {
+			fallback = name
 		}
 	}
-	var single []wide
+	var single []candidate
 	for _, r := range list {
 		if slices.ContainsFunc(r.rule.To, func(s routes.Share) bool { _, ok := pools[s.Pool]; return !ok }) {
 			unresolved++
@@ -138,13 +139,15 @@
 		if r.rule.Methods == nil {
 			single = append(single, r)
 		}
-		for _, m := range r.rule.Methods {
+		for _, method := range r.rule.Methods {
 			one := r
-			one.rule.Methods = []string{m}
+			one.rule.Methods = []string{method}
 			single = append(single, one)
 		}
 	}
-	slices.SortFunc(single, func(a, b wide) int { return cmp.Or(cmp.Compare(a.revision, b.revision), cmp.Compare(a.key, b.key)) })
+	slices.SortFunc(single, func(a, b candidate) int {
+		return cmp.Or(cmp.Compare(a.revision, b.revision), cmp.Compare(a.key, b.key))
+	})
 	var rules []routes.Rule
 	losers := map[string]bool{}
 	for _, r := range single {
@@ -161,22 +164,22 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	return pools, rest, table, names, unresolved, len(losers) + max(0, defaults-1)
+	return pools, fallback, table, names, unresolved, len(losers) + max(0, defaults-1)
 }
 
 var classes = []string{"read", "book"}
 
-// balancer is whoever uses a catalog: it knows no more than what changes tell.
+// balancer is a user of a catalog: it learns about pools and routes only from Changes.
 type balancer struct {
 	catalog *Catalog
 	table   *tenants.Table
 	pools   map[int]config.Pool
 	view    *View
-	round   uint32 // of reading the files' tenants
+	round   uint32 // number of times that the tenants were read from the files
 }
 
-// read has the files' tenants in the table, as the program does.
-func (b *balancer) read(list map[string]tenants.Terms) {
+// loadFileTenants puts the tenants from the files into the table, as the daemon does.
+func (b *balancer) loadFileTenants(list map[string]tenants.Terms) {
 	b.round++
 	entries := []config.Tenant{}
 	for _, name := range slices.Sorted(maps.Keys(list)) {
@@ -187,47 +190,48 @@
 	told.IntoBeside(b.table, b.round, b.catalog.Grant)
 }
 
-func (b *balancer) take(t *rapid.T, ch Changes) {
+// applyChanges updates the pools and the view from a result of the catalog.
+func (b *balancer) applyChanges(t *rapid.T, ch Changes) {
 	for _, p := range ch.Pools {
 		if p.Pool == nil {
 			if _, ok := b.pools[p.ID]; !ok {
-				t.Fatalf("pool %d goes, and is not there", p.ID)
+				t.Fatalf("pool %d is removed, but does not exist", p.ID)
 			}
 			delete(b.pools, p.ID)
 			continue
 		}
 		if had, ok := b.pools[p.ID]; ok && had.Name != p.Pool.Name {
-			t.Fatalf("pool %d is %q, and becomes %q", p.ID, had.Name, p.Pool.Name)
+			t.Fatalf("pool %d is %q, but changes to %q", p.ID, had.Name, p.Pool.Name)
 		}
 		b.pools[p.ID] = *p.Pool
 	}
 	if ch.Routed {
 		b.view = b.catalog.View()
 	}
-	if len(ch.Said) > mostSaid {
-		t.Fatalf("%d lines are said", len(ch.Said))
+	if len(ch.Said) > maxLogLines {
+		t.Fatalf("%d log lines", len(ch.Said))
 	}
 }
 
-// agrees holds a balancer against the naive load.
-func (w *twin) agrees(t *rapid.T, b *balancer) {
+// checkBalancer compares a balancer and its catalog with the model.
+func (m *model) checkBalancer(t *rapid.T, b *balancer) {
 	c := b.catalog
 	keys := map[string]bool{}
 	refused := 0
-	for key, r := range w.last {
+	for key, r := range m.latest {
 		revision, sum, ok := c.At(key)
 		if r.Deleted {
 			if ok {
-				t.Fatalf("%s is held at %d, and was removed", key, revision)
+				t.Fatalf("%s is held at revision %d, but was deleted", key, revision)
 			}
 			continue
 		}
 		keys[key] = true
-		if !isGood(r) {
+		if !isValid(r) {
 			refused++
 		}
 		if !ok || revision != r.Revision || sum != Sum(r.Value) {
-			t.Fatalf("%s: held at %d (%v), last told at %d", key, revision, ok, r.Revision)
+			t.Fatalf("%s: held at revision %d (%v), latest record has revision %d", key, revision, ok, r.Revision)
 		}
 	}
 	var held []string
@@ -238,7 +242,7 @@
 	if want := slices.Sorted(maps.Keys(keys)); !slices.Equal(held, want) || c.Len() != len(want) {
 		t.Fatalf("%d keys, %q, should be %q", c.Len(), held, want)
 	}
-	pools, rest, table, names, unresolved, shadowed := w.inForce(t)
+	pools, fallback, table, names, unresolved, shadowed := m.inForce(t)
 	if len(b.pools) != len(pools) {
 		t.Fatalf("pools %v, should be %v", b.pools, pools)
 	}
@@ -252,11 +256,11 @@
 	all := c.Pools()
 	for i, p := range all {
 		if !reflect.DeepEqual(*p.Pool, b.pools[p.ID]) || i > 0 && all[i-1].ID >= p.ID {
-			t.Fatalf("the catalog tells of pool %d as %v, and has told %v", p.ID, p.Pool, b.pools[p.ID])
+			t.Fatalf("Pools returned pool %d as %v, Changes had %v", p.ID, p.Pool, b.pools[p.ID])
 		}
 	}
-	if id, ok := ids[rest]; b.view.Fallback() != id || !ok || len(all) != len(ids) {
-		t.Fatalf("%d has what no route matches, should have %q of %v", b.view.Fallback(), rest, ids)
+	if id, ok := ids[fallback]; b.view.Fallback() != id || !ok || len(all) != len(ids) {
+		t.Fatalf("the fallback pool is %d, should be %q of %v", b.view.Fallback(), fallback, ids)
 	}
 	for _, host := range []string{"a.x", "b.x", "q"} {
 		for _, path := range []string{"/", "/a", "/a/b", "/c"} {
@@ -264,7 +268,7 @@
 				for _, class := range classes {
 					got, want := b.view.Match(host, path, method, class), table.Match(host, path, method, class)
 					if (got == nil) != (want == routes.None) {
-						t.Fatalf("%s%s %s %s: %v, the naive load has %d of\n%s", host, path, method, class, got, want, table.Describe())
+						t.Fatalf("%s%s %s %s: %v, the model has %d of\n%s", host, path, method, class, got, want, table.Describe())
 					}
 					for key := uint64(0); got != nil && key < 4; key++ {
 						if at, should := got.Pool(key), names[table.Pool(want, key)]; at != ids[should] {
@@ -275,10 +279,10 @@
 			}
 		}
 	}
-	grants := maps.Clone(w.fileTerms)
+	grants := maps.Clone(m.fileTerms)
 	anew := New(classes, new(tenants.Table))
 	var good []Record
-	for key, r := range w.good {
+	for key, r := range m.accepted {
 		good = append(good, r)
 		if name, ok := strings.CutPrefix(key, "tenants/"); ok {
 			quota, share, _ := config.DecodeTenant(r.Value, name)
@@ -295,14 +299,14 @@
 	}
 	anew.Apply(true, 1, good)
 	if anew.Digest() != c.Digest() {
-		t.Fatalf("digest %x, that of a whole load is %x", c.Digest(), anew.Digest())
+		t.Fatalf("digest %x, that of a full load is %x", c.Digest(), anew.Digest())
 	}
 	f := c.Flaws()
 	if f.Refused != refused || f.Unresolved != unresolved || f.Shadowed != shadowed {
 		t.Fatalf("%+v, should be %d refused, %d unresolved, %d shadowed", f, refused, unresolved, shadowed)
 	}
 	if len(f.Named) != refused+unresolved+shadowed {
-		t.Fatalf("%d flaws are named of %d: %q", len(f.Named), refused+unresolved+shadowed, f.Named)
+		t.Fatalf("%d flaws are named, should be %d: %q", len(f.Named), refused+unresolved+shadowed, f.Named)
 	}
 }
 
@@ -310,7 +314,7 @@
 	r := config.Route{Name: name, Host: rapid.SampledFrom([]string{"", "a.x", "A.x", "*.x"}).Draw(t, "host"),
 		Path:  rapid.SampledFrom([]string{"", "/", "/a", "/a", "/a/b"}).Draw(t, "path"),
 		Class: rapid.SampledFrom([]string{"", "", "read"}).Draw(t, "class")}
-	if rapid.Bool().Draw(t, "usual") { // so that some tie
+	if rapid.Bool().Draw(t, "usual") { // so that some routes tie
 		r.Host, r.Path, r.Class = "", "/a", ""
 	}
 	if rapid.IntRange(0, 2).Draw(t, "methods") == 0 {
@@ -369,27 +373,28 @@
 	return r
 }
 
-// store is what the entries lie in: what it has now, and the words that are still on their way.
+// store simulates the store: its current records, and those not delivered yet.
 type store struct {
 	revision int64
-	has      map[string]Record
-	late     []Record
+	records  map[string]Record
+	pending  []Record
 }
 
-// reading is what a follower tells from comparing: what differs, and what is gone, in parts that may be cut.
-func (s *store) reading(t *rapid.T, b *balancer, w *twin, whole bool) {
+// sync applies what a follower finds by comparing the catalog with the store: different and deleted records, in parts. It
+// may stop after the first.
+func (s *store) sync(t *rapid.T, b *balancer, m *model, whole bool) {
 	var all []Record
-	for _, key := range slices.Sorted(maps.Keys(s.has)) {
-		if revision, sum, ok := b.catalog.At(key); !ok || revision != s.has[key].Revision || sum != Sum(s.has[key].Value) {
-			all = append(all, s.has[key])
+	for _, key := range slices.Sorted(maps.Keys(s.records)) {
+		if revision, sum, ok := b.catalog.At(key); !ok || revision != s.records[key].Revision || sum != Sum(s.records[key].Value) {
+			all = append(all, s.records[key])
 		}
 	}
 	cut := rapid.IntRange(0, 3).Draw(t, "cut") == 0
 	for cut || len(all) > 3 {
 		n := min(len(all), rapid.IntRange(0, 3).Draw(t, "part"))
-		b.take(t, b.catalog.Apply(whole, 0, all[:n]))
+		b.applyChanges(t, b.catalog.Apply(whole, 0, all[:n]))
 		for _, r := range all[:n] {
-			w.hear(whole, r)
+			m.apply(whole, r)
 		}
 		all = all[n:]
 		if cut {
@@ -397,63 +402,63 @@
 		}
 	}
 	for key := range b.catalog.Keys() {
-		if _, ok := s.has[key]; !ok {
+		if _, ok := s.records[key]; !ok {
 			all = append(all, Record{Key: key, Revision: s.revision, Deleted: true})
 		}
 	}
-	b.take(t, b.catalog.Apply(whole, s.revision, all))
+	b.applyChanges(t, b.catalog.Apply(whole, s.revision, all))
 	for _, r := range all {
-		w.hear(whole, r)
+		m.apply(whole, r)
 	}
 	if whole {
-		w.anew()
+		m.forgetRemovals()
 	}
 	if b.catalog.Revision() != s.revision {
-		t.Fatalf("at revision %d after a reading at %d", b.catalog.Revision(), s.revision)
+		t.Fatalf("at revision %d after a sync at revision %d", b.catalog.Revision(), s.revision)
 	}
 }
 
-// Ten thousand histories of changes and faults: whatever came in whatever order, what is in force is what a whole load of
-// the accepted values comes to.
-func TestAnyHistoryComesToWhatWasAccepted(t *testing.T) {
-	met := map[string]int{}
+// For 10,000 random sequences of late, duplicated and lost records, full loads and changed files, the entries in force are
+// the same as after a full load of the accepted records.
+func TestMatchesFullLoadOfAcceptedRecords(t *testing.T) {
+	counts := map[string]int{}
 	rapid.Check(t, func(t *rapid.T) {
 		table := new(tenants.Table)
 		b := &balancer{catalog: New(classes, table), table: table, pools: map[int]config.Pool{}}
-		w := &twin{last: map[string]Record{}, good: map[string]Record{}, fileTerms: map[string]tenants.Terms{}}
+		m := &model{latest: map[string]Record{}, accepted: map[string]Record{}, fileTerms: map[string]tenants.Terms{}}
 		files := func() {
-			w.filePools, w.fileRoutes = []config.Pool{{Name: "all"}}, nil
+			m.filePools, m.fileRoutes = []config.Pool{{Name: "all"}}, nil
 			if rapid.Bool().Draw(t, "another pool") {
-				w.filePools = append(w.filePools, drawPool(t, "p1"))
+				m.filePools = append(m.filePools, drawPool(t, "p1"))
 			}
 			for _, name := range []string{"f", "r1"} {
 				if rapid.Bool().Draw(t, name) {
 					r := drawRoute(t, name)
-					if !slices.ContainsFunc(w.filePools, func(p config.Pool) bool { return p.Name == r.Pool }) {
+					if !slices.ContainsFunc(m.filePools, func(p config.Pool) bool { return p.Name == r.Pool }) {
 						r.Pool, r.Split = "all", nil
 					}
-					w.fileRoutes = append(w.fileRoutes, r)
+					m.fileRoutes = append(m.fileRoutes, r)
 				}
 			}
-			ch, err := b.catalog.Files(slices.Clone(w.filePools), slices.Clone(w.fileRoutes))
+			ch, err := b.catalog.Files(slices.Clone(m.filePools), slices.Clone(m.fileRoutes))
 			if err != nil {
 				t.Fatal(err)
 			}
-			b.take(t, ch)
-			w.fileTerms = map[string]tenants.Terms{}
+			b.applyChanges(t, ch)
+			m.fileTerms = map[string]tenants.Terms{}
 			for i := 1; i <= 2; i++ {
 				if name := fmt.Sprint("t", i); rapid.Bool().Draw(t, name) {
-					w.fileTerms[name] = tenants.Terms{Quota: float64(100 * rapid.IntRange(1, 5).Draw(t, "quota"))}
+					m.fileTerms[name] = tenants.Terms{Quota: float64(100 * rapid.IntRange(1, 5).Draw(t, "quota"))}
 				}
 			}
-			b.read(w.fileTerms)
+			b.loadFileTenants(m.fileTerms)
 		}
 		files()
-		s := &store{revision: 10, has: map[string]Record{}}
+		s := &store{revision: 10, records: map[string]Record{}}
 		tell := func(records ...Record) {
-			b.take(t, b.catalog.Apply(false, s.revision, records))
+			b.applyChanges(t, b.catalog.Apply(false, s.revision, records))
 			for _, r := range records {
-				w.hear(false, r)
+				m.apply(false, r)
 			}
 		}
 		for range rapid.IntRange(1, 30).Draw(t, "steps") {
@@ -462,61 +467,61 @@
 				s.revision++
 				r := drawRecord(t, s.revision)
 				if r.Deleted {
-					delete(s.has, r.Key)
+					delete(s.records, r.Key)
 				} else {
-					s.has[r.Key] = r
+					s.records[r.Key] = r
 				}
 				if what == "change" && rapid.IntRange(0, 4).Draw(t, "late") > 0 {
 					tell(r)
 				} else if what == "change" {
-					s.late = append(s.late, r)
+					s.pending = append(s.pending, r)
 				}
 				if what == "change" && rapid.IntRange(0, 4).Draw(t, "again") == 0 {
-					s.late = append(s.late, r)
+					s.pending = append(s.pending, r)
 				}
 			case "late":
-				if len(s.late) > 0 {
-					i := rapid.IntRange(0, len(s.late)-1).Draw(t, "which")
-					tell(s.late[i])
-					s.late = slices.Delete(s.late, i, i+1)
+				if len(s.pending) > 0 {
+					i := rapid.IntRange(0, len(s.pending)-1).Draw(t, "which")
+					tell(s.pending[i])
+					s.pending = slices.Delete(s.pending, i, i+1)
 				}
 			case "doubled":
-				for _, key := range slices.Sorted(maps.Keys(s.has)) {
-					tell(s.has[key], s.has[key])
+				for _, key := range slices.Sorted(maps.Keys(s.records)) {
+					tell(s.records[key], s.records[key])
 					break
 				}
 			case "reading":
-				s.reading(t, b, w, false)
+				s.sync(t, b, m, false)
 			case "another history":
-				s = &store{revision: int64(rapid.IntRange(1, 30).Draw(t, "revision")), has: map[string]Record{}}
+				s = &store{revision: int64(rapid.IntRange(1, 30).Draw(t, "revision")), records: map[string]Record{}}
 				for range rapid.IntRange(0, 6).Draw(t, "entries") {
 					r := drawRecord(t, int64(rapid.IntRange(1, int(s.revision)).Draw(t, "of")))
 					if !r.Deleted {
-						s.has[r.Key] = r
+						s.records[r.Key] = r
 					}
 				}
-				s.reading(t, b, w, true)
-				s.reading(t, b, w, true) // the first may have been cut
+				s.sync(t, b, m, true)
+				s.sync(t, b, m, true) // the first may have stopped early
 			case "files":
 				files()
 			}
 			if rapid.IntRange(0, 9).Draw(t, "look") == 0 {
-				w.agrees(t, b)
+				m.checkBalancer(t, b)
 			}
 		}
-		w.agrees(t, b)
+		m.checkBalancer(t, b)
 		f := b.catalog.Flaws()
 		for what, n := range map[string]int{"refused": f.Refused, "unresolved": f.Unresolved, "shadowed": f.Shadowed, "held": b.catalog.Len()} {
 			if n > 0 {
-				met[what]++
+				counts[what]++
 			}
 		}
-		met["all"]++
+		counts["all"]++
 	})
 	for _, what := range []string{"refused", "unresolved", "shadowed", "held"} {
-		if met[what] < met["all"]/10 {
-			t.Errorf("%s: met in %d of %d histories: too rare to show anything", what, met[what], met["all"])
+		if counts[what] < counts["all"]/10 {
+			t.Errorf("%s: occurred in %d of %d sequences, which is too rare to test it", what, counts[what], counts["all"])
 		}
 	}
-	t.Log(met)
+	t.Log(counts)
 }
--- a/internal/catalog/pool.go
+++ b/internal/catalog/pool.go
@@ -11,95 +11,99 @@
 	"pewterrudder/internal/config"
 )
 
-// pool is what is said of one name.
+// pool holds the entries of one pool and its state in force.
 type pool struct {
-	said[config.Pool]
-	now  *config.Pool // that is in force
-	rank rank
-	in   bool // in force, under an ID
-	id   int
+	entry[config.Pool]
+	current    *config.Pool // the value in force; nil: none
+	precedence precedence
+	inForce    bool // whether it has a value in force and an ID
+	id         int
 }
 
-func (c *Catalog) putPool(key, name string, value []byte, now word, ch *Changes) error {
-	told, err := config.DecodePool(value, name)
+// putPool decodes a pool from the store and puts it in force.
+func (c *Catalog) putPool(key, name string, value []byte, v version, ch *Changes) error {
+	decoded, err := config.DecodePool(value, name)
 	if err != nil {
 		return err
 	}
-	p := c.poolOf(key, name)
-	p.tell(c, &told, now)
-	c.settle(name, p, ch)
+	p := c.ensurePool(key, name)
+	p.setStored(c, &decoded, v)
+	c.updatePool(name, p, ch)
 	return nil
 }
 
+// removePool removes the store's value of a pool.
 func (c *Catalog) removePool(name string, ch *Changes) {
 	p := c.pools[name]
 	if p == nil {
 		return
 	}
-	p.tell(c, nil, word{})
-	c.settle(name, p, ch)
+	p.setStored(c, nil, version{})
+	c.updatePool(name, p, ch)
 }
 
-func (c *Catalog) poolOf(key, name string) *pool {
+// ensurePool returns the pool of a name, which it creates if there is none.
+func (c *Catalog) ensurePool(key, name string) *pool {
 	p := c.pools[name]
 	if p == nil {
-		p = &pool{said: said[config.Pool]{key: key}}
+		p = &pool{entry: entry[config.Pool]{key: key}}
 		c.pools[name] = p
 	}
 	return p
 }
 
-// settle puts in force what a name is to be, and the routes that have waited for it, or leaves them waiting.
-func (c *Catalog) settle(name string, p *pool, ch *Changes) {
-	want := p.wanted()
-	if p.in {
-		at, _ := slices.BinarySearchFunc(c.order, p, (*pool).compare)
-		c.order = slices.Delete(c.order, at, at+1)
+// updatePool puts the effective value of a pool in force. If the pool appears or disappears, it updates the routes that
+// name it.
+func (c *Catalog) updatePool(name string, p *pool, ch *Changes) {
+	next := p.effective()
+	if p.inForce {
+		at, _ := slices.BinarySearchFunc(c.poolOrder, p, (*pool).compare)
+		c.poolOrder = slices.Delete(c.poolOrder, at, at+1)
 	}
-	was, had := p.in, p.now
-	p.now, p.rank, p.in = want, rank{p.at.revision, p.key}, want != nil
-	if p.in {
+	was, previous := p.inForce, p.current
+	p.current, p.precedence, p.inForce = next, precedence{p.version.revision, p.key}, next != nil
+	if p.inForce {
 		if !was {
-			p.id = c.ids.take()
+			p.id = c.poolIDs.alloc()
 		}
-		at, _ := slices.BinarySearchFunc(c.order, p, (*pool).compare)
-		c.order = slices.Insert(c.order, at, p)
+		at, _ := slices.BinarySearchFunc(c.poolOrder, p, (*pool).compare)
+		c.poolOrder = slices.Insert(c.poolOrder, at, p)
 	}
 	switch {
-	case p.in && !(was && reflect.DeepEqual(had, want)):
-		ch.Pools = append(ch.Pools, PoolChange{p.id, want})
-	case was && !p.in:
+	case p.inForce && !(was && reflect.DeepEqual(previous, next)):
+		ch.Pools = append(ch.Pools, PoolChange{p.id, next})
+	case was && !p.inForce:
 		ch.Pools = append(ch.Pools, PoolChange{p.id, nil})
-		c.ids.give(p.id)
+		c.poolIDs.release(p.id)
 		delete(c.pools, name)
 	}
-	if was == p.in {
+	if was == p.inForce {
 		return
 	}
-	users := slices.SortedFunc(maps.Keys(c.users[name]), func(a, b *route) int { return strings.Compare(a.key, b.key) })
+	users := slices.SortedFunc(maps.Keys(c.routesByPool[name]), func(a, b *route) int { return strings.Compare(a.key, b.key) })
 	for _, r := range users {
-		if c.place(r, ch); !r.resolved {
-			ch.say(fmt.Sprintf("%s waits for pool %q", r.key, c.missing(r)))
+		if c.updateRoute(r, ch); !r.resolved {
+			ch.addLog(fmt.Sprintf("%s waits for pool %q", r.key, c.missingPool(r)))
 		}
 	}
 }
 
-// compare has default pools first, by rank.
+// compare orders pools in force: default pools first, then by precedence.
 func (p *pool) compare(o *pool) int {
 	first := func(p *pool) int {
-		if p.now.Default {
+		if p.current.Default {
 			return 0
 		}
 		return 1
 	}
-	return cmp.Or(cmp.Compare(first(p), first(o)), p.rank.compare(o.rank))
+	return cmp.Or(cmp.Compare(first(p), first(o)), p.precedence.compare(o.precedence))
 }
 
-// Pools are all that are in force, by their IDs.
+// Pools returns all pools in force, sorted by ID.
 func (c *Catalog) Pools() []PoolChange {
-	all := make([]PoolChange, 0, len(c.order))
-	for _, p := range c.order {
-		all = append(all, PoolChange{p.id, p.now})
+	all := make([]PoolChange, 0, len(c.poolOrder))
+	for _, p := range c.poolOrder {
+		all = append(all, PoolChange{p.id, p.current})
 	}
 	slices.SortFunc(all, func(a, b PoolChange) int { return cmp.Compare(a.ID, b.ID) })
 	return all
--- a/internal/catalog/route.go
+++ b/internal/catalog/route.go
@@ -8,23 +8,25 @@
 	"pewterrudder/internal/routes"
 )
 
-// route is what is said of one name.
+// route holds the entries of one route and its state in the tree.
 type route struct {
-	said[routes.Claim]
-	in       *routes.Claim // that is in the tree, with the places of its pools
-	named    *routes.Claim // whose pools know of it
-	resolved bool
+	entry[routes.Claim]
+	inTree   *routes.Claim // the claim in the tree, with the IDs of its pools; nil: not in the tree
+	indexed  *routes.Claim // the claim that routesByPool was updated for
+	resolved bool          // all pools of the route are in force; true without an effective value
 }
 
-func (c *Catalog) claim(key, name string, value []byte, revision int64) (*routes.Claim, error) {
+// decodeClaim decodes a route from the store.
+func (c *Catalog) decodeClaim(key, name string, value []byte, revision int64) (*routes.Claim, error) {
 	r, err := config.DecodeRoute(value, name)
 	if err != nil {
 		return nil, err
 	}
-	return c.claimOf(&r, key, revision)
+	return c.newClaim(&r, key, revision)
 }
 
-func (c *Catalog) claimOf(r *config.Route, key string, revision int64) (*routes.Claim, error) {
+// newClaim returns the claim of a configured route.
+func (c *Catalog) newClaim(r *config.Route, key string, revision int64) (*routes.Claim, error) {
 	rule, err := r.Rule()
 	if err != nil {
 		return nil, err
@@ -32,74 +34,77 @@
 	return routes.NewClaim(rule, key, revision, c.classes)
 }
 
-func (c *Catalog) putRoute(key, name string, value []byte, now word, ch *Changes) error {
-	claim, err := c.claim(key, name, value, now.revision)
+// putRoute decodes a route from the store and puts it in force.
+func (c *Catalog) putRoute(key, name string, value []byte, v version, ch *Changes) error {
+	claim, err := c.decodeClaim(key, name, value, v.revision)
 	if err != nil {
 		return err
 	}
-	r := c.routeOf(key, name)
-	r.tell(c, claim, now)
-	c.place(r, ch)
+	r := c.ensureRoute(key, name)
+	r.setStored(c, claim, v)
+	c.updateRoute(r, ch)
 	if !r.resolved {
-		ch.say(fmt.Sprintf("%s of revision %d waits for pool %q", key, now.revision, c.missing(r)))
+		ch.addLog(fmt.Sprintf("%s of revision %d waits for pool %q", key, v.revision, c.missingPool(r)))
 	}
 	return nil
 }
 
+// removeRoute removes the store's value of a route.
 func (c *Catalog) removeRoute(name string, ch *Changes) {
 	r := c.routes[name]
 	if r == nil {
 		return
 	}
-	r.tell(c, nil, word{})
-	c.place(r, ch)
-	c.dropRoute(name, r)
+	r.setStored(c, nil, version{})
+	c.updateRoute(r, ch)
+	c.deleteUnusedRoute(name, r)
 }
 
-func (c *Catalog) routeOf(key, name string) *route {
+// ensureRoute returns the route of a name, which it creates if there is none.
+func (c *Catalog) ensureRoute(key, name string) *route {
 	r := c.routes[name]
 	if r == nil {
-		r = &route{said: said[routes.Claim]{key: key}}
+		r = &route{entry: entry[routes.Claim]{key: key}}
 		c.routes[name] = r
 	}
 	return r
 }
 
-// dropRoute forgets a name of which nobody says anything.
-func (c *Catalog) dropRoute(name string, r *route) {
-	if r.told == nil && r.file == nil {
+// deleteUnusedRoute deletes a route that is neither in the store nor in the files.
+func (c *Catalog) deleteUnusedRoute(name string, r *route) {
+	if r.stored == nil && r.file == nil {
 		delete(c.routes, name)
 	}
 }
 
-// place has the tree hold a route as it is wanted, where its pools are.
-func (c *Catalog) place(r *route, ch *Changes) {
-	if r.in != nil {
-		c.swap(r.in, false, ch)
-		r.in = nil
-	}
-	want := r.wanted()
-	if r.named != want {
-		c.know(r, false)
-		r.named = want
-		c.know(r, true)
-	}
-	if r.resolved = true; want == nil {
-		delete(c.lacking, r)
+// updateRoute puts the effective value of a route into the tree, if all its pools are in force.
+func (c *Catalog) updateRoute(r *route, ch *Changes) {
+	if r.inTree != nil {
+		c.updateTree(r.inTree, false, ch)
+		r.inTree = nil
+	}
+	claim := r.effective()
+	if r.indexed != claim {
+		c.updatePoolIndex(r, false)
+		r.indexed = claim
+		c.updatePoolIndex(r, true)
+	}
+	if r.resolved = true; claim == nil {
+		delete(c.unresolved, r)
 		return
 	}
-	led, missing := want.Lead(c.idOf)
+	resolvedClaim, missing := claim.Lead(c.poolID)
 	if r.resolved = missing == ""; !r.resolved {
-		c.lacking[r] = struct{}{}
+		c.unresolved[r] = struct{}{}
 		return
 	}
-	delete(c.lacking, r)
-	r.in = led
-	c.swap(led, true, ch)
+	delete(c.unresolved, r)
+	r.inTree = resolvedClaim
+	c.updateTree(resolvedClaim, true, ch)
 }
 
-// swap puts a claim into the tree or takes it out, and keeps account of the ties where it lies.
-func (c *Catalog) swap(claim *routes.Claim, in bool, ch *Changes) {
+// updateTree adds a claim to the tree or removes it, and updates the ties at its place.
+func (c *Catalog) updateTree(claim *routes.Claim, in bool, ch *Changes) {
 	var ties []routes.Tie
 	if in {
 		c.tree, ties = c.tree.With(claim)
@@ -108,52 +113,53 @@
 	}
 	ch.Routed = true
 	at := claim.Place()
-	had := c.shadowed[at]
+	had := c.ties[at]
 	for i := range had {
-		delete(c.lost, had[i].Lost.Key)
+		delete(c.shadowed, had[i].Lost.Key)
 	}
 	for i := range ties {
 		key := ties[i].Lost.Key
-		if c.lost[key] = true; !slices.ContainsFunc(had, func(t routes.Tie) bool { return t.Lost.Key == key }) {
-			ch.say(fmt.Sprintf("%s of revision %d is shadowed: %v", key, ties[i].Lost.Revision, ties[i]))
+		if c.shadowed[key] = true; !slices.ContainsFunc(had, func(t routes.Tie) bool { return t.Lost.Key == key }) {
+			ch.addLog(fmt.Sprintf("%s of revision %d is shadowed: %v", key, ties[i].Lost.Revision, ties[i]))
 		}
 	}
 	if len(ties) > 0 {
-		c.shadowed[at] = ties
+		c.ties[at] = ties
 	} else {
-		delete(c.shadowed, at)
+		delete(c.ties, at)
 	}
 }
 
-// know has the pools that a route names know of it, or forget it.
-func (c *Catalog) know(r *route, it bool) {
-	if r.named == nil {
+// updatePoolIndex adds a route to routesByPool for each pool that it names, or removes it.
+func (c *Catalog) updatePoolIndex(r *route, add bool) {
+	if r.indexed == nil {
 		return
 	}
-	for _, s := range r.named.To {
-		users := c.users[s.Pool]
+	for _, s := range r.indexed.To {
+		users := c.routesByPool[s.Pool]
 		switch {
-		case it && users == nil:
-			c.users[s.Pool] = map[*route]struct{}{r: {}}
-		case it:
+		case add && users == nil:
+			c.routesByPool[s.Pool] = map[*route]struct{}{r: {}}
+		case add:
 			users[r] = struct{}{}
 		default:
 			if delete(users, r); len(users) == 0 {
-				delete(c.users, s.Pool)
+				delete(c.routesByPool, s.Pool)
 			}
 		}
 	}
 }
 
-// missing names a pool that a route waits for; "": none.
-func (c *Catalog) missing(r *route) string {
-	_, pool := r.wanted().Lead(c.idOf)
+// missingPool returns the name of a pool that a route waits for; "": none.
+func (c *Catalog) missingPool(r *route) string {
+	_, pool := r.effective().Lead(c.poolID)
 	return pool
 }
 
-func (c *Catalog) idOf(pool string) (int, bool) {
+// poolID returns the ID of a pool, and whether it is in force.
+func (c *Catalog) poolID(pool string) (int, bool) {
 	p := c.pools[pool]
-	if p == nil || !p.in {
+	if p == nil || !p.inForce {
 		return 0, false
 	}
 	return p.id, true
--- a/internal/catalog/tenant.go
+++ b/internal/catalog/tenant.go
@@ -5,10 +5,11 @@
 	"pewterrudder/internal/tenants"
 )
 
-// A tenant's word lies in the table, those of the files with revision 0; here is only what the files grant to those of whom
-// the store speaks as well.
+// Tenants are stored in the tenants table, those from the files with revision 0. The catalog itself keeps only the terms
+// that the files grant to tenants that the store contains as well.
 
-func (c *Catalog) putTenant(key, name string, value []byte, now word) error {
+// putTenant decodes a tenant from the store and puts it into the table.
+func (c *Catalog) putTenant(key, name string, value []byte, v version) error {
 	quota, share, err := config.DecodeTenant(value, name)
 	if err != nil {
 		return err
@@ -16,29 +17,31 @@
 	revision, sum, ok := c.tenants.At(name)
 	if ok && revision == 0 {
 		had, _ := c.tenants.Find(name)
-		c.under[name] = had.Terms
+		c.fileTerms[name] = had.Terms
 	}
-	c.count(key, word{revision, sum}, now)
-	c.tenants.Put(name, tenants.Terms{Quota: quota, Share: share}, now.revision, now.sum)
+	c.updateDigest(key, version{revision, sum}, v)
+	c.tenants.Put(name, tenants.Terms{Quota: quota, Share: share}, v.revision, v.sum)
 	return nil
 }
 
+// removeTenant removes the store's terms of a tenant. Those granted by the files apply again, if there are any.
 func (c *Catalog) removeTenant(key, name string) {
 	revision, sum, _ := c.tenants.At(name)
 	if revision == 0 {
-		return // the files'
+		return // from the files
 	}
-	c.count(key, word{revision, sum}, word{})
-	if terms, ok := c.under[name]; ok {
+	c.updateDigest(key, version{revision, sum}, version{})
+	if terms, ok := c.fileTerms[name]; ok {
 		c.tenants.Put(name, terms, 0, 0)
-		delete(c.under, name)
+		delete(c.fileTerms, name)
 		return
 	}
 	c.tenants.Delete(name)
 }
 
-// Granted forgets what the files granted to tenants of whom the store speaks: they are read again, and say so by Grant.
-func (c *Catalog) Granted() { clear(c.under) }
+// Granted clears the terms that the files granted to tenants in the store. Call it before the files are read again; they
+// are then set by Grant.
+func (c *Catalog) Granted() { clear(c.fileTerms) }
 
-// Grant takes what the files grant to a tenant of whom the store speaks.
-func (c *Catalog) Grant(name string, t tenants.Terms) { c.under[name] = t }
+// Grant sets the terms that the files grant to a tenant that the store contains as well.
+func (c *Catalog) Grant(name string, t tenants.Terms) { c.fileTerms[name] = t }
