--- a/internal/tenants/tenants.go
+++ b/internal/tenants/tenants.go
@@ -1,10 +1,10 @@
-// Package tenants owns the table of tenants: who they are by name, what each is granted, and the revision that said so. It
-// is made for hundreds of thousands of them in one process, read by every call and changed one entry at a time. It must
-// never count what a tenant asks for, decide what an excess costs, or read settings and stores itself.
+// Package tenants holds the table of tenants: for each name, what the tenant is granted and the revision that granted
+// it. The table is built for hundreds of thousands of tenants in one process; every call reads it, and changes come one
+// entry at a time. The package must never count requests, decide what happens to a tenant over its quota, or read
+// settings and stores itself.
 //
-// The names are spread over shards, each with a lock of its own, and whatever a change has to do besides itself (growing an
-// index, clearing names that were removed) it does in its own shard alone: readers wait for some microseconds at most.
-// shard.go holds one shard.
+// Names are spread over shards (shard.go), each with its own lock. The upkeep that a change causes (growing an index,
+// compacting an arena) stays within one shard, so that readers wait for a few microseconds at most.
 package tenants
 
 import (
@@ -14,122 +14,123 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// Terms are what a tenant is granted.
+// Terms is what a tenant is granted.
 type Terms struct {
-	Quota float64 // requests per second over the whole fleet; 0: without bound
-	Share float64 // of the fleet
+	Quota float64 // requests per second over the whole fleet; 0: unlimited
+	Share float64 // fraction of the fleet
 }
 
-// Tenant is an entry as a call sees it. The ID stays for as long as the entry does, and is never given to another.
+// Tenant is an entry as lookups return it. The ID stays the same as long as the entry exists and is never reused.
 type Tenant struct {
 	ID int
 	Terms
 }
 
-// shards keep a shard of 300,000 tenants at 300 entries, so that to index one anew or to clear it of removed names is a
-// matter of microseconds; an empty table costs 8 KB.
+// With 1024 shards, a table of 300,000 tenants has some 300 entries in each, so that rebuilding an index or compacting
+// an arena takes microseconds. An empty table takes 8 KB.
 const (
 	shardBits = 10
 	shards    = 1 << shardBits
 )
 
-// Table holds tenants by name. The zero value is empty and ready; any goroutine may use it.
+// Table maps names to tenants. The zero value is an empty table ready for use. It is safe for concurrent use.
 type Table struct {
-	shards [shards]atomic.Pointer[shard] // made on first use: most tables are small
+	shards [shards]atomic.Pointer[shard] // allocated on first use, since most tables are small
 	lastID atomic.Uint32
 	count  atomic.Int64
 }
 
-// of gives the shard that a hash belongs to; nil: nothing was ever put there. The shard's index uses the lower bits.
-func (t *Table) of(hash uint64) *shard { return t.shards[hash>>(64-shardBits)].Load() }
+// shardOf returns the shard for a hash, chosen by its upper bits; the shard's index uses the lower ones. It is nil if
+// nothing was ever put there.
+func (t *Table) shardOf(hash uint64) *shard { return t.shards[hash>>(64-shardBits)].Load() }
 
-// Find says what a tenant is granted. It allocates nothing.
+// Find returns the tenant of a name. It does not allocate.
 func (t *Table) Find(name string) (Tenant, bool) {
 	hash := xxhash.Sum64String(name)
-	s := t.of(hash)
+	s := t.shardOf(hash)
 	if s == nil {
 		return Tenant{}, false
 	}
 	s.mu.RLock()
 	defer s.mu.RUnlock()
-	_, at, ok := s.find(name, uint32(hash))
+	_, pos, ok := s.find(name, uint32(hash))
 	if !ok {
 		return Tenant{}, false
 	}
-	p, i := s.entry(at)
+	p, i := s.entry(pos)
 	return Tenant{ID: int(p.id[i]), Terms: p.terms[i]}, true
 }
 
-// At says which revision of an entry is held, and the sum of its text.
-func (t *Table) At(name string) (revision int64, sum uint32, ok bool) {
+// At returns the revision of an entry and the checksum of its text, as given to Put.
+func (t *Table) At(name string) (revision int64, checksum uint32, ok bool) {
 	hash := xxhash.Sum64String(name)
-	s := t.of(hash)
+	s := t.shardOf(hash)
 	if s == nil {
 		return 0, 0, false
 	}
 	s.mu.RLock()
 	defer s.mu.RUnlock()
-	_, at, ok := s.find(name, uint32(hash))
+	_, pos, ok := s.find(name, uint32(hash))
 	if !ok {
 		return 0, 0, false
 	}
-	p, i := s.entry(at)
-	return p.revision[i], p.sum[i], true
+	p, i := s.entry(pos)
+	return p.revision[i], p.checksum[i], true
 }
 
-// Put enters a tenant, or gives the one of that name other terms.
-func (t *Table) Put(name string, terms Terms, revision int64, sum uint32) {
+// Put adds a tenant, or replaces the terms, revision and checksum of the one with that name.
+func (t *Table) Put(name string, terms Terms, revision int64, checksum uint32) {
 	hash := xxhash.Sum64String(name)
-	s := t.of(hash)
+	s := t.shardOf(hash)
 	if s == nil {
 		t.shards[hash>>(64-shardBits)].CompareAndSwap(nil, new(shard))
-		s = t.of(hash)
+		s = t.shardOf(hash)
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	_, at, ok := s.find(name, uint32(hash))
+	_, pos, ok := s.find(name, uint32(hash))
 	if !ok {
-		at = s.add(name, uint32(hash), t.lastID.Add(1)-1)
+		pos = s.add(name, uint32(hash), t.lastID.Add(1)-1)
 		t.count.Add(1)
 	}
-	p, i := s.entry(at)
-	p.terms[i], p.revision[i], p.sum[i] = terms, revision, sum
+	p, i := s.entry(pos)
+	p.terms[i], p.revision[i], p.checksum[i] = terms, revision, checksum
 }
 
-// Delete takes a tenant out and says whether there was one.
+// Delete removes a tenant and reports whether there was one.
 func (t *Table) Delete(name string) bool {
 	hash := xxhash.Sum64String(name)
-	s := t.of(hash)
+	s := t.shardOf(hash)
 	if s == nil {
 		return false
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	slot, at, ok := s.find(name, uint32(hash))
+	slot, pos, ok := s.find(name, uint32(hash))
 	if ok {
-		s.remove(slot, at)
+		s.remove(slot, pos)
 		t.count.Add(-1)
 	}
 	return ok
 }
 
-// Len is how many there are.
+// Len returns the number of tenants.
 func (t *Table) Len() int { return int(t.count.Load()) }
 
-// All gives every tenant, shard by shard: what changes meanwhile may be given as it was. The table may be changed from
-// within the loop.
+// All iterates over the tenants, shard by shard. Each shard is copied when the iteration reaches it, so that a later
+// change may not be seen. The table may be changed from within the loop.
 func (t *Table) All() iter.Seq2[string, Tenant] {
 	return func(yield func(string, Tenant) bool) {
 		var names []string
-		var held []Tenant
+		var tenants []Tenant
 		for i := range t.shards {
 			s := t.shards[i].Load()
 			if s == nil {
 				continue
 			}
-			names, held = s.list(names[:0], held[:0])
+			names, tenants = s.appendTo(names[:0], tenants[:0])
 			for k := range names {
-				if !yield(names[k], held[k]) {
+				if !yield(names[k], tenants[k]) {
 					return
 				}
 			}
--- a/internal/tenants/tenants_test.go
+++ b/internal/tenants/tenants_test.go
@@ -16,38 +16,38 @@
 	"pgregory.net/rapid"
 )
 
-// many is the size that is announced.
-const many = 300_000
+// announcedSize is the number of tenants that the project promises to support.
+const announcedSize = 300_000
 
-// nameAt is one of sixteen bytes.
-func nameAt(i int) string { return fmt.Sprintf("tenant-%09d", i) }
+// tenantName returns a name of sixteen bytes.
+func tenantName(i int) string { return fmt.Sprintf("tenant-%09d", i) }
 
-func termsAt(i int) Terms { return Terms{Quota: float64(i%997) + 0.5, Share: 1 / float64(i+1)} }
+func tenantTerms(i int) Terms { return Terms{Quota: float64(i%997) + 0.5, Share: 1 / float64(i+1)} }
 
-func filled(n int) *Table {
+func newTable(n int) *Table {
 	t := new(Table)
 	for i := range n {
-		t.Put(nameAt(i), termsAt(i), int64(i), uint32(i))
+		t.Put(tenantName(i), tenantTerms(i), int64(i), uint32(i))
 	}
 	return t
 }
 
-// entry is what a model of the table holds.
-type entry struct {
+// modelEntry is an entry of the map that the table is compared with.
+type modelEntry struct {
 	id int
 	Terms
 	revision int64
-	sum      uint32
+	checksum uint32
 }
 
-// check holds the table against a model: every name, and the whole of it.
-func check(t rapid.TB, table *Table, model map[string]entry, names []string) {
+// checkAgainstModel compares the table with the model: each name by lookup, and all entries by iteration.
+func checkAgainstModel(t rapid.TB, table *Table, model map[string]modelEntry, names []string) {
 	for _, name := range names {
 		want, there := model[name]
 		got, ok := table.Find(name)
-		revision, sum, held := table.At(name)
-		if ok != there || held != there || there && (got != Tenant{want.id, want.Terms} || revision != want.revision || sum != want.sum) {
-			t.Fatalf("%q: %v %v, revision %d, sum %d; the model has %v %v", name, got, ok, revision, sum, want, there)
+		revision, checksum, hasVersion := table.At(name)
+		if ok != there || hasVersion != there || there && (got != Tenant{want.id, want.Terms} || revision != want.revision || checksum != want.checksum) {
+			t.Fatalf("%q: %v %v, revision %d, checksum %d; the model has %v %v", name, got, ok, revision, checksum, want, there)
 		}
 	}
 	if table.Len() != len(model) {
@@ -56,24 +56,24 @@
 	seen := map[string]bool{}
 	for name, got := range table.All() {
 		if want, ok := model[name]; !ok || seen[name] || got != (Tenant{want.id, want.Terms}) {
-			t.Fatalf("All gives %q %v, the model has %v; given before: %v", name, got, want, seen[name])
+			t.Fatalf("All returned %q %v, the model has %v; returned before: %v", name, got, want, seen[name])
 		}
 		seen[name] = true
 	}
 	if len(seen) != len(model) {
-		t.Fatalf("All gives %d tenants of %d", len(seen), len(model))
+		t.Fatalf("All returned %d tenants of %d", len(seen), len(model))
 	}
 }
 
-// The table is a map: the same steps on both leave the same, whatever was removed, grown and cleared on the way.
-func TestTheTableIsAMap(t *testing.T) {
+// The same random steps on a table and on a map must give the same contents, and IDs must never be reused.
+func TestTableMatchesMapModel(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		var names []string
 		for i := range rapid.IntRange(1, 200).Draw(t, "names") {
 			names = append(names, strings.Repeat("n", i%3*100)+fmt.Sprint(i))
 		}
 		names = append(names, "", strings.Repeat("long", 1000))
-		table, model, given := new(Table), map[string]entry{}, map[int]bool{}
+		table, model, given := new(Table), map[string]modelEntry{}, map[int]bool{}
 		for step := range rapid.IntRange(1, 400).Draw(t, "steps") {
 			name := rapid.SampledFrom(names).Draw(t, "name")
 			if rapid.IntRange(0, 2).Draw(t, "kind") == 0 {
@@ -84,67 +84,68 @@
 				delete(model, name)
 				continue
 			}
-			e := entry{Terms: termsAt(step), revision: int64(step), sum: uint32(step)}
-			table.Put(name, e.Terms, e.revision, e.sum)
+			e := modelEntry{Terms: tenantTerms(step), revision: int64(step), checksum: uint32(step)}
+			table.Put(name, e.Terms, e.revision, e.checksum)
 			got, _ := table.Find(name)
 			if old, there := model[name]; there && got.ID != old.id || !there && given[got.ID] {
-				t.Fatalf("%q has the id %d; it had %d, and others' were %v", name, got.ID, old.id, given)
+				t.Fatalf("%q has the ID %d; it had %d before; IDs in use so far: %v", name, got.ID, old.id, given)
 			}
 			e.id, given[got.ID] = got.ID, true
 			model[name] = e
 		}
-		check(t, table, model, names)
+		checkAgainstModel(t, table, model, names)
 	})
 }
 
-// One shard through all that it does by itself: pages come and go, the index grows, removed names are cleared.
-func TestOneShardThroughManyChanges(t *testing.T) {
+// Drives one shard through growing and shrinking its pages, growing its index and compacting its arena, and checks its
+// invariants after each step.
+func TestShardInvariantsUnderManyChanges(t *testing.T) {
 	var s shard
 	rng := rand.New(rand.NewPCG(3, 3))
-	held, ids := map[string]uint32{}, uint32(0)
+	expected, ids := map[string]uint32{}, uint32(0)
 	most := 0
 	for step := range 60_000 {
-		name := nameAt(rng.IntN(800))
+		name := tenantName(rng.IntN(800))
 		hash := uint32(xxhash.Sum64String(name))
-		slot, at, ok := s.find(name, hash)
-		if _, want := held[name]; want != ok {
-			t.Fatalf("step %d: %q is found: %v", step, name, ok)
+		slot, pos, ok := s.find(name, hash)
+		if _, want := expected[name]; want != ok {
+			t.Fatalf("step %d: find(%q) = %v", step, name, ok)
 		}
 		grow := step/10_000%2 == 0
 		switch {
 		case ok && (!grow || rng.IntN(3) == 0):
-			s.remove(slot, at)
-			delete(held, name)
+			s.remove(slot, pos)
+			delete(expected, name)
 		case !ok && (grow || rng.IntN(4) == 0):
 			s.add(name, hash, ids)
-			held[name] = ids
+			expected[name] = ids
 			ids++
 		}
-		if s.count != len(held) || s.count > len(s.pages)*pageSize || (len(s.pages)-1)*pageSize > s.count+pageSize {
-			t.Fatalf("step %d: %d entries in %d pages, want %d", step, s.count, len(s.pages), len(held))
+		if s.count != len(expected) || s.count > len(s.pages)*pageSize || (len(s.pages)-1)*pageSize > s.count+pageSize {
+			t.Fatalf("step %d: %d entries in %d pages, want %d entries", step, s.count, len(s.pages), len(expected))
 		}
-		if s.dead > deadFree+len(s.arena)/deadMost {
-			t.Fatalf("step %d: %d of %d bytes are dead", step, s.dead, len(s.arena))
+		if s.deadBytes > deadAllowance+len(s.arena)/deadFraction {
+			t.Fatalf("step %d: %d of %d bytes of the arena belong to removed names", step, s.deadBytes, len(s.arena))
 		}
 		most = max(most, s.count)
 	}
-	for name, id := range held {
-		_, at, ok := s.find(name, uint32(xxhash.Sum64String(name)))
-		if p, i := s.entry(at); !ok || p.id[i] != id {
-			t.Errorf("%q: %v, not entry %d", name, ok, id)
+	for name, id := range expected {
+		_, pos, ok := s.find(name, uint32(xxhash.Sum64String(name)))
+		if p, i := s.entry(pos); !ok || p.id[i] != id {
+			t.Errorf("%q: found %v, want the entry with ID %d", name, ok, id)
 		}
 	}
 	used := 0
-	for at := range s.count {
-		used += len(s.nameOf(at)) + 1
+	for pos := range s.count {
+		used += len(s.nameOf(pos)) + 1
 	}
-	if used+s.dead != len(s.arena) || most < 400 {
-		t.Errorf("%d bytes used and %d dead of %d; %d entries at the most", used, s.dead, len(s.arena), most)
+	if used+s.deadBytes != len(s.arena) || most < 400 {
+		t.Errorf("arena: %d bytes in use and %d of removed names, %d in all; at most %d entries", used, s.deadBytes, len(s.arena), most)
 	}
 }
 
-// 300,000 tenants with revisions and sums lie within 20 MB, and still do when half of them have been replaced by others.
-func TestTheAnnouncedTenantsFitIntoTwentyMB(t *testing.T) {
+// 300,000 tenants with revisions and checksums must take at most 20 MB, also after half of them were replaced by others.
+func TestAnnouncedSizeFitsInTwentyMB(t *testing.T) {
 	const bound = 20_000_000
 	heap := func() uint64 {
 		runtime.GC()
@@ -153,27 +154,27 @@
 		return m.HeapAlloc
 	}
 	before := heap()
-	table := filled(many)
+	table := newTable(announcedSize)
 	after := heap()
 	t.Logf("%d tenants take %.2f MB", table.Len(), float64(after-before)/1e6)
 	if after-before > bound {
-		t.Errorf("%d tenants take %d bytes, over %d", many, after-before, bound)
+		t.Errorf("%d tenants take %d bytes, over %d", announcedSize, after-before, bound)
 	}
-	for i := range many / 2 {
-		table.Delete(nameAt(i))
-		table.Put(nameAt(many+i), termsAt(i), 1, 1)
+	for i := range announcedSize / 2 {
+		table.Delete(tenantName(i))
+		table.Put(tenantName(announcedSize+i), tenantTerms(i), 1, 1)
 	}
 	after = heap()
-	t.Logf("half of them replaced: %.2f MB", float64(after-before)/1e6)
-	if after-before > bound || table.Len() != many {
+	t.Logf("with half of them replaced: %.2f MB", float64(after-before)/1e6)
+	if after-before > bound || table.Len() != announcedSize {
 		t.Errorf("%d tenants, half of them replaced, take %d bytes, over %d", table.Len(), after-before, bound)
 	}
 	runtime.KeepAlive(table)
 }
 
-func TestFindingAllocatesNothing(t *testing.T) {
-	table, found := filled(10_000), 0
-	names := []string{nameAt(17), nameAt(9_999), "nobody"}
+func TestLookupsDoNotAllocate(t *testing.T) {
+	table, found := newTable(10_000), 0
+	names := []string{tenantName(17), tenantName(9_999), "nobody"}
 	if n := testing.AllocsPerRun(1000, func() {
 		for _, name := range names {
 			if _, ok := table.Find(name); ok {
@@ -188,35 +189,35 @@
 	}
 }
 
-// A change costs itself, in a table of the announced size: the median of all of them lies under 20 microseconds, and so does
-// their mean, which bears what is done now and then. The mean is of time on a core: a machine with other work was seen to take
-// half a second away from one of them.
-func TestAChangeCostsItself(t *testing.T) {
-	table := filled(many)
+// A change must not cost more as the table grows: at the announced size, the median and the mean of all changes must be
+// under 20 microseconds; the mean includes the occasional index growth and compaction. The mean is of CPU time, because
+// on a busy machine a single change was seen to lose half a second to other processes.
+func TestChangeCostIsBounded(t *testing.T) {
+	table := newTable(announcedSize)
 	const most = 20 * time.Microsecond
 	took := make([]time.Duration, 0, 40_000)
 	runtime.LockOSThread()
 	defer runtime.UnlockOSThread()
-	begin := onCore(t)
+	begin := threadCPUTime(t)
 	for i := range cap(took) / 2 {
 		from := time.Now()
-		table.Delete(nameAt(i * 7))
+		table.Delete(tenantName(i * 7))
 		took = append(took, time.Since(from))
 		from = time.Now()
-		table.Put(nameAt(many+i), termsAt(i), 1, 1)
+		table.Put(tenantName(announcedSize+i), tenantTerms(i), 1, 1)
 		took = append(took, time.Since(from))
 	}
-	mean := (onCore(t) - begin) / time.Duration(len(took))
+	mean := (threadCPUTime(t) - begin) / time.Duration(len(took))
 	slices.Sort(took)
 	median := took[len(took)/2]
 	t.Logf("median %v, 99.9 %% %v, longest %v, mean %v", median, took[len(took)*999/1000], took[len(took)-1], mean)
 	if median > most || mean > most {
-		t.Errorf("a change takes %v in the median and %v in the mean, over %v", median, mean, most)
+		t.Errorf("a change takes %v in the median and %v in the mean, want at most %v", median, mean, most)
 	}
 }
 
-// onCore is the time that this thread has had on a core.
-func onCore(t *testing.T) time.Duration {
+// threadCPUTime returns the CPU time that this thread has used.
+func threadCPUTime(t *testing.T) time.Duration {
 	t.Helper()
 	var at unix.Timespec
 	if err := unix.ClockGettime(unix.CLOCK_THREAD_CPUTIME_ID, &at); err != nil {
@@ -225,9 +226,10 @@
 	return time.Duration(at.Nano())
 }
 
-// Readers see an entry as it was or as it is, whatever is done meanwhile to it and to those beside it.
-func TestReadersBesideAWriter(t *testing.T) {
-	table := filled(2_000)
+// A reader must see an entry as it was before or after a change, never a mix of both, whatever a concurrent writer does
+// to it and its neighbours.
+func TestConcurrentReadersDuringWrites(t *testing.T) {
+	table := newTable(2_000)
 	stop := make(chan struct{})
 	var readers sync.WaitGroup
 	for r := range 3 {
@@ -240,11 +242,11 @@
 				default:
 				}
 				i := rng.IntN(4_000)
-				if got, ok := table.Find(nameAt(i)); ok && got.Quota != -got.Share && got.Terms != termsAt(i) {
-					t.Errorf("%q is seen as %v", nameAt(i), got)
+				if got, ok := table.Find(tenantName(i)); ok && got.Quota != -got.Share && got.Terms != tenantTerms(i) {
+					t.Errorf("%q was read as %v", tenantName(i), got)
 					return
 				} else if !ok && i < 1_000 {
-					t.Errorf("%q, which nobody removes, is not found", nameAt(i))
+					t.Errorf("%q is not found, though it is never deleted", tenantName(i))
 					return
 				}
 			}
@@ -254,44 +256,44 @@
 	for step := range 60_000 {
 		i := rng.IntN(4_000)
 		if i >= 1_000 && rng.IntN(2) == 0 {
-			table.Delete(nameAt(i))
+			table.Delete(tenantName(i))
 		} else {
 			q := float64(step + 1)
-			table.Put(nameAt(i), Terms{Quota: q, Share: -q}, int64(step), 0)
+			table.Put(tenantName(i), Terms{Quota: q, Share: -q}, int64(step), 0)
 		}
 	}
 	close(stop)
 	readers.Wait()
 }
 
-// What All gives may be taken out, changed and put back in the loop.
-func TestAllMayBeChangedFromWithin(t *testing.T) {
-	table := filled(5_000)
+// Entries may be deleted and replaced inside a loop over All.
+func TestTableMayChangeDuringAll(t *testing.T) {
+	table := newTable(5_000)
 	names := map[string]bool{}
-	for name, held := range table.All() {
+	for name, tenant := range table.All() {
 		names[name] = true
-		if held.ID%2 == 0 {
+		if tenant.ID%2 == 0 {
 			table.Delete(name)
 		} else {
 			table.Put(name, Terms{}, 1, 1)
 		}
 	}
 	if len(names) != 5_000 || table.Len() != 2_500 {
-		t.Errorf("%d given, %d left", len(names), table.Len())
+		t.Errorf("%d iterated, %d left", len(names), table.Len())
 	}
 	for range table.All() {
 		break
 	}
-	if left := maps.Collect(table.All()); len(left) != 2_500 || left[nameAt(1)].Terms != (Terms{}) {
-		t.Errorf("%d left, %v", len(left), left[nameAt(1)])
+	if left := maps.Collect(table.All()); len(left) != 2_500 || left[tenantName(1)].Terms != (Terms{}) {
+		t.Errorf("%d left, terms of one that was replaced: %v", len(left), left[tenantName(1)])
 	}
 }
 
 func BenchmarkFind(b *testing.B) {
-	table := filled(many)
+	table := newTable(announcedSize)
 	names := make([]string, 4096)
 	for i := range names {
-		names[i] = nameAt(rand.IntN(many))
+		names[i] = tenantName(rand.IntN(announcedSize))
 	}
 	b.ReportAllocs()
 	for i := 0; b.Loop(); i++ {
@@ -300,10 +302,10 @@
 }
 
 func BenchmarkReplace(b *testing.B) {
-	table := filled(many)
+	table := newTable(announcedSize)
 	names := make([]string, 4096)
 	for i := range names {
-		names[i] = nameAt(i)
+		names[i] = tenantName(i)
 	}
 	for i := 0; b.Loop(); i++ {
 		table.Delete(names[i%len(names)])
