--- a/internal/zones/health.go
+++ b/internal/zones/health.go
@@ -5,12 +5,12 @@
 	"time"
 )
 
-// A zone is well, dark or returning.
+// States of a zone.
 //
-//	well ------> dark          no sign of life, or nearly all that it says is failure, or its last member is gone
-//	dark ------> returning     trials were answered in time for long enough (hold)
-//	returning -> dark          as from well; or its answers stayed worse than before for too long
-//	returning -> well          its room has no longer turned a call away for a while
+//	well ------> dark          no response, nearly all responses are failures, or the last member is gone
+//	dark ------> returning     trials were answered in time for the hold time
+//	returning -> dark          as from well, or answers stayed worse than before for too long
+//	returning -> well          the limit has not refused a call for a while
 const (
 	well uint8 = iota
 	dark
@@ -20,180 +20,184 @@
 var stateNames = [...]string{"well", "dark", "returning"}
 
 const (
-	// A zone is dark when so many calls are without an answer: at 80 a second they come within 100 ms. On probation,
-	// or over a long silence, few are enough.
-	silentCalls = 8
-	silentFew   = 3
-	silentLong  = time.Second
-	// latTimes and latDevs: silence is also longer than this many times the slowest class's time plus deviations.
-	latTimes, latDevs = 3.0, 2.0
+	// A zone is dark when at least silenceMinCalls calls wait without any response: at 80 calls a second that many come
+	// within 100 ms. After longSilence, longSilenceMinCalls are enough; while a zone is returning, they are enough after
+	// the normal time as well.
+	silenceMinCalls     = 8
+	longSilenceMinCalls = 3
+	longSilence         = time.Second
+	// The time without a response must also exceed silenceLatencyFactor times the slowest class's mean latency plus
+	// latencyDeviations mean deviations.
+	silenceLatencyFactor, latencyDeviations = 3.0, 2.0
 
-	// failMost is the share of failures among what a zone says that makes it as good as dark: beyond what half of its
-	// app nodes failing alone could explain. failOver is the number of outcomes that it is seen over.
-	failMost = 0.85
-	failOver = 20.0
+	// maxFailureRatio is the share of failures above which a zone is treated as dark. It is higher than the failure of
+	// half of its app nodes could cause. failureWindow is the number of outcomes that the share is averaged over.
+	maxFailureRatio = 0.85
+	failureWindow   = 20.0
 
-	trialsAsked = 3               // answered trials, in a row
-	trialSlow   = 2 * time.Second // the longest pause between trials
-	trialHold   = 8               // trials within a hold, if they are not less often than that
+	requiredTrials = 3               // successful trials, with no failure in between
+	maxTrialPause  = 2 * time.Second // longest interval between trials
+	trialsPerHold  = 8               // trials per hold time, within the bounds of Settings.TrialEvery and maxTrialPause
 
-	// Returning: answers count as good as before within these.
-	lateMore  = 0.05 // share of answers in time that may be missing
-	worseMost = 1.5  // times the time that they took before
-	judgeFrom = 5    // answers; a step waits for them
-	badMost   = 4    // bad steps in a row that end the return
+	// A returning zone's answers count as good as before within these bounds.
+	maxOnTimeDrop  = 0.05 // permitted drop of the share of answers in time
+	maxSlowdown    = 1.5  // permitted mean latency relative to before
+	minStepAnswers = 5    // answers that a step waits for
+	maxBadSteps    = 4    // consecutive bad steps after which the zone is dark again
 
-	latOver  = 0.02 // weight of one answer in what is learned of times
-	goodOver = 0.01 // and in the share that comes in time
+	latencyWeight = 0.02 // weight of one answer in the moving averages of latency
+	onTimeWeight  = 0.01 // weight of one answer in the share of answers in time
 )
 
-// pace is what is known of the answers of one class in one zone.
-type pace struct {
+// latencyStats holds the latency of the answers of one class in one zone.
+type latencyStats struct {
 	seen      bool
 	mean, dev float64 // seconds
 }
 
+// zone is the state of one zone, as this balancer sees it.
 type zone struct {
 	name  string
 	state uint8
 
-	capacity    float64 // of ready members, warming ones by their warmth
-	ready, cold int
-	listed      bool    // Members has been called
-	each        float64 // the largest capacity seen per ready member, which is that of a warm one
+	capacity          float64 // total size of the ready members, those in slow start counted by their warmth
+	ready, cold       int
+	membersKnown      bool    // Members was called
+	capacityPerMember float64 // largest capacity seen per ready member, taken as that of a fully warm one
 
 	// load reports
-	busy      float64 // share of the capacity
-	busyKnown bool
-	busyAt    time.Duration
-	fresh     int // reports since the spill began
-	freshSum  float64
+	busy              float64 // smoothed share of the capacity in use
+	busyKnown         bool
+	busyAt            time.Duration
+	reportsSinceSpill int     // load reports since calls began to spill to it
+	busySinceSpill    float64 // sum of the busy shares of these reports
 
-	// signs of life
-	heard     bool          // there was one, ever
-	waitFrom  time.Duration // the first call without an answer since the last one
-	decidedN  int           // calls bound for it since the last sign of life
-	sentN     int           // attempts sent since then
-	calledOff int           // those among them that were called off when they were due
-	failing   float64       // share of failures
-	failSeen  float64       // outcomes behind it
-	intime    float64       // share of answers in time, when it was well
-	pace      []pace        // by class, when it was well
-	darkSince time.Duration
+	// responses and failures
+	everHeard        bool           // it has responded at least once
+	waitingSince     time.Duration  // when the first of the calls now waiting was decided or sent
+	decidedCount     int            // calls decided for it since the last response
+	sentCount        int            // attempts sent since the last response
+	overdueCancelled int            // those of sentCount that were cancelled after their usual latency
+	failureRatio     float64        // smoothed share of failures
+	outcomesSeen     float64        // outcomes behind failureRatio, at most failureWindow
+	onTimeRatio      float64        // smoothed share of answers in time while it was well
+	latency          []latencyStats // by class, while it was well
+	darkSince        time.Duration
 
 	// trials
-	trialAt, proofAt time.Duration // the next; the first success in a row
-	proofs           int
-	strikes          int
-	backAt           time.Duration // when it last left the dark
+	nextTrialAt, firstSuccessAt time.Duration // when the next trial is due; when the first of the current successes came
+	trialSuccesses              int
+	relapses                    int           // -1: never been dark
+	returnedAt                  time.Duration // when it last became returning
 
-	// room: see room.go
-	limited        bool
-	room           float64 // cores
-	level          float64 // of the bucket, core-seconds
-	levelAt        time.Duration
-	owed, owedRank int // calls bound for it and not yet sent; the rank of the dearest
-	owedAt         time.Duration
-	used           float64       // core-seconds sent since the last step
-	turnedAt       time.Duration // a call found no room
-	takenAt        time.Duration // one did
-	stepAt         time.Duration // the next step
-	stepFrom       time.Duration // the last
-	blind          bool          // the room is a guess, for want of reports
-	answers, timed float64       // since the last step: answers, those in time
-	failures       int           // connects and silence
-	worse          float64       // sum of times relative to before
-	bad            int           // bad steps in a row
+	// limit: see limit.go
+	limited                bool
+	limit                  float64 // cores; printed as "room"
+	tokens                 float64 // in the bucket, core-seconds; may be negative
+	tokensAt               time.Duration
+	pending, pendingRank   int // calls decided for it and not yet sent; rank of the most valuable of them
+	pendingAt              time.Duration
+	sentWork               float64       // core-seconds sent since the last step
+	refusedAt              time.Duration // when the limit last refused a call
+	acceptedAt             time.Duration // when a call was last accepted
+	nextStepAt             time.Duration // when the next step is due
+	lastStepAt             time.Duration // when the last step was made
+	limitGuessed           bool          // the limit is a guess, since no reports have come yet
+	answers, answersOnTime float64       // since the last step: answers, and those of them in time
+	failures               int           // since the last step: failed connects, timeouts and dropped calls
+	slowdownSum            float64       // sum of latencies relative to the mean while well
+	badSteps               int           // consecutive bad steps
 }
 
 func newZone(name string, classes int) zone {
-	return zone{name: name, intime: 1, pace: make([]pace, classes), strikes: -1, owedRank: classes}
+	return zone{name: name, onTimeRatio: 1, latency: make([]latencyStats, classes), relapses: -1, pendingRank: classes}
 }
 
-// open says whether calls may be meant for the zone at all.
-func (z *zone) open() bool { return z.state != dark && z.capacity > 0 }
+// usable reports whether calls may be sent to the zone, apart from trials.
+func (z *zone) usable() bool { return z.state != dark && z.capacity > 0 }
 
-// warmth is the share of their full capacity that the ready members have.
+// warmth returns the share of their full capacity that the ready members have, between 0.05 and 1.
 func (z *zone) warmth() float64 {
-	if z.ready == 0 || z.each <= 0 {
+	if z.ready == 0 || z.capacityPerMember <= 0 {
 		return 1
 	}
-	return min(1, max(0.05, z.capacity/(float64(z.ready)*z.each)))
+	return min(1, max(0.05, z.capacity/(float64(z.ready)*z.capacityPerMember)))
 }
 
-// Members tells what the list and the judgement of single app nodes leave of a zone: the sizes of its ready members in
-// all, warming ones counted by their warmth, and numbers. It is told again as they warm.
+// Members sets what is left of a zone after the member list and the health of single app nodes: the total size of its
+// ready members, those in slow start counted by their warmth, and the numbers of ready and of cold members. It is called
+// again as members warm up.
 func (s *State) Members(now time.Duration, zone int, capacity float64, ready, cold int) {
 	if zone < 0 || zone >= len(s.zones) {
 		return
 	}
 	z := &s.zones[zone]
 	s.now = max(s.now, now)
-	was, first := z.capacity, !z.listed
-	z.listed, z.capacity, z.ready, z.cold = true, max(0, capacity), ready, cold
+	oldCapacity, first := z.capacity, !z.membersKnown
+	z.membersKnown, z.capacity, z.ready, z.cold = true, max(0, capacity), ready, cold
 	if ready > 0 {
-		z.each = max(z.each, capacity/float64(ready))
+		z.capacityPerMember = max(z.capacityPerMember, capacity/float64(ready))
 	}
 	switch {
 	case first || z.state == dark:
 	case z.capacity <= 0:
-		s.darken(zone, "its last member has gone")
-	case z.capacity < was:
-		s.shrink(zone, was)
+		s.markDark(zone, "its last member is gone")
+	case z.capacity < oldCapacity:
+		s.handleCapacityLoss(zone, oldCapacity)
 	}
 }
 
-// Ended tells the one end of an attempt. util is the busy share of the app node and queue what waits there, from the
-// load report; util below 0: there is none.
+// Ended reports the end of an attempt, once for each. util is the busy share of the app node and queue the number of
+// calls waiting there, from the load report; util is negative if there was no report.
 func (s *State) Ended(now time.Duration, zone, class int, o Outcome, took time.Duration, inTime bool, util, queue float64) {
 	if zone < 0 || zone >= len(s.zones) || class < 0 || class >= len(s.classes) {
 		return
 	}
-	s.at(now)
+	s.advance(now)
 	z := &s.zones[zone]
 	answered := o == OK || o == Late || o == Errored || o == Shed
 	if answered {
-		z.heard, z.decidedN, z.sentN, z.calledOff = true, 0, 0, 0
+		z.everHeard, z.decidedCount, z.sentCount, z.overdueCancelled = true, 0, 0, 0
 		if util >= 0 && !math.IsNaN(util) && !math.IsInf(util, 0) {
-			s.report(z, min(util, 1), queue)
+			s.recordReport(z, min(util, 1), queue)
 		}
 	}
 	switch {
-	case o == Cancelled && took < s.usual(zone, class):
-		// Another copy was faster, and this one was not due: it says nothing of the zone.
-		z.sentN, z.decidedN = max(0, z.sentN-1), max(0, z.decidedN-1)
+	case o == Cancelled && took < s.usualLatency(zone, class):
+		// Another copy of the call was faster and this one was not overdue, so it says nothing about the zone.
+		z.sentCount, z.decidedCount = max(0, z.sentCount-1), max(0, z.decidedCount-1)
 	case o == Cancelled:
-		z.calledOff++
+		z.overdueCancelled++
 	}
-	s.failed(zone, o)
+	s.trackFailures(zone, o)
 	if z.state == dark {
-		s.proof(zone, o, inTime)
+		s.recordTrial(zone, o, inTime)
 		return
 	}
 	switch o {
 	case OK, Late:
-		s.answer(z, class, took, inTime && o == OK, util)
+		s.recordAnswer(z, class, took, inTime && o == OK, util)
 	case ConnectFailed, TimedOut, Dropped:
 		z.failures++
 	}
 }
 
-// answer enters the time of an answer: into what is normal while all is well, else into the judgement of the step.
-func (s *State) answer(z *zone, class int, took time.Duration, inTime bool, util float64) {
-	t, p := took.Seconds(), &z.pace[class]
+// recordAnswer adds the latency of an answer to the averages of a well zone, or to the current step of a returning one.
+func (s *State) recordAnswer(z *zone, class int, took time.Duration, inTime bool, util float64) {
+	t, p := took.Seconds(), &z.latency[class]
 	z.answers++
 	if inTime {
-		z.timed++
+		z.answersOnTime++
 	}
 	if z.state == returning {
 		if p.seen {
-			z.worse += t / max(p.mean, 1e-4)
+			z.slowdownSum += t / max(p.mean, 1e-4)
 		} else {
-			z.worse++
+			z.slowdownSum++
 		}
 		return
 	}
-	step := latOver
+	step := latencyWeight
 	if !p.seen {
 		p.seen, p.dev, step = true, t/2, 1
 	}
@@ -203,23 +207,24 @@
 	if inTime {
 		hit = 1
 	}
-	z.intime += goodOver * (hit - z.intime)
-	if c := &s.classes[class]; c.learnt { // M/M/1: a call is there for its work over the free share
-		c.cost += latOver * (t*(1-min(max(util, 0), 0.75)) - c.cost)
+	z.onTimeRatio += onTimeWeight * (hit - z.onTimeRatio)
+	if c := &s.classes[class]; c.costLearned { // M/M/1: latency is the work divided by the idle share
+		c.cost += latencyWeight * (t*(1-min(max(util, 0), 0.75)) - c.cost)
 	}
 }
 
-// usual is the time within which most answers of a class come; where a zone has hardly been used, as in the own one.
-func (s *State) usual(zone, class int) time.Duration {
-	p := &s.zones[zone].pace[class]
+// usualLatency returns the time within which most answers of a class come. A zone without answers of that class yet
+// gets the own zone's value.
+func (s *State) usualLatency(zone, class int) time.Duration {
+	p := &s.zones[zone].latency[class]
 	if !p.seen {
-		p = &s.zones[s.cfg.Own].pace[class]
+		p = &s.zones[s.cfg.Own].latency[class]
 	}
-	return time.Duration((p.mean + latDevs*p.dev) * float64(time.Second))
+	return time.Duration((p.mean + latencyDeviations*p.dev) * float64(time.Second))
 }
 
-// failed watches for a zone that answers, and answers nothing but failures.
-func (s *State) failed(zone int, o Outcome) {
+// trackFailures marks a zone dark that responds with hardly anything but failures.
+func (s *State) trackFailures(zone int, o Outcome) {
 	z, bad := &s.zones[zone], 0.0
 	switch o {
 	case Errored, Dropped, ConnectFailed:
@@ -228,61 +233,61 @@
 	default:
 		return
 	}
-	z.failSeen = min(z.failSeen+1, failOver)
-	z.failing += (bad - z.failing) / z.failSeen
-	if z.state != dark && z.failSeen >= failOver && z.failing > failMost {
-		s.darken(zone, "all but nothing of what it is sent succeeds")
+	z.outcomesSeen = min(z.outcomesSeen+1, failureWindow)
+	z.failureRatio += (bad - z.failureRatio) / z.outcomesSeen
+	if z.state != dark && z.outcomesSeen >= failureWindow && z.failureRatio > maxFailureRatio {
+		s.markDark(zone, "nearly all calls sent to it fail")
 	}
 }
 
-// silence looks whether a zone has said nothing for too long while calls wait for it.
-func (s *State) silence(zone int) {
+// checkSilence marks a zone dark that has not responded for too long while calls wait for it.
+func (s *State) checkSilence(zone int) {
 	z := &s.zones[zone]
-	n := max(z.decidedN, z.sentN)
-	if z.state == dark || n < silentFew {
+	waiting := max(z.decidedCount, z.sentCount)
+	if z.state == dark || waiting < longSilenceMinCalls {
 		return
 	}
-	quiet, limit := s.now-z.waitFrom, s.cfg.SilentFor
-	for i := range z.pace {
-		if p := &z.pace[i]; p.seen {
-			limit = max(limit, time.Duration(latTimes*(p.mean+latDevs*p.dev)/z.warmth()*float64(time.Second)))
+	quiet, limit := s.now-z.waitingSince, s.cfg.SilentFor
+	for i := range z.latency {
+		if p := &z.latency[i]; p.seen {
+			limit = max(limit, time.Duration(silenceLatencyFactor*(p.mean+latencyDeviations*p.dev)/z.warmth()*float64(time.Second)))
 		}
 	}
-	long := max(limit, silentLong)
+	long := max(limit, longSilence)
 	limit = min(limit, long)
-	if !z.heard {
-		limit = long // nothing is known yet of how long answers take
+	if !z.everHeard {
+		limit = long // how long answers take is not known yet
 	}
-	if quiet >= limit && (n >= silentCalls || z.state == returning) || quiet >= long && n-z.calledOff >= silentFew {
-		s.darken(zone, "no sign of life for "+quiet.Round(time.Millisecond).String())
+	if quiet >= limit && (waiting >= silenceMinCalls || z.state == returning) || quiet >= long && waiting-z.overdueCancelled >= longSilenceMinCalls {
+		s.markDark(zone, "no response for "+quiet.Round(time.Millisecond).String())
 	}
 }
 
-// waiting notes that an answer is due from now on.
-func (s *State) waiting(z *zone) {
-	if z.decidedN == 0 && z.sentN == 0 {
-		z.waitFrom = s.now
+// startWaiting sets the start of the waiting time if no call waits for the zone yet.
+func (s *State) startWaiting(z *zone) {
+	if z.decidedCount == 0 && z.sentCount == 0 {
+		z.waitingSince = s.now
 	}
 }
 
-// darken takes a zone out of service. Each time that follows soon after the last return counts as a relapse.
-func (s *State) darken(zone int, why string) {
+// markDark takes a zone out of service. If that happens soon after its last return, it counts as a relapse.
+func (s *State) markDark(zone int, why string) {
 	z := &s.zones[zone]
-	if z.strikes < 0 {
-		z.strikes = 0
+	if z.relapses < 0 {
+		z.relapses = 0
 	} else {
-		z.strikes = max(0, z.strikes+1-int((s.now-z.backAt)/s.cfg.Forgive))
+		z.relapses = max(0, z.relapses+1-int((s.now-z.returnedAt)/s.cfg.Forgive))
 	}
-	z.state, z.darkSince, z.proofs = dark, s.now, 0
-	z.trialAt = s.now + s.cfg.TrialEvery
-	z.limited, z.room, z.level = true, 0, 0
-	s.note(zone, "%s: dark; trials for %v before it gets calls back", why, s.hold(z))
+	z.state, z.darkSince, z.trialSuccesses = dark, s.now, 0
+	z.nextTrialAt = s.now + s.cfg.TrialEvery
+	z.limited, z.limit, z.tokens = true, 0, 0
+	s.addNote(zone, "%s: dark; trials for %v before it gets calls back", why, s.holdTime(z))
 }
 
-// hold is how long trials must succeed.
-func (s *State) hold(z *zone) time.Duration {
+// holdTime returns how long trials must succeed before the zone returns. It doubles with each relapse.
+func (s *State) holdTime(z *zone) time.Duration {
 	h := s.cfg.HoldFirst
-	for range max(0, z.strikes) {
+	for range max(0, z.relapses) {
 		if h = 2 * h; h >= s.cfg.HoldMost {
 			return s.cfg.HoldMost
 		}
@@ -290,25 +295,26 @@
 	return min(h, s.cfg.HoldMost)
 }
 
-// trial bounds a call for a dark zone, now and then: one that may go elsewhere when nothing comes.
-func (s *State) trial(class int) (Bound, bool) {
-	if !s.classes[class].Movable && (s.movable || class != s.least) {
+// trialBound returns the bound of a trial call, if a dark zone is due for one. The call is of a movable class, which can
+// be repeated elsewhere if the trial fails; if there is no such class, it is of the least valuable one.
+func (s *State) trialBound(class int) (Bound, bool) {
+	if !s.classes[class].Movable && (s.anyMovable || class != s.leastValuable) {
 		return Bound{}, false
 	}
 	for _, t := range s.cfg.Tiers {
 		for _, i := range t {
 			z := &s.zones[i]
-			if z.state != dark || z.capacity <= 0 || s.now < z.trialAt {
+			if z.state != dark || z.capacity <= 0 || s.now < z.nextTrialAt {
 				continue
 			}
-			slow := s.hold(z) / trialHold
-			if z.proofs == 0 {
-				slow = (s.now - z.darkSince) / 20 // a zone long lost is asked less often
+			pause := s.holdTime(z) / trialsPerHold
+			if z.trialSuccesses == 0 {
+				pause = (s.now - z.darkSince) / 20 // the longer a zone has been dark, the rarer its trials
 			}
-			z.trialAt = s.now + max(s.cfg.TrialEvery, min(slow, trialSlow))
+			z.nextTrialAt = s.now + max(s.cfg.TrialEvery, min(pause, maxTrialPause))
 			b := Bound{First: 1 << i, Later: 1 << i, Trial: true}
 			if s.classes[class].Movable {
-				if rest := s.others(i); rest != 0 {
+				if rest := s.laterZones(i); rest != 0 {
 					b.Later = rest
 				}
 			}
@@ -318,20 +324,20 @@
 	return Bound{}, false
 }
 
-// proof counts what a dark zone answers. One failure begins the count anew.
-func (s *State) proof(zone int, o Outcome, inTime bool) {
+// recordTrial counts the successful trials of a dark zone. A failure restarts the count.
+func (s *State) recordTrial(zone int, o Outcome, inTime bool) {
 	z := &s.zones[zone]
 	switch {
 	case o == OK && inTime:
-		if z.proofs++; z.proofs == 1 {
-			z.proofAt = s.now
-			z.trialAt = min(z.trialAt, s.now+s.cfg.TrialEvery)
+		if z.trialSuccesses++; z.trialSuccesses == 1 {
+			z.firstSuccessAt = s.now
+			z.nextTrialAt = min(z.nextTrialAt, s.now+s.cfg.TrialEvery)
 		}
-		if z.proofs >= trialsAsked && s.now-z.proofAt >= s.hold(z) && z.capacity > 0 {
-			s.comeBack(zone)
+		if z.trialSuccesses >= requiredTrials && s.now-z.firstSuccessAt >= s.holdTime(z) && z.capacity > 0 {
+			s.beginReturn(zone)
 		}
 	case o == Cancelled || o == Late || o == Shed || o == OK:
 	default:
-		z.proofs = 0
+		z.trialSuccesses = 0
 	}
 }
--- a/internal/zones/zones.go
+++ b/internal/zones/zones.go
@@ -1,15 +1,16 @@
-// Package zones owns what the zones of a pool may be sent: how much of a balancer's calls goes to its own zone, how much
-// spills to others, what is shed because none has room, and how a zone that was lost gets its calls back. It answers
-// each call with a bound, a set of zones; which app node of them, whether to repeat and what to refuse for other reasons
-// is the business of whoever asks. It must never read a clock, do I/O, start a goroutine, draw a random number, or walk
-// over app nodes or calls: the work for an event grows with the number of zones and classes alone.
+// Package zones decides how a balancer spreads the calls of a pool over zones: how many stay in its own zone, how many
+// spill to others, what is shed because no zone has capacity for it, and how a zone that was lost gets its calls back.
+// It answers each call with a bound, a set of zones; choosing an app node, repeating an attempt and refusing calls for
+// other reasons are up to the caller. The package must never read a clock, do I/O, start a goroutine, draw a random
+// number, or iterate over app nodes or calls: the cost of an event grows with the number of zones and classes alone.
 //
-// All that it knows comes from what happens anyway: the list of members, load reports in answers, connects, answers.
+// It sends no probes of its own. Its inputs are the list of members, load reports in answers, and the outcomes of
+// connects and calls.
 //
-// Each zone has a room: the work a second, in cores, that this balancer may send it, kept by a bucket (bucket.go). The
-// own zone's room has no bound while it carries what comes. A zone that says nothing is dark and gets trials alone
-// (health.go); from then on its room grows from a small start. Rooms are set in steps (room.go), each no sooner than the
-// last one's effect can be seen in load reports, so that delay cannot make them swing.
+// Each zone has a limit: the work per second, in cores, that this balancer may send it, enforced by a token bucket. The
+// own zone is unlimited while it can carry the load. A zone that stops responding is dark and gets only trial calls
+// (health.go); after that, its limit grows from a small start. Limits are adjusted in steps (limit.go), each no sooner
+// than the effect of the last one shows in load reports, so that the reporting delay cannot cause oscillation.
 package zones
 
 import (
@@ -24,62 +25,64 @@
 
 // Class is one kind of call.
 type Class struct {
-	Value   float64 // worth per unit of work: the least is shed first
-	Work    float64 // mean work in ms of a core of size 1; 0: learned from the times of answers
-	Movable bool    // an attempt that may have run may be repeated in another zone
+	Value   float64 // value per unit of work: the class with the lowest is shed first
+	Work    float64 // mean work in ms on a core of size 1; 0: learned from response times
+	Movable bool    // an attempt that may have been executed may be repeated in another zone
 }
 
-// Settings are fixed for the life of a State. A limit of 0 means the default.
+// Settings are fixed for the lifetime of a State. For the numbers and durations from Fill on, 0 means the default.
 type Settings struct {
-	Zones     []string // by index, which is also the bit in a bound
+	Zones     []string // names; a zone's index is also its bit in a Bound
 	Own       int      // the balancer's zone
-	Tiers     [][]int  // zones in order of preference; those of a tier are alike
-	Balancers int      // that send to the same zones as this one and cannot talk to it
+	Tiers     [][]int  // zones in order of preference; those of one tier are equivalent
+	Balancers int      // number of balancers that send to the same zones, this one included, without coordination
 	Classes   []Class
 
 	Fill       float64       // share of another zone's capacity up to which calls may spill there
 	SpillFrom  float64       // share of the own zone's capacity from which calls leave it
-	SilentFor  time.Duration // without any sign of life, though calls are out, until a zone is dark
-	TrialEvery time.Duration // between trials of a dark zone, at first
-	HoldFirst  time.Duration // for so long trials must succeed before a zone gets calls back; doubled at each relapse
-	HoldMost   time.Duration
-	Forgive    time.Duration // a relapse is forgotten after so long a time of good service
-	Settle     time.Duration // from a change of what a zone is sent until load reports show it whole
+	SilentFor  time.Duration // time without any response, while calls are outstanding, after which a zone is dark
+	TrialEvery time.Duration // initial interval between trials of a dark zone
+	HoldFirst  time.Duration // how long trials must succeed before a zone gets calls back; doubled at each relapse
+	HoldMost   time.Duration // upper bound of the doubled HoldFirst
+	Forgive    time.Duration // good service of this length cancels one relapse
+	Settle     time.Duration // time until load reports fully show a change of the load sent to a zone
 }
 
-// Defaults of the limits, with their reasons.
+// Defaults of Settings.
 const (
-	// fill leaves a zone that takes spill the tenth that its own clients' bursts need: beyond it queues of a single
-	// server are ten deep (M/M/1).
-	fill = 0.9
-	// spillFrom lies above fill: zones that are both busy must not send calls past each other.
-	spillFrom = 0.95
-	// silentFor is several times what a healthy node takes and longer than the stalls seen in service (130 ms), yet a
-	// third of the shortest deadline, so that calls caught by it can still be repeated.
-	silentFor = 200 * time.Millisecond
-	// trialEvery: a call caught by a trial is late by a connect timeout or is lost; four a second of a hundred or so.
-	trialEvery = 250 * time.Millisecond
-	// holdFirst is two trials more than the three that are asked for; with holdMost the sixth relapse waits 16 s, and
-	// a return is still over within a minute.
-	holdFirst = 500 * time.Millisecond
-	holdMost  = 16 * time.Second
-	forgive   = 60 * time.Second
-	// settle: a report is refreshed every 430 to 1300 ms and averages over that time, travels up to 300 ms, and is
-	// smoothed here over busyOver. A step may follow the last one when nine tenths of that one's effect is seen.
-	settle = 2500 * time.Millisecond
+	// defaultFill leaves a tenth of a zone that takes spilled calls to the bursts of its own clients. Above it, the
+	// queue of a single server is about ten deep (M/M/1).
+	defaultFill = 0.9
+	// defaultSpillFrom is above defaultFill, or two busy zones would send calls to each other.
+	defaultSpillFrom = 0.95
+	// defaultSilentFor is several times the response time of a healthy node and longer than the stalls seen in service
+	// (130 ms), yet a third of the shortest deadline, so that the calls affected can still be repeated.
+	defaultSilentFor = 200 * time.Millisecond
+	// defaultTrialEvery makes four trials a second, of a hundred calls or so. A call used as a trial is delayed by a
+	// connect timeout or lost.
+	defaultTrialEvery = 250 * time.Millisecond
+	// defaultHoldFirst leaves time for two trials beyond the three that are required. With defaultHoldMost, the sixth
+	// relapse waits 16 s, and a return still completes within a minute.
+	defaultHoldFirst = 500 * time.Millisecond
+	defaultHoldMost  = 16 * time.Second
+	defaultForgive   = 60 * time.Second
+	// defaultSettle: a load report is refreshed every 430 to 1300 ms and averages over that time, arrives up to 300 ms
+	// late, and is smoothed here over busySmoothing. A step may follow the last one when nine tenths of that one's effect
+	// is visible.
+	defaultSettle = 2500 * time.Millisecond
 )
 
-// lookEvery is how often what time brings about is looked after while calls flow: a fraction of silentFor.
-const lookEvery = 20 * time.Millisecond
+// updateInterval is how often time-dependent state is updated while calls arrive: a fraction of defaultSilentFor.
+const updateInterval = 20 * time.Millisecond
 
-// Bound says where a call may go: sets of zones as bits, 0 for anywhere.
+// Bound says which zones a call may go to, as bit sets by zone index; 0 means anywhere.
 type Bound struct {
-	First, Later uint64 // for the first attempt, for further ones
-	Shed         bool   // no zone has room for it: refuse it now
-	Trial        bool   // the first attempt finds out whether a zone is back
+	First, Later uint64 // for the first attempt and for further ones
+	Shed         bool   // no zone has capacity for it: refuse it now
+	Trial        bool   // the first attempt tests whether a dark zone responds again
 }
 
-// Outcome of an attempt.
+// Outcome is how an attempt ended.
 type Outcome uint8
 
 const (
@@ -93,85 +96,87 @@
 	Cancelled
 )
 
-// Note is a line for the log.
+// Note is a log line.
 type Note struct {
-	Zone int // -1: all
+	Zone int // zone index; -1: all zones
 	Text string
 }
 
 type class struct {
 	Class
-	rank   int     // 0: the dearest
-	cost   float64 // core-seconds of a call, before price
-	learnt bool    // cost comes from answers
+	rank        int     // by descending Value; 0: the most valuable class
+	cost        float64 // core-seconds of a call, before costScale
+	costLearned bool    // cost is learned from response times
 }
 
-// State decides for one balancer and one pool.
+// State holds the decisions of one balancer for one pool. It is not safe for concurrent use.
 type State struct {
-	cfg     Settings
-	now     time.Duration
-	zones   []zone
-	classes []class
-	notes   []Note
-	lost    bool // every zone is bad
-	began   bool // some zone has had members
-	movable bool // some class is
-	least   int  // the class that is worth least
+	cfg           Settings
+	now           time.Duration
+	zones         []zone
+	classes       []class
+	notes         []Note
+	allDown       bool // no zone is usable
+	membersSeen   bool // some zone was usable at some time
+	anyMovable    bool // some class is movable
+	leastValuable int  // the class of the lowest Value
 
-	price      float64 // what a unit of cost comes to in reported load; see learnPrice
-	priced     float64 // how much has been learned of it, in seconds
-	work, load float64 // means behind it: cost sent to the own zone a second, and this balancer's part of its load
-	calm       float64 // busy share of the own zone, when it was last well; 0: not known
-	rate       float64 // cost sent to the own zone a second, of late
-	lookAt     time.Duration
+	costScale        float64 // reported load per unit of cost; see learnCostScale
+	costScaleLearned float64 // seconds of load that costScale was learned from
+	// Smoothed inputs of costScale: the cost per second sent to the own zone, and this balancer's part of that zone's
+	// load.
+	meanWork, meanLoad float64
+	normalBusy         float64 // smoothed busy share of the own zone when it was last well and unlimited; 0: not known
+	sendRate           float64 // recent cost per second sent to the own zone
+	nextUpdateAt       time.Duration
 }
 
-// New checks the settings and makes the state: every zone is taken to be well until it shows otherwise.
+// New checks the settings and returns a State in which every zone is presumed well.
 func New(cfg Settings) (*State, error) {
-	orElse(&cfg.Fill, fill)
-	orElse(&cfg.SpillFrom, spillFrom)
-	orElse(&cfg.SilentFor, silentFor)
-	orElse(&cfg.TrialEvery, trialEvery)
-	orElse(&cfg.HoldFirst, holdFirst)
-	orElse(&cfg.HoldMost, holdMost)
-	orElse(&cfg.Forgive, forgive)
-	orElse(&cfg.Settle, settle)
-	if err := check(&cfg); err != nil {
+	setDefault(&cfg.Fill, defaultFill)
+	setDefault(&cfg.SpillFrom, defaultSpillFrom)
+	setDefault(&cfg.SilentFor, defaultSilentFor)
+	setDefault(&cfg.TrialEvery, defaultTrialEvery)
+	setDefault(&cfg.HoldFirst, defaultHoldFirst)
+	setDefault(&cfg.HoldMost, defaultHoldMost)
+	setDefault(&cfg.Forgive, defaultForgive)
+	setDefault(&cfg.Settle, defaultSettle)
+	if err := checkSettings(&cfg); err != nil {
 		return nil, err
 	}
-	s := &State{cfg: cfg, price: 1, lost: true}
+	s := &State{cfg: cfg, costScale: 1, allDown: true}
 	for _, name := range cfg.Zones {
 		s.zones = append(s.zones, newZone(name, len(cfg.Classes)))
 	}
 	order := make([]int, len(cfg.Classes))
 	for i, c := range cfg.Classes {
 		order[i] = i
-		k := class{Class: c, cost: c.Work / 1000, learnt: c.Work == 0}
-		if k.learnt {
-			k.cost = 0.02 // until the first answers
+		k := class{Class: c, cost: c.Work / 1000, costLearned: c.Work == 0}
+		if k.costLearned {
+			k.cost = 0.02 // until the first answers arrive
 		}
-		s.movable = s.movable || c.Movable
+		s.anyMovable = s.anyMovable || c.Movable
 		s.classes = append(s.classes, k)
 	}
 	slices.SortStableFunc(order, func(a, b int) int { return cmp.Compare(cfg.Classes[b].Value, cfg.Classes[a].Value) })
 	for rank, i := range order {
 		s.classes[i].rank = rank
 	}
-	s.least = order[len(order)-1]
+	s.leastValuable = order[len(order)-1]
 	return s, nil
 }
 
-func orElse[T float64 | time.Duration](v *T, def T) {
+func setDefault[T float64 | time.Duration](v *T, def T) {
 	if *v == 0 {
 		*v = def
 	}
 }
 
-func check(cfg *Settings) error {
+func checkSettings(cfg *Settings) error {
 	seen := uint64(0)
 	switch n := len(cfg.Zones); {
 	case n == 0 || n > 63:
-		return fmt.Errorf("zones: Zones: %d of them, and 1 to 63 can be kept", n)
+		return fmt.Errorf("zones: Zones: %d zones, want 1 to 63", n)
 	case cfg.Own < 0 || cfg.Own >= n:
 		return fmt.Errorf("zones: Own: there is no zone %d", cfg.Own)
 	case cfg.Balancers < 1:
@@ -197,7 +202,7 @@
 		}
 	}
 	if len(cfg.Tiers) == 0 || len(cfg.Tiers[0]) != 1 || cfg.Tiers[0][0] != cfg.Own {
-		return errors.New("zones: Tiers[0] must be the own zone alone")
+		return errors.New("zones: Tiers[0] must hold the own zone and no other")
 	}
 	for _, d := range []struct {
 		key string
@@ -211,117 +216,118 @@
 	return nil
 }
 
-// at takes the clock, which never runs back, and looks after what time alone brings about.
-func (s *State) at(now time.Duration) {
+// advance sets the clock, which never runs backwards, and calls update when updateInterval has passed.
+func (s *State) advance(now time.Duration) {
 	s.now = max(s.now, now)
-	if s.now >= s.lookAt {
-		s.look()
-		s.lookAt = s.now + lookEvery
+	if s.now >= s.nextUpdateAt {
+		s.update()
+		s.nextUpdateAt = s.now + updateInterval
 	}
 }
 
-// look does what follows from the passing of time.
-func (s *State) look() {
+// update applies what depends on time alone: silence, limit steps, the cost scale, and whether any zone is usable.
+func (s *State) update() {
 	for i := range s.zones {
-		s.silence(i)
-		s.step(i)
+		s.checkSilence(i)
+		s.adjustLimit(i)
 	}
-	s.learnPrice()
+	s.learnCostScale()
 	lost := true
 	for _, t := range s.cfg.Tiers {
 		for _, i := range t {
-			lost = lost && !s.zones[i].open()
+			lost = lost && !s.zones[i].usable()
 		}
 	}
-	if lost != s.lost {
-		s.lost = lost
-		if !s.began {
-			s.began = true // before the first list there is nothing to say
+	if lost != s.allDown {
+		s.allDown = lost
+		if !s.membersSeen {
+			s.membersSeen = true // nothing is logged before the first list of members
 		} else if lost {
-			s.note(-1, "no zone answers or has members: calls go everywhere")
+			s.addNote(-1, "no zone answers or has members: calls go everywhere")
 		} else {
-			s.note(-1, "a zone serves again: calls go by zone")
+			s.addNote(-1, "a zone serves again: calls go by zone")
 		}
 	}
 }
 
-// Tick looks after what time brings about, and gives the lines for the log since the last one.
+// Tick updates time-dependent state and returns the log lines since the last call of Tick.
 func (s *State) Tick(now time.Duration) []Note {
 	s.now = max(s.now, now)
-	s.look()
+	s.update()
 	notes := s.notes
 	s.notes = nil
 	return notes
 }
 
-func (s *State) note(zone int, format string, args ...any) {
-	const most = 64 // who never collects them must not fill the memory
+// addNote queues a log line for Tick, prefixed with the zone's name.
+func (s *State) addNote(zone int, format string, args ...any) {
+	const maxNotes = 64 // bounds memory if Tick is never called
 	text := fmt.Sprintf(format, args...)
 	if zone >= 0 {
 		text = "zone " + s.cfg.Zones[zone] + ": " + text
 	}
-	if len(s.notes) < most {
+	if len(s.notes) < maxNotes {
 		s.notes = append(s.notes, Note{zone, text})
 	}
 }
 
-// Arrived answers a call with its bound.
+// Arrived returns the bound for a call that arrives now, and reserves capacity for it.
 func (s *State) Arrived(now time.Duration, class int) Bound {
-	s.at(now)
-	if s.lost || class < 0 || class >= len(s.classes) {
+	s.advance(now)
+	if s.allDown || class < 0 || class >= len(s.classes) {
 		return Bound{}
 	}
-	if b, ok := s.trial(class); ok {
+	if b, ok := s.trialBound(class); ok {
 		return b
 	}
 	for _, t := range s.cfg.Tiers {
-		if i := s.roomIn(t, class); i >= 0 {
-			s.decided(i, class)
-			return s.bound(i, class)
+		if i := s.pickZone(t, class); i >= 0 {
+			s.reserve(i, class)
+			return s.boundFor(i, class)
 		}
 	}
-	// The own zone, if it stands, is better than none: it is only busy, and who picks its app node sees how busy.
+	// A busy own zone is better than none while it is well: whoever picks its app node sees how busy each one is.
 	if own := s.cfg.Own; s.zones[own].state == well && s.zones[own].capacity > 0 {
-		s.decided(own, class)
-		return s.bound(own, class)
+		s.reserve(own, class)
+		return s.boundFor(own, class)
 	}
 	return Bound{Shed: true}
 }
 
-// roomIn finds the zone of a tier that has most room left for a call, or -1.
-func (s *State) roomIn(tier []int, class int) int {
-	best, most := -1, 0.0
+// pickZone returns the zone of a tier with the most capacity left for a call, or -1.
+func (s *State) pickZone(tier []int, class int) int {
+	best, mostLeft := -1, 0.0
 	for _, i := range tier {
 		z := &s.zones[i]
-		if !z.open() {
+		if !z.usable() {
 			continue
 		}
-		left := s.left(i, class)
+		left := s.remaining(i, class)
 		if left < 0 {
-			z.turnedAt = s.now
+			z.refusedAt = s.now
 			continue
 		}
-		if best < 0 || left > most {
-			best, most = i, left
+		if best < 0 || left > mostLeft {
+			best, mostLeft = i, left
 		}
 	}
 	return best
 }
 
-// bound is that of a call whose first attempt is for a zone.
-func (s *State) bound(first, class int) Bound {
+// boundFor returns the bound of a call whose first attempt goes to a given zone.
+func (s *State) boundFor(first, class int) Bound {
 	b := Bound{First: 1 << first, Later: 1 << first}
 	if s.classes[class].Movable {
-		b.Later |= s.others(first)
+		b.Later |= s.laterZones(first)
 	}
 	return b
 }
 
-// others are the zones that may be sent further attempts: those that are well and not full.
-func (s *State) others(but int) (set uint64) {
+// laterZones returns the zones other than but that further attempts may go to: those that are well and not full.
+func (s *State) laterZones(exclude int) (set uint64) {
 	for _, t := range s.cfg.Tiers {
 		for _, i := range t {
-			if z := &s.zones[i]; i != but && z.state == well && z.capacity > 0 && !s.full(z) {
+			if z := &s.zones[i]; i != exclude && z.state == well && z.capacity > 0 && !s.full(z) {
 				set |= 1 << i
 			}
 		}
@@ -329,7 +335,7 @@
 	return set
 }
 
-// Describe puts the state into one line.
+// Describe returns the state as one line.
 func (s *State) Describe() string {
 	var b strings.Builder
 	for i := range s.zones {
@@ -342,7 +348,7 @@
 			fmt.Fprintf(&b, "busy %.0f%%, ", 100*z.busy)
 		}
 		if z.limited {
-			b.WriteString("room " + strconv.FormatFloat(z.room, 'f', 2, 64))
+			b.WriteString("room " + strconv.FormatFloat(z.limit, 'f', 2, 64))
 		} else {
 			b.WriteString("no bound")
 		}
