--- a/internal/routes/bench_test.go
+++ b/internal/routes/bench_test.go
@@ -7,25 +7,27 @@
 	"testing"
 )
 
+// matcher is implemented by the structures compared in BenchmarkMatch.
 type matcher interface {
 	Match(host, path, method, class string) int
 }
 
-// asTable has a tree answer as a table does.
-type asTable struct{ *Tree }
+// treeMatcher adapts a Tree to matcher.
+type treeMatcher struct{ *Tree }
 
-func (t asTable) Match(host, path, method, class string) int {
+func (t treeMatcher) Match(host, path, method, class string) int {
 	if c := t.Tree.Match(host, path, method, class); c != nil {
 		return 0
 	}
 	return None
 }
 
-// hot asks for 64 routes again and again, as most days do; scattered for all, so that large tables pay for the
-// processor's caches too; deep for 64 with 24 segments more, where another route of the host is as long.
+// The case hot uses the same 64 routes again and again, as typical traffic does; scattered uses all of them, so that
+// cache misses of large tables are included; deep uses 64 routes with 24 more segments each, on hosts with equally long
+// routes.
 func BenchmarkMatch(b *testing.B) {
 	for _, n := range []int{10, 1000, 10_000} {
-		rules, calls := mixed(n)
+		rules, calls := generateRules(n)
 		tail := strings.Repeat("/x", 24)
 		for i := range min(n, 64) {
 			rules = append(rules, Rule{Host: rules[i].Host, Prefix: fmt.Sprint("/deep-", i, tail), To: rules[i].To})
@@ -34,7 +36,7 @@
 		if err != nil {
 			b.Fatal(err)
 		}
-		tree, _ := treeOf(b, rules)
+		tree, _ := newTestTree(b, rules)
 		rnd := rand.New(rand.NewPCG(3, 4))
 		asked := make([]call, 1<<14)
 		for i := range asked {
@@ -45,21 +47,21 @@
 			deep[i] = calls[i%min(n, 64)]
 			deep[i].path += tail
 		}
-		for _, way := range []struct {
+		for _, implementation := range []struct {
 			name string
 			m    matcher
-		}{{"trie", table}, {"tree", asTable{&tree}}, {"lengths", newByLength(table)}} {
-			for _, of := range []struct {
+		}{{"trie", table}, {"tree", treeMatcher{&tree}}, {"lengths", newLengthTable(table)}} {
+			for _, workload := range []struct {
 				name  string
 				calls []call
 			}{{"hot", asked[:64]}, {"scattered", asked}, {"deep", deep}} {
-				b.Run(fmt.Sprintf("%s/%s/%d", way.name, of.name, n), func(b *testing.B) {
+				b.Run(fmt.Sprintf("%s/%s/%d", implementation.name, workload.name, n), func(b *testing.B) {
 					b.ReportAllocs()
 					i := 0
 					for b.Loop() {
-						c := &of.calls[i&(len(of.calls)-1)]
+						c := &workload.calls[i&(len(workload.calls)-1)]
 						i++
-						if way.m.Match(c.host, c.path, c.method, c.class) == None {
+						if implementation.m.Match(c.host, c.path, c.method, c.class) == None {
 							b.Fatal(c)
 						}
 					}
@@ -92,7 +94,7 @@
 }
 
 func BenchmarkCompile(b *testing.B) {
-	rules, _ := mixed(10_000)
+	rules, _ := generateRules(10_000)
 	b.ReportAllocs()
 	for b.Loop() {
 		if _, err := Compile(rules, []string{"p"}, nil); err != nil {
@@ -101,12 +103,12 @@
 	}
 }
 
-// A change is one route that goes and comes again.
+// A change removes one route and adds it again.
 func BenchmarkChange(b *testing.B) {
 	for _, n := range []int{1000, 10_000} {
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
-			rules, _ := mixed(n)
-			tree, claims := treeOf(b, rules)
+			rules, _ := generateRules(n)
+			tree, claims := newTestTree(b, rules)
 			b.ReportAllocs()
 			i := 0
 			for b.Loop() {
--- a/internal/routes/claim.go
+++ b/internal/routes/claim.go
@@ -6,8 +6,8 @@
 	"strings"
 )
 
-// Claim is one rule that has been checked, with its rank among others that match the same calls with equal precedence:
-// the lower revision goes first, then the lower key. It never changes.
+// Claim is one validated rule with a key and a revision. Among claims that match the same calls with equal precedence,
+// the one with the lower revision wins, then the one with the lower key. A Claim is immutable.
 type Claim struct {
 	Key      string
 	Revision int64
@@ -15,54 +15,58 @@
 	entry
 }
 
-// NewClaim checks a rule, but for whether its pools are there: that is Lead's to tell. classes are those that calls can
-// have, as for Compile.
+// NewClaim validates a rule, except that its pools exist, which Lead checks. classes are those that calls can have, as
+// for Compile.
 func NewClaim(r Rule, key string, revision int64, classes []string) (*Claim, error) {
 	c := &Claim{Key: key, Revision: revision, entry: entry{Rule: r}}
-	if err := c.check(nil, classes); err != nil {
+	if err := c.validate(nil, classes); err != nil {
 		return nil, err
 	}
 	return c, nil
 }
 
-// Lead gives the claim with the places of its pools; where one has none, its name.
-func (c *Claim) Lead(place func(pool string) (int, bool)) (led *Claim, missing string) {
-	led = new(Claim)
-	*led = *c
-	led.shares = make([]share, 0, len(c.shares))
-	at := 0
+// Lead returns a copy of the claim with the indexes of its pools, as indexOf gives them. If a pool has none,
+// resolved is nil and missing is the pool's name.
+func (c *Claim) Lead(indexOf func(pool string) (int, bool)) (resolved *Claim, missing string) {
+	resolved = new(Claim)
+	*resolved = *c
+	resolved.shares = make([]share, 0, len(c.shares))
+	next := 0
 	for _, s := range c.To {
-		pool, ok := place(s.Pool)
+		pool, ok := indexOf(s.Pool)
 		if !ok {
 			return nil, s.Pool
 		}
 		if s.Weight > 0 {
-			from := c.shares[at]
-			from.pool = pool
-			led.shares = append(led.shares, from)
-			at++
+			resolvedShare := c.shares[next]
+			resolvedShare.pool = pool
+			resolved.shares = append(resolved.shares, resolvedShare)
+			next++
 		}
 	}
-	return led, ""
+	return resolved, ""
 }
 
-// Pool is the place of the pool that a key is led to, by the draw of Table.Pool.
+// Pool returns the index of the pool that a key belongs to, chosen as by Table.Pool.
 func (c *Claim) Pool(key uint64) int { return c.pool(key) }
 
-func (c *Claim) rank(d *Claim) int {
+// compareRank orders claims of equal precedence.
+func (c *Claim) compareRank(d *Claim) int {
 	return cmp.Or(cmp.Compare(c.Revision, d.Revision), cmp.Compare(c.Key, d.Key))
 }
 
-// Place names the host and path of a claim: none of another place matches the same calls with equal precedence.
+// Place identifies the host and path of a claim. Claims with different places never match the same call with equal
+// precedence.
 func (c *Claim) Place() string { return string(rune('0'+c.kind)) + c.domain + c.Prefix }
 
-// String is what the claim matches, in words.
-func (c *Claim) String() string { return c.wants() }
+// String describes what the claim matches.
+func (c *Claim) String() string { return c.describe() }
 
-// Tie is a claim that has lost calls to another, which matches them with equal precedence and has the better rank.
+// Tie is a claim that loses calls to another one, which matches them with equal precedence and comes first by revision
+// and key.
 type Tie struct {
 	Lost, To *Claim
-	Methods  []string // that it lost; nil: all calls
+	Methods  []string // for which Lost loses its calls; nil: it loses all calls
 }
 
 func (t Tie) String() string {
--- a/internal/routes/explain.go
+++ b/internal/routes/explain.go
@@ -6,40 +6,40 @@
 	"strings"
 )
 
-// Passed is an entry that a call did not go by.
-type Passed struct {
-	Entry int
-	Why   string
-	Near  bool // host and path do match
+// Skipped is an entry that was not chosen for a call.
+type Skipped struct {
+	Entry           int
+	Why             string
+	SameHostAndPath bool // host and path match the call
 }
 
-// Explanation is how a table comes to its entry for a call.
+// Explanation tells why a table chose its entry for a call.
 type Explanation struct {
-	Entry  int      // None: no entry matches
-	Passed []Passed // all others, by precedence
+	Entry   int       // the chosen one; None: no entry matches
+	Skipped []Skipped // all other entries, by precedence
 
 	table *Table
 	call  string
 }
 
-// Explain asks each entry in turn, by precedence and not by Match's ways, and says what speaks against those passed
-// over. It is for people: its cost grows with the table.
+// Explain checks the entries one by one in order of precedence, without the trie that Match uses, and gives a reason
+// for each one not chosen. It is for diagnosis: its cost grows with the table.
 func (t *Table) Explain(host, path, method, class string) Explanation {
-	var buf [maxHost]byte
-	name := string(fold(&buf, host))
+	var buf [maxHostLength]byte
+	name := string(normalizeHost(&buf, host))
 	x := Explanation{Entry: None, table: t, call: fmt.Sprintf("%s %s%s, class %q", method, host, path, class)}
 	for _, i := range t.order {
 		e := &t.entries[i]
-		p := Passed{Entry: i}
+		p := Skipped{Entry: i}
 		switch {
-		case e.kind == oneHost && name != e.domain:
+		case e.kind == exactHost && name != e.domain:
 			p.Why = fmt.Sprintf("the host is not %s", e.domain)
-		case e.kind == oneLabel && string(parent([]byte(name))) != e.domain:
+		case e.kind == wildcardHost && string(parentDomain([]byte(name))) != e.domain:
 			p.Why = fmt.Sprintf("the host is not one label before .%s", e.domain)
 		case e.Prefix != "" && path != e.Prefix && !strings.HasPrefix(path, e.Prefix+"/"):
 			p.Why = fmt.Sprintf("the path is not below %s", e.Prefix)
 		default:
-			p.Near = true
+			p.SameHostAndPath = true
 			switch {
 			case e.Methods != nil && !slices.Contains(e.Methods, method):
 				p.Why = fmt.Sprintf("the method is not %s", strings.Join(e.Methods, " or "))
@@ -49,63 +49,64 @@
 				x.Entry = i
 				continue
 			default:
-				p.Why = fmt.Sprintf("matches too, but %s", before(&t.entries[x.Entry], e))
+				p.Why = fmt.Sprintf("matches too, but %s", lossReason(&t.entries[x.Entry], e))
 			}
 		}
-		x.Passed = append(x.Passed, p)
+		x.Skipped = append(x.Skipped, p)
 	}
 	return x
 }
 
-// before says what puts the entry that won before another one that matches.
-func before(won, lost *entry) string {
+// lossReason tells why an entry that matches comes after the chosen one.
+func lossReason(chosen, other *entry) string {
 	switch {
-	case won.kind < lost.kind:
+	case chosen.kind < other.kind:
 		return "is less exact about the host"
-	case len(won.Prefix) > len(lost.Prefix):
+	case len(chosen.Prefix) > len(other.Prefix):
 		return "its path is shorter"
-	case won.Methods != nil && lost.Methods == nil:
+	case chosen.Methods != nil && other.Methods == nil:
 		return "names no method"
 	}
 	return "names no class"
 }
 
-// String tells the entry that matched and those that came near; the others are counted.
+// String lists the chosen entry and the others with a matching host and path; the rest are counted.
 func (x Explanation) String() string {
 	var b strings.Builder
 	fmt.Fprintf(&b, "%s\n", x.call)
 	if x.Entry == None {
 		b.WriteString("  matches no entry\n")
 	} else {
-		fmt.Fprintf(&b, "  goes by %s\n", x.table.line(x.Entry))
+		fmt.Fprintf(&b, "  goes by %s\n", x.table.describeEntry(x.Entry))
 	}
-	far := 0
-	for _, p := range x.Passed {
-		if !p.Near {
-			far++
+	others := 0
+	for _, p := range x.Skipped {
+		if !p.SameHostAndPath {
+			others++
 			continue
 		}
 		fmt.Fprintf(&b, "  not by %s: %s\n", x.table.label(p.Entry), p.Why)
 	}
-	if far > 0 {
-		fmt.Fprintf(&b, "  %d of other hosts or paths\n", far)
+	if others > 0 {
+		fmt.Fprintf(&b, "  %d of other hosts or paths\n", others)
 	}
 	return b.String()
 }
 
-// Describe lists the entries by precedence, one a line.
+// Describe lists the entries by precedence, one per line.
 func (t *Table) Describe() string {
 	var b strings.Builder
 	for _, i := range t.order {
-		b.WriteString(t.line(i) + "\n")
+		b.WriteString(t.describeEntry(i) + "\n")
 	}
 	return b.String()
 }
 
-// String counts the entries.
+// String returns the number of entries.
 func (t *Table) String() string { return fmt.Sprintf("%d routes", len(t.entries)) }
 
-func (t *Table) line(i int) string {
+// describeEntry returns one line with the label, conditions and pools of an entry.
+func (t *Table) describeEntry(i int) string {
 	e := &t.entries[i]
 	sum, to := 0.0, make([]string, len(e.To))
 	for _, s := range e.To {
@@ -116,16 +117,16 @@
 			to[k] += fmt.Sprintf(" %.4g %%", 100*s.Weight/sum)
 		}
 	}
-	return fmt.Sprintf("%s: %s -> %s", t.label(i), e.wants(), strings.Join(to, ", "))
+	return fmt.Sprintf("%s: %s -> %s", t.label(i), e.describe(), strings.Join(to, ", "))
 }
 
-// wants is what an entry matches, in words.
-func (e *entry) wants() string {
+// describe returns what an entry matches, in words.
+func (e *entry) describe() string {
 	host, path, methods, class := "any host", "any path", "any method", "any class"
 	switch e.kind {
-	case oneHost:
+	case exactHost:
 		host = e.domain
-	case oneLabel:
+	case wildcardHost:
 		host = "*." + e.domain
 	}
 	if e.Prefix != "" {
--- a/internal/routes/routes_test.go
+++ b/internal/routes/routes_test.go
@@ -13,28 +13,28 @@
 
 func TestMain(m *testing.M) { walks.Main(m, 0, 0) }
 
-// agree has a table, the other search, the explanation and the twin answer one call.
-func agree(t interface{ Fatalf(string, ...any) }, table *Table, other *byLength, rules []Rule, c call) {
-	want, tie := scan(rules, c)
+// checkMatch compares the answers of a table, its lengthTable, its explanation and the reference for one call.
+func checkMatch(t interface{ Fatalf(string, ...any) }, table *Table, other *lengthTable, rules []Rule, c call) {
+	want, tie := referenceMatch(rules, c)
 	got := table.Match(c.host, c.path, c.method, c.class)
 	if got != want || tie {
-		t.Fatalf("%+v: %d, the twin has %d (tie: %v) in\n%s", c, got, want, tie, table.Describe())
+		t.Fatalf("%+v: %d, the reference has %d (tie: %v) in\n%s", c, got, want, tie, table.Describe())
 	}
 	if got := other.Match(c.host, c.path, c.method, c.class); got != want {
-		t.Fatalf("%+v: by length %d, the twin has %d", c, got, want)
+		t.Fatalf("%+v: lengthTable has %d, the reference %d", c, got, want)
 	}
 	x := table.Explain(c.host, c.path, c.method, c.class)
-	if x.Entry != want || len(x.Passed)+min(want+1, 1) != len(rules) {
-		t.Fatalf("%+v: explained as\n%s, the twin has %d", c, x, want)
+	if x.Entry != want || len(x.Skipped)+min(want+1, 1) != len(rules) {
+		t.Fatalf("%+v: explained as\n%s, the reference has %d", c, x, want)
 	}
 }
 
-func TestATableMatchesAsAScanInTheDocumentedOrder(t *testing.T) {
+func TestTableMatchesReference(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		var rules []Rule
 		var table *Table
-		crowded := rapid.Bool().Draw(t, "crowded")         // so that one host and prefix has more than a few
-		for range rapid.IntRange(1, 40).Draw(t, "tries") { // those that make no table are left out
+		crowded := rapid.Bool().Draw(t, "crowded")         // many entries with one host and prefix
+		for range rapid.IntRange(1, 40).Draw(t, "tries") { // rules that would be rejected are left out
 			r := drawRule(t)
 			if crowded {
 				if r.Host, r.Prefix = "a.x", "/a"; len(r.Methods) > 1 {
@@ -49,26 +49,26 @@
 		if table == nil {
 			return
 		}
-		other := newByLength(table)
+		other := newLengthTable(table)
 		for range 60 {
-			host, path := rapid.SampledFrom(askHosts).Draw(t, "host"), rapid.SampledFrom(askPaths).Draw(t, "path")
+			host, path := rapid.SampledFrom(callHosts).Draw(t, "host"), rapid.SampledFrom(callPaths).Draw(t, "path")
 			if crowded {
 				host, path = "a.x", "/a/7"
 			}
-			agree(t, table, other, rules, call{host, path, rapid.SampledFrom(askMethods).Draw(t, "method"),
+			checkMatch(t, table, other, rules, call{host, path, rapid.SampledFrom(callMethods).Draw(t, "method"),
 				rapid.SampledFrom([]string{"read", "book", "bulk", ""}).Draw(t, "class")})
 		}
 	})
 }
 
-// Compile's verdict is held against all calls there are, for rules of few words: a set is at fault if and only if two
-// of it tie for some call or one of it gets none.
-func TestAFaultIsWhatNoCallOrNoOrderResolves(t *testing.T) {
+// Compares Compile with an enumeration of all calls over a small vocabulary: a set of rules must be rejected if and
+// only if two of them tie for some call or one of them gets no call.
+func TestCompileRejectsExactlyTiesAndUnreachableRules(t *testing.T) {
 	faults, total := 0, 0
 	rapid.Check(t, func(t *rapid.T) {
 		var rules []Rule
-		host := rapid.SampledFrom(someHosts).Draw(t, "the host")
-		prefix := rapid.SampledFrom(somePrefixes).Draw(t, "the prefix")
+		host := rapid.SampledFrom(ruleHosts).Draw(t, "the host")
+		prefix := rapid.SampledFrom(rulePrefixes).Draw(t, "the prefix")
 		for range rapid.IntRange(1, 5).Draw(t, "rules") {
 			r := drawRule(t)
 			if rapid.IntRange(0, 3).Draw(t, "elsewhere") > 0 {
@@ -76,13 +76,13 @@
 			}
 			rules = append(rules, r)
 		}
-		known, asked := someClasses, someClasses
+		known, asked := ruleClasses, ruleClasses
 		if rapid.Bool().Draw(t, "classes unknown") {
 			known, asked = nil, []string{"read", "book", "bulk"}
 		}
 		wins, tied := make([]int, len(rules)), false
-		everyCall(asked, func(c call) {
-			best, tie := scan(rules, c)
+		forEachCall(asked, func(c call) {
+			best, tie := referenceMatch(rules, c)
 			if tied = tied || tie; best != None {
 				wins[best]++
 			}
@@ -96,28 +96,28 @@
 		}
 	})
 	if faults < total/10 || faults > total*9/10 {
-		t.Errorf("%d of %d were at fault: too lopsided to show anything", faults, total)
+		t.Errorf("%d of %d sets were rejected: too uneven to show anything", faults, total)
 	}
 }
 
-func TestALargeTableMatchesAsTheScan(t *testing.T) {
-	rules, calls := mixed(2000)
+func TestLargeTableMatchesReference(t *testing.T) {
+	rules, calls := generateRules(2000)
 	rules = append(rules, Rule{Name: "rest", To: []Share{{"p", 1}}})
 	table, err := Compile(rules, []string{"p"}, nil)
 	if err != nil {
 		t.Fatal(err)
 	}
-	other, rnd := newByLength(table), rand.New(rand.NewPCG(1, 2))
+	other, rnd := newLengthTable(table), rand.New(rand.NewPCG(1, 2))
 	for range 500 {
 		c := calls[rnd.IntN(len(calls))]
 		if rnd.IntN(2) == 0 {
 			c.path = c.path[:1+rnd.IntN(len(c.path))]
 		}
-		agree(t, table, other, rules, c)
+		checkMatch(t, table, other, rules, c)
 	}
 }
 
-func TestPathsAreTakenAsTheyCame(t *testing.T) {
+func TestPathsAreMatchedWithoutDecoding(t *testing.T) {
 	p, longest := []Share{{"p", 1}}, strings.Repeat("x.", 126)+"x"
 	table, err := Compile([]Rule{
 		{Host: "a.yard.example", Prefix: "/booking", To: p}, {Host: "*.yard.example", Prefix: "/booking", To: p},
@@ -151,7 +151,7 @@
 	}
 }
 
-func TestAFaultNamesTheEntries(t *testing.T) {
+func TestCompileErrorsNameTheEntries(t *testing.T) {
 	p := []Share{{"p", 1}}
 	for want, rules := range map[string][]Rule{
 		`routes[1] "b" can never match: routes[0] "a" matches just the same: x, /a, GET|PUT, class read`: {
@@ -162,32 +162,32 @@
 		`routes[0] "rest" can never match: routes[1] and routes[2] "b" go before it in each class`: {
 			{Name: "rest", Prefix: "/a", To: p}, {Prefix: "/a", Class: "read", To: p},
 			{Name: "b", Prefix: "/a", Class: "book", To: p}},
-		`routes[0] "a" and routes[1] "a" have one name`:     {{Name: "a", Host: "x", To: p}, {Name: "a", Host: "y", To: p}},
-		`routes[0]: methods: an empty list`:                 {{Methods: []string{}, To: p}},
-		`routes[0]: methods: "get"`:                         {{Methods: []string{"get"}, To: p}},
-		`routes[0]: methods: GET is there twice`:            {{Methods: []string{"GET", "GET"}, To: p}},
-		`routes[0]: class: "bulk" can never match`:          {{Class: "bulk", To: p}},
-		`host: "*" is every host`:                           {{Host: "*", To: p}},
-		`host: "*.*.x" has a *`:                             {{Host: "*.*.x", To: p}},
-		`host: "a.*.x" has a *`:                             {{Host: "a.*.x", To: p}},
-		`host: "a*.x" has '*'`:                              {{Host: "a*.x", To: p}},
-		"host: \"\u212a.x\" has":                            {{Host: "\u212a.x", To: p}}, // its lower case is an ASCII k
-		`host: "x:80" has a port`:                           {{Host: "x:80", To: p}},
-		`host: "x." has an empty label`:                     {{Host: "x.", To: p}},
-		`is no address`:                                     {{Host: "[x]", To: p}},
-		`no label is longer`:                                {{Host: strings.Repeat("x", 64), To: p}},
-		`no name is longer`:                                 {{Host: "*." + strings.Repeat("x.", 126), To: p}},
-		`path: "a" does not begin`:                          {{Prefix: "a", To: p}},
-		`path: "/a/" has an empty segment`:                  {{Prefix: "/a/", To: p}},
-		`path: "/a/../b" has a segment ..`:                  {{Prefix: "/a/../b", To: p}},
-		`path: "/a%2" has a % without`:                      {{Prefix: "/a%2", To: p}},
-		`path: "/a?" has '?' in it`:                         {{Prefix: "/a?", To: p}},
-		`routes[0]: leads to no pool`:                       {{}},
-		`routes[0]: pool: there is none named "q"`:          {{To: []Share{{"q", 1}}}},
-		`routes[0]: pool: "p" is there twice`:               {{To: []Share{{"p", 1}, {"p", 2}}}},
-		`routes[0]: weight: -1 of "p"`:                      {{To: []Share{{"p", -1}}}},
-		`routes[0]: weight: NaN of "p"`:                     {{To: []Share{{"p", math.NaN()}}}},
-		`routes[0]: weight: all are 0, and no pool is left`: {{To: []Share{{"p", 0}}}},
+		`routes[0] "a" and routes[1] "a" have the same name`:    {{Name: "a", Host: "x", To: p}, {Name: "a", Host: "y", To: p}},
+		`routes[0]: methods: an empty list`:                     {{Methods: []string{}, To: p}},
+		`routes[0]: methods: "get"`:                             {{Methods: []string{"get"}, To: p}},
+		`routes[0]: methods: GET is listed twice`:               {{Methods: []string{"GET", "GET"}, To: p}},
+		`routes[0]: class: "bulk" can never match`:              {{Class: "bulk", To: p}},
+		`host: "*" matches every host`:                          {{Host: "*", To: p}},
+		`host: "*.*.x" has a misplaced *`:                       {{Host: "*.*.x", To: p}},
+		`host: "a.*.x" has a misplaced *`:                       {{Host: "a.*.x", To: p}},
+		`host: "a*.x" has '*'`:                                  {{Host: "a*.x", To: p}},
+		"host: \"\u212a.x\" has":                                {{Host: "\u212a.x", To: p}}, // its lower case is an ASCII k
+		`host: "x:80" has a port`:                               {{Host: "x:80", To: p}},
+		`host: "x." has an empty label`:                         {{Host: "x.", To: p}},
+		`is not an IP address`:                                  {{Host: "[x]", To: p}},
+		`a label has at most 63`:                                {{Host: strings.Repeat("x", 64), To: p}},
+		`a host name has at most 253`:                           {{Host: "*." + strings.Repeat("x.", 126), To: p}},
+		`path: "a" does not begin`:                              {{Prefix: "a", To: p}},
+		`path: "/a/" has an empty segment`:                      {{Prefix: "/a/", To: p}},
+		`path: "/a/../b" has a segment ..`:                      {{Prefix: "/a/../b", To: p}},
+		`path: "/a%2" has a % without`:                          {{Prefix: "/a%2", To: p}},
+		`path: "/a?" has '?' in it`:                             {{Prefix: "/a?", To: p}},
+		`routes[0]: leads to no pool`:                           {{}},
+		`routes[0]: pool: there is none named "q"`:              {{To: []Share{{"q", 1}}}},
+		`routes[0]: pool: "p" is listed twice`:                  {{To: []Share{{"p", 1}, {"p", 2}}}},
+		`routes[0]: weight: -1 of "p"`:                          {{To: []Share{{"p", -1}}}},
+		`routes[0]: weight: NaN of "p"`:                         {{To: []Share{{"p", math.NaN()}}}},
+		`routes[0]: weight: all are 0, so that no pool is left`: {{To: []Share{{"p", 0}}}},
 	} {
 		_, err := Compile(rules, []string{"p"}, []string{"read", "book"})
 		if err == nil || !strings.Contains(err.Error(), want) {
@@ -196,7 +196,7 @@
 	}
 }
 
-func TestWhatPeopleAreTold(t *testing.T) {
+func TestDescribeAndExplain(t *testing.T) {
 	methods := []string{"PUT", "POST"}
 	table, err := Compile([]Rule{
 		{Name: "rest", To: []Share{{"all", 1}}},
@@ -229,20 +229,20 @@
 	}
 }
 
-// Matching is the same without it; what it saves is memory and steps.
-func TestPathsWithoutABranchAreOneStep(t *testing.T) {
+// Chains without branches must be merged into one node. Matching does not depend on it, memory and speed do.
+func TestUnbranchedPathsAreOneNode(t *testing.T) {
 	p := []Share{{"p", 1}}
 	table, err := Compile([]Rule{{Prefix: "/a/b/c/d", To: p}, {Prefix: "/a/b/c/d/e/f", To: p},
 		{Prefix: "/x/y/z", To: p}, {Prefix: "/x/y/w", To: p}}, []string{"p"}, nil)
 	if err != nil {
 		t.Fatal(err)
 	}
-	var laid []string
-	for _, n := range table.trie.nodes[everyHost+1:] {
-		laid = append(laid, n.name+n.tail)
+	var labels []string
+	for _, n := range table.trie.nodes[anyHostRoot+1:] {
+		labels = append(labels, n.name+n.tail)
 	}
-	if want := []string{"a/b/c/d", "e/f", "x/y", "w", "z"}; !slices.Equal(laid, want) {
-		t.Errorf("%q, want %q", laid, want)
+	if want := []string{"a/b/c/d", "e/f", "x/y", "w", "z"}; !slices.Equal(labels, want) {
+		t.Errorf("%q, want %q", labels, want)
 	}
 }
 
@@ -276,29 +276,29 @@
 		}
 		path = PathOf(path)
 		if PathOf(path) != path && path != "" {
-			t.Fatalf("%q has another path, %q", path, PathOf(path))
+			t.Fatalf("PathOf(%q) changes when applied again: %q", path, PathOf(path))
 		}
 		table, err := Compile(rules, []string{"p"}, nil)
 		if err != nil {
 			return
 		}
-		var buf [maxHost]byte // the twin takes a name as it is
-		c := call{string(fold(&buf, host)), path, method, class}
-		if want, _ := scan(rules, c); table.Match(host, path, method, class) != want {
-			t.Fatalf("%q %+v: %d, the twin has %d", host, c, table.Match(host, path, method, class), want)
+		var buf [maxHostLength]byte // the reference does not normalize host names
+		c := call{string(normalizeHost(&buf, host)), path, method, class}
+		if want, _ := referenceMatch(rules, c); table.Match(host, path, method, class) != want {
+			t.Fatalf("%q %+v: %d, the reference has %d", host, c, table.Match(host, path, method, class), want)
 		}
-		if len(rules) > 0 { // it was made from calls; ask for one that an entry was made for
+		if len(rules) > 0 { // also try a call made to match the last rule
 			r := rules[len(rules)-1]
 			c = call{strings.Replace(r.Host, "*", "w", 1), r.Prefix, method, r.Class}
-			if want, _ := scan(rules, c); table.Match(c.host, c.path, c.method, c.class) != want {
-				t.Fatalf("%+v: %d, the twin has %d", c, table.Match(c.host, c.path, c.method, c.class), want)
+			if want, _ := referenceMatch(rules, c); table.Match(c.host, c.path, c.method, c.class) != want {
+				t.Fatalf("%+v: %d, the reference has %d", c, table.Match(c.host, c.path, c.method, c.class), want)
 			}
 		}
 	})
 }
 
-func TestAMatchAllocatesNothing(t *testing.T) {
-	rules, calls := mixed(1000)
+func TestTableMatchDoesNotAllocate(t *testing.T) {
+	rules, calls := generateRules(1000)
 	rules[0].To = []Share{{"p", 95}, {"q", 5}}
 	table, err := Compile(rules, []string{"p", "q"}, nil)
 	if err != nil {
--- a/internal/routes/split_test.go
+++ b/internal/routes/split_test.go
@@ -8,8 +8,8 @@
 	"pgregory.net/rapid"
 )
 
-// spread gives the pool of each of the keys 0 to n-1.
-func spread(t interface{ Fatalf(string, ...any) }, n int, to ...Share) (pools []int) {
+// poolsOfKeys returns the pools of the keys 0 to n-1.
+func poolsOfKeys(t interface{ Fatalf(string, ...any) }, n int, to ...Share) (pools []int) {
 	table, err := Compile([]Rule{{To: to}}, []string{"a", "b", "c", "d"}, nil)
 	if err != nil {
 		t.Fatalf("%v", err)
@@ -30,32 +30,32 @@
 
 const manyKeys = 5_000
 
-// near allows five standard deviations of a count of manyKeys draws.
-func near(count int, p float64) bool {
+// withinTolerance reports whether a count of manyKeys draws of probability p is within five standard deviations.
+func withinTolerance(count int, p float64) bool {
 	return math.Abs(float64(count)/manyKeys-p) <= 5*math.Sqrt(p*(1-p)/manyKeys)+1e-9
 }
 
-func TestSharesFollowTheirWeights(t *testing.T) {
+func TestSharesFollowWeights(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		to, sum, counts := drawShares(t, 1), 0.0, map[int]int{}
-		for _, p := range spread(t, manyKeys, to...) {
+		for _, p := range poolsOfKeys(t, manyKeys, to...) {
 			counts[p]++
 		}
 		for _, s := range to {
 			sum += s.Weight
 		}
 		for _, s := range to {
-			if p := s.Weight / sum; !near(counts[int(s.Pool[0]-'a')], p) {
-				t.Fatalf("%s has %d of %d keys, due are %v", s.Pool, counts[int(s.Pool[0]-'a')], manyKeys, p)
+			if p := s.Weight / sum; !withinTolerance(counts[int(s.Pool[0]-'a')], p) {
+				t.Fatalf("%s has %d of %d keys, want a share of %v", s.Pool, counts[int(s.Pool[0]-'a')], manyKeys, p)
 			}
 		}
 	})
 }
 
-// From 5 % to 10 % a canary gains keys and loses none, and nothing else changes hands.
-func TestAWeightThatGrowsMovesTheDifferenceAlone(t *testing.T) {
-	before, moved := spread(t, manyKeys, Share{"a", 95}, Share{"b", 5}), 0
-	after := spread(t, manyKeys, Share{"a", 90}, Share{"b", 10})
+// When a canary grows from 5 % to 10 %, it must gain keys and lose none, and no other key may move.
+func TestGrowingWeightOnlyGainsKeys(t *testing.T) {
+	before, moved := poolsOfKeys(t, manyKeys, Share{"a", 95}, Share{"b", 5}), 0
+	after := poolsOfKeys(t, manyKeys, Share{"a", 90}, Share{"b", 10})
 	for i := range before {
 		if before[i] != after[i] {
 			if moved++; after[i] != 1 {
@@ -63,26 +63,26 @@
 			}
 		}
 	}
-	if !near(moved, 0.05) {
-		t.Errorf("%d of %d keys moved, due are 5 %%", moved, manyKeys)
+	if !withinTolerance(moved, 0.05) {
+		t.Errorf("%d of %d keys moved, want 5 %%", moved, manyKeys)
 	}
-	rapid.Check(t, func(t *rapid.T) { // and one weight of several, up from anything, 0 included
+	rapid.Check(t, func(t *rapid.T) { // the same for one of several weights, growing from any value including 0
 		to := drawShares(t, 2)
 		i := rapid.IntRange(0, len(to)-1).Draw(t, "which")
 		less := slices.Clone(to)
 		less[i].Weight = float64(rapid.IntRange(0, int(to[i].Weight)).Draw(t, "before"))
-		before, after := spread(t, manyKeys, less...), spread(t, manyKeys, to...)
+		before, after := poolsOfKeys(t, manyKeys, less...), poolsOfKeys(t, manyKeys, to...)
 		for k := range before {
 			if before[k] != after[k] && after[k] != int(to[i].Pool[0]-'a') {
-				t.Fatalf("key %d went from %d to %d, and only %s grew", k, before[k], after[k], to[i].Pool)
+				t.Fatalf("key %d moved from %d to %d, but only %s grew", k, before[k], after[k], to[i].Pool)
 			}
 		}
 	})
 }
 
-// With any other change, what moves is what the paper says: 1 - sum of 1/sum of max(x_j/x_i, y_j/y_i). The order of the
-// shares is nothing to it.
-func TestAnyChangeMovesNoMoreThanTheory(t *testing.T) {
+// For any change of weights from x to y, the share of keys that move must be as in Moulton and Jiang (see the package
+// comment): 1 - sum over i of 1/(sum over j of max(x_j/x_i, y_j/y_i)), independently of the order of the shares.
+func TestWeightChangeMovesTheOptimalShare(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		x := drawShares(t, 2)
 		y := slices.Clone(x)
@@ -97,26 +97,26 @@
 			}
 			stay += 1 / sum
 		}
-		before := spread(t, manyKeys, x...)
+		before := poolsOfKeys(t, manyKeys, x...)
 		slices.Reverse(y)
-		for k, p := range spread(t, manyKeys, y...) {
+		for k, p := range poolsOfKeys(t, manyKeys, y...) {
 			if p != before[k] {
 				moved++
 			}
 		}
-		if !near(moved, 1-stay) {
-			t.Fatalf("%v to %v: %d of %d moved, due are %v", x, y, moved, manyKeys, 1-stay)
+		if !withinTolerance(moved, 1-stay) {
+			t.Fatalf("%v to %v: %d of %d keys moved, want a share of %v", x, y, moved, manyKeys, 1-stay)
 		}
 	})
 }
 
-func TestAClientsRetriesStayInAPool(t *testing.T) {
+func TestKeyKeepsRetriesInOnePool(t *testing.T) {
 	if Key("i", "r", "c") != Key("i", "other", "fresh") || Key("", "r", "c") != Key("", "r", "fresh") ||
 		Key("", "", "c") == Key("", "", "fresh") || Key("i", "r", "c") == Key("j", "r", "c") {
-		t.Error("a key does not follow the first of the three that is there")
+		t.Error("Key does not depend on the first non-empty argument alone")
 	}
-	// Balancers and starts agree: the hash is a fixed one, so these change only with the algorithm.
-	got, want := spread(t, 12, Share{"a", 1}, Share{"b", 1}, Share{"c", 1}), []int{2, 2, 1, 1, 1, 0, 2, 2, 2, 2, 0, 1}
+	// All balancers and restarts must agree, so these values may change only with the algorithm.
+	got, want := poolsOfKeys(t, 12, Share{"a", 1}, Share{"b", 1}, Share{"c", 1}), []int{2, 2, 1, 1, 1, 0, 2, 2, 2, 2, 0, 1}
 	if !slices.Equal(got, want) || Key("", "order-17", "") != 0x93623b80df3c7a2d {
 		t.Errorf("%v %#x", got, Key("", "order-17", ""))
 	}
--- a/internal/routes/tree.go
+++ b/internal/routes/tree.go
@@ -7,94 +7,96 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// Tree is a set of claims that changes one by one, with the answers that a Table of the same rules has. With and Without
-// give a new tree and leave the old one as it is, for whoever still holds it: the two share all but the way to what has
-// changed. The shape of a tree is that of its claims alone, whatever order they came in. The zero tree has none.
+// Tree is a persistent set of claims, which matches calls as a Table of the same rules does. With and Without return a
+// new tree and leave the old one unchanged; the two share all nodes but those on the path to the change. The structure
+// of a tree depends on its claims only, not on the order in which they were added. The zero value is an empty tree.
 //
-// It is the trie of a Table, with the ways on of each node in a hash trie of their own, 64 ways wide (Bagwell, Ideal hash
-// trees, 2001), so that a change copies a few slices of that width and not what lies beside it. A radix tree of bytes,
-// github.com/hashicorp/go-immutable-radix/v2 2.1.0, was weighed for it: see the package's comment.
+// It is the same trie as that of a Table, but the children of each node are in a hash trie with 64 entries per level
+// (Bagwell, Ideal hash trees, 2001), so that a change copies a few arrays of that size and no siblings. The package
+// comment compares it with a radix tree of bytes, github.com/hashicorp/go-immutable-radix/v2 2.1.0.
 type Tree struct {
-	first [everyHost + 1]*place
+	roots [anyHostRoot + 1]*treeNode
 	size  int
 }
 
-// place is a node of a tree; it never changes.
-type place struct {
-	name   string // the segment, host or domain that leads here from above
-	tail   string // what has to follow it, slash first; whole segments
-	claims []*Claim
-	group         // of the claims, by their places among them
-	all    *Claim // the one for every method and class
-	kids   fork
+// treeNode is a node of a Tree. It is immutable.
+type treeNode struct {
+	name     string // the segment, host or domain on the edge from the parent
+	tail     string // further whole segments that must follow the name, with the leading slash
+	claims   []*Claim
+	group           // entries are indexes into claims
+	catchAll *Claim // the claim for every method and class; nil: none
+	children childMap
 }
 
-// fork is the ways on from a place: few, or the slices of them by the next bits of the hash. It is wide where more than
-// fewWays are in it.
-type fork struct {
-	few  []way
-	wide *[1 << wayBits]fork
+// childMap holds the children of a node: as a list, or, above maxListedChildren, as a table of maps indexed by the next
+// bits of the hash.
+type childMap struct {
+	list  []childEntry
+	table *[1 << hashBits]childMap
 }
 
-type way struct {
+// childEntry is a child and the hash of its name.
+type childEntry struct {
 	hash uint64
-	to   *place
+	node *treeNode
 }
 
 const (
-	wayBits = 6  // 2 KiB to copy for each step of a change, and two steps for 10,000 names
-	fewWays = 16 // read one by one: 128 bytes, two of the processor's lines
-	hashEnd = 60
+	hashBits          = 6  // a change copies 2 KiB per level; 10,000 names take two levels
+	maxListedChildren = 16 // compared one by one: 128 bytes, two cache lines
+	maxHashShift      = 60
 )
 
-// Len is how many claims there are.
+// Len returns the number of claims.
 func (t *Tree) Len() int { return t.size }
 
-// Match gives the claim that a call goes by, or nil, as Table.Match does.
+// Match returns the claim for a call, or nil. It matches as Table.Match does.
 func (t *Tree) Match(host, path, method, class string) *Claim {
-	if a, b := t.first[hosts], t.first[domains]; a != nil || b != nil {
-		var buf [maxHost]byte
-		name := fold(&buf, host)
-		if at := kid(a, name); at != nil {
-			if c := at.find(path, method, class); c != nil {
+	if a, b := t.roots[hostRoot], t.roots[domainRoot]; a != nil || b != nil {
+		var buf [maxHostLength]byte
+		name := normalizeHost(&buf, host)
+		if at := hostChild(a, name); at != nil {
+			if c := at.lookup(path, method, class); c != nil {
 				return c
 			}
 		}
-		if at := kid(b, parent(name)); at != nil {
-			if c := at.find(path, method, class); c != nil {
+		if at := hostChild(b, parentDomain(name)); at != nil {
+			if c := at.lookup(path, method, class); c != nil {
 				return c
 			}
 		}
 	}
-	if t.first[everyHost] == nil {
+	if t.roots[anyHostRoot] == nil {
 		return nil
 	}
-	return t.first[everyHost].find(path, method, class)
+	return t.roots[anyHostRoot].lookup(path, method, class)
 }
 
-// kid finds the place that a host or a domain leads to; nil: none.
-func kid(at *place, name []byte) *place {
+// hostChild returns the child of a root for a host or a domain; nil: none.
+func hostChild(at *treeNode, name []byte) *treeNode {
 	if at == nil {
 		return nil
 	}
-	return onward(&at.kids, xxhash.Sum64(name), name)
+	return findChild(&at.children, xxhash.Sum64(name), name)
 }
 
-// onward finds the place that a name leads to; nil: none.
-func onward[S string | []byte](f *fork, hash uint64, name S) *place {
-	for bits := hash; f.wide != nil; bits >>= wayBits {
-		f = &f.wide[bits&(1<<wayBits-1)]
+// findChild returns the child of a name, by the name's hash; nil: none.
+func findChild[S string | []byte](f *childMap, hash uint64, name S) *treeNode {
+	for bits := hash; f.table != nil; bits >>= hashBits {
+		f = &f.table[bits&(1<<hashBits-1)]
 	}
-	for i := range f.few {
-		if w := &f.few[i]; w.hash == hash && w.to.name == string(name) {
-			return w.to
+	for i := range f.list {
+		if w := &f.list[i]; w.hash == hash && w.node.name == string(name) {
+			return w.node
 		}
 	}
 	return nil
 }
 
-// find walks down a path from a host's place as far as there are prefixes for it, and keeps the last claim met.
-func (p *place) find(path, method, class string) (best *Claim) {
+// lookup descends from a host's node along a path as far as there are prefixes for it, and returns the last claim
+// found.
+func (p *treeNode) lookup(path, method, class string) (best *Claim) {
 	for p != nil {
 		if p.tail != "" {
 			if !strings.HasPrefix(path, p.tail) {
@@ -104,122 +106,126 @@
 				return best
 			}
 		}
-		if p.all != nil {
-			best = p.all
+		if p.catchAll != nil {
+			best = p.catchAll
 		}
-		if p.more != nil {
-			if e := p.entry(method, class); e != None {
+		if p.conditional != nil {
+			if e := p.matchEntry(method, class); e != None {
 				best = p.claims[e]
 			}
 		}
-		if path == "" || path[0] != '/' || p.kids.few == nil && p.kids.wide == nil {
+		if path == "" || path[0] != '/' || p.children.list == nil && p.children.table == nil {
 			return best
 		}
 		segment, rest := path[1:], ""
 		if i := strings.IndexByte(segment, '/'); i >= 0 {
 			segment, rest = segment[:i], segment[i:]
 		}
-		p, path = onward(&p.kids, xxhash.Sum64String(segment), segment), rest
+		p, path = findChild(&p.children, xxhash.Sum64String(segment), segment), rest
 	}
 	return best
 }
 
-// With is the tree with one more claim, which is none of it, and the ties of those that lie where it does.
-func (t Tree) With(c *Claim) (Tree, []Tie) { return t.change(c, true) }
+// With returns the tree with one more claim, which must not be in it yet, and all ties at that claim's host and prefix.
+func (t Tree) With(c *Claim) (Tree, []Tie) { return t.update(c, true) }
 
-// Without is the tree less one of its claims, and the ties that are left where it lay.
-func (t Tree) Without(c *Claim) (Tree, []Tie) { return t.change(c, false) }
+// Without returns the tree without one of its claims, and the ties that remain at that claim's host and prefix.
+func (t Tree) Without(c *Claim) (Tree, []Tie) { return t.update(c, false) }
 
-func (t Tree) change(c *Claim, in bool) (Tree, []Tie) {
-	e := edit{claim: c, in: in}
-	root := t.first[c.kind]
+func (t Tree) update(c *Claim, in bool) (Tree, []Tie) {
+	e := edit{claim: c, adding: in}
+	root := t.roots[c.kind]
 	if root == nil {
-		root = new(place)
+		root = new(treeNode)
 	}
 	if c.kind == anyHost {
-		root = e.host(root, "")
+		root = e.updateHost(root, "")
 	} else {
-		root = e.below(root, c.domain, func(at *place) *place { return e.host(at, c.domain) })
+		root = e.updateChild(root, c.domain, func(at *treeNode) *treeNode { return e.updateHost(at, c.domain) })
 	}
-	if t.first[c.kind] = root; root.bare() {
-		t.first[c.kind] = nil
+	if t.roots[c.kind] = root; root.empty() {
+		t.roots[c.kind] = nil
 	}
-	t.size += e.added
+	t.size += e.sizeChange
 	return t, e.ties
 }
 
-// edit is one change on its way down.
+// edit is one change of a tree, with its results.
 type edit struct {
-	claim *Claim
-	in    bool
-	added int
-	ties  []Tie
+	claim      *Claim
+	adding     bool
+	sizeChange int
+	ties       []Tie
 }
 
-// host changes a host's own place, which stays as long as there is anything in it: paths begin there.
-func (e *edit) host(p *place, name string) *place {
+// updateHost changes the node of a host itself, which paths begin at. The node is never merged with a child, and it is
+// removed when it is empty.
+func (e *edit) updateHost(p *treeNode, name string) *treeNode {
 	if p == nil {
-		p = &place{name: name}
+		p = &treeNode{name: name}
 	}
-	next := e.at(p, e.claim.Prefix)
-	if next.bare() && e.claim.kind != anyHost {
+	next := e.updateNode(p, e.claim.Prefix)
+	if next.empty() && e.claim.kind != anyHost {
 		return nil
 	}
 	return next
 }
 
-// bare: nothing ends here, and nothing goes on from here.
-func (p *place) bare() bool { return len(p.claims) == 0 && p.kids.few == nil && p.kids.wide == nil }
+// empty reports whether a node has neither claims nor children.
+func (p *treeNode) empty() bool {
+	return len(p.claims) == 0 && p.children.list == nil && p.children.table == nil
+}
 
-// below changes what a name leads to from a place; nothing is left where the change says nil.
-func (e *edit) below(p *place, name string, change func(*place) *place) *place {
+// updateChild replaces the child of a name by the result of change; if that is nil, the child is removed.
+func (e *edit) updateChild(p *treeNode, name string, change func(*treeNode) *treeNode) *treeNode {
 	hash := xxhash.Sum64String(name)
-	to := change(onward(&p.kids, hash, name))
+	to := change(findChild(&p.children, hash, name))
 	next := *p
 	if to == nil {
-		next.kids = next.kids.without(hash, name, 0)
+		next.children = next.children.without(hash, name, 0)
 	} else {
-		next.kids = next.kids.with(way{hash, to}, 0)
+		next.children = next.children.with(childEntry{hash, to}, 0)
 	}
 	return &next
 }
 
-// at changes a place whose tail has been gone through: what is left of the prefix leads on from here.
-func (e *edit) at(p *place, prefix string) *place {
+// updateNode changes a node at which the given rest of the claim's prefix begins.
+func (e *edit) updateNode(p *treeNode, prefix string) *treeNode {
 	if prefix == "" {
-		return e.claims(p)
+		return e.updateClaims(p)
 	}
 	segment, _, _ := strings.Cut(prefix[1:], "/")
 	rest := prefix[1+len(segment):]
-	return e.below(p, segment, func(k *place) *place { return e.step(k, segment, rest) })
+	return e.updateChild(p, segment, func(k *treeNode) *treeNode { return e.updateSegment(k, segment, rest) })
 }
 
-// step changes the place that a segment leads to, with what is left of the prefix behind it.
-func (e *edit) step(p *place, segment, prefix string) *place {
+// updateSegment changes the child of a segment, nil if there is none; prefix is the rest of the claim's prefix after
+// that segment.
+func (e *edit) updateSegment(p *treeNode, segment, prefix string) *treeNode {
 	if p == nil {
-		return e.claims(&place{name: segment, tail: prefix})
+		return e.updateClaims(&treeNode{name: segment, tail: prefix})
 	}
-	n := shared(p.tail, prefix)
-	if n < len(p.tail) { // the ways part within the tail
+	n := commonSegments(p.tail, prefix)
+	if n < len(p.tail) { // the prefixes branch within the tail: split the node
 		lower := *p
 		lower.name, _, _ = strings.Cut(p.tail[n+1:], "/")
 		lower.tail = p.tail[n+1+len(lower.name):]
-		p = &place{name: p.name, tail: p.tail[:n], kids: fork{few: []way{{xxhash.Sum64String(lower.name), &lower}}}}
+		p = &treeNode{name: p.name, tail: p.tail[:n], children: childMap{list: []childEntry{{xxhash.Sum64String(lower.name), &lower}}}}
 	}
-	next := e.at(p, prefix[n:])
+	next := e.updateNode(p, prefix[n:])
 	switch {
-	case next.bare():
+	case next.empty():
 		return nil
-	case len(next.claims) > 0 || next.kids.wide != nil || len(next.kids.few) > 1:
+	case len(next.claims) > 0 || next.children.table != nil || len(next.children.list) > 1:
 		return next
 	}
-	only := *next.kids.few[0].to // nothing ends here and one way leads on: one place does for both
+	only := *next.children.list[0].node // no claims and a single child: merge the two nodes
 	only.name, only.tail = next.name, next.tail+"/"+only.name+only.tail
 	return &only
 }
 
-// shared is how much two tails have in common, in whole segments.
-func shared(a, b string) int {
+// commonSegments returns the length of the longest common prefix of two tails in whole segments.
+func commonSegments(a, b string) int {
 	n := 0
 	for i := 0; ; i++ {
 		if (i == len(a) || a[i] == '/') && (i == len(b) || b[i] == '/') {
@@ -231,24 +237,24 @@
 	}
 }
 
-// claims changes those that lie at one place, and finds which calls they match in common.
-func (e *edit) claims(p *place) *place {
+// updateClaims adds or removes the claim at its node, and finds the ties among the claims there.
+func (e *edit) updateClaims(p *treeNode) *treeNode {
 	next := *p
-	i, ok := slices.BinarySearchFunc(p.claims, e.claim, (*Claim).rank)
+	i, ok := slices.BinarySearchFunc(p.claims, e.claim, (*Claim).compareRank)
 	switch {
-	case e.in && !ok:
+	case e.adding && !ok:
 		next.claims = slices.Insert(slices.Clone(p.claims), i, e.claim)
-		e.added = 1
-	case !e.in && ok:
+		e.sizeChange = 1
+	case !e.adding && ok:
 		next.claims = slices.Delete(slices.Clone(p.claims), i, i+1)
-		e.added = -1
+		e.sizeChange = -1
 	default:
-		panic("routes: a claim is there twice, or not there: " + e.claim.Key)
+		panic("routes: claim added twice, or removed but not in the tree: " + e.claim.Key)
 	}
-	by := map[arm]int{}
+	by := map[condition]int{}
 	for i, c := range next.claims {
 		var tie Tie
-		for _, a := range c.arms() {
+		for _, a := range c.conditions() {
 			first, held := by[a]
 			if !held {
 				by[a] = i
@@ -265,56 +271,56 @@
 			e.ties = append(e.ties, tie)
 		}
 	}
-	next.group, next.all = shape(by), nil
-	if next.rest > 0 {
-		next.all = next.claims[next.rest-1]
+	next.group, next.catchAll = newGroup(by), nil
+	if next.unconditional > 0 {
+		next.catchAll = next.claims[next.unconditional-1]
 	}
 	return &next
 }
 
-// with puts a way in the place of the one of its name, or beside the others.
-func (f fork) with(w way, shift int) fork {
-	if f.wide != nil {
-		next := *f.wide
-		s := &next[w.hash>>shift&(1<<wayBits-1)]
-		*s = s.with(w, shift+wayBits)
-		return fork{wide: &next}
+// with returns the map with an entry added, or replaced if its name is in the map.
+func (f childMap) with(w childEntry, shift int) childMap {
+	if f.table != nil {
+		next := *f.table
+		s := &next[w.hash>>shift&(1<<hashBits-1)]
+		*s = s.with(w, shift+hashBits)
+		return childMap{table: &next}
 	}
-	few := make([]way, 0, len(f.few)+1)
-	for _, x := range f.few {
-		if x.hash != w.hash || x.to.name != w.to.name {
+	few := make([]childEntry, 0, len(f.list)+1)
+	for _, x := range f.list {
+		if x.hash != w.hash || x.node.name != w.node.name {
 			few = append(few, x)
 		}
 	}
 	few = append(few, w)
-	if len(few) <= fewWays || shift >= hashEnd {
-		return fork{few: few}
+	if len(few) <= maxListedChildren || shift >= maxHashShift {
+		return childMap{list: few}
 	}
-	wide := new([1 << wayBits]fork)
+	wide := new([1 << hashBits]childMap)
 	for _, x := range few {
-		s := &wide[x.hash>>shift&(1<<wayBits-1)]
-		*s = s.with(x, shift+wayBits)
+		s := &wide[x.hash>>shift&(1<<hashBits-1)]
+		*s = s.with(x, shift+hashBits)
 	}
-	return fork{wide: wide}
+	return childMap{table: wide}
 }
 
-// without takes the way of a name out, and gathers the rest in one slice where that will do.
-func (f fork) without(hash uint64, name string, shift int) fork {
-	if f.wide == nil {
-		few := slices.DeleteFunc(slices.Clone(f.few), func(x way) bool { return x.hash == hash && x.to.name == name })
+// without returns the map without the entry of a name. A table with few enough entries becomes a list again.
+func (f childMap) without(hash uint64, name string, shift int) childMap {
+	if f.table == nil {
+		few := slices.DeleteFunc(slices.Clone(f.list), func(x childEntry) bool { return x.hash == hash && x.node.name == name })
 		if len(few) == 0 {
 			few = nil
 		}
-		return fork{few: few}
+		return childMap{list: few}
 	}
-	next := *f.wide
-	s := &next[hash>>shift&(1<<wayBits-1)]
-	*s = s.without(hash, name, shift+wayBits)
-	var few []way
+	next := *f.table
+	s := &next[hash>>shift&(1<<hashBits-1)]
+	*s = s.without(hash, name, shift+hashBits)
+	var few []childEntry
 	for i := range next {
-		if few = append(few, next[i].few...); next[i].wide != nil || len(few) > fewWays {
-			return fork{wide: &next}
+		if few = append(few, next[i].list...); next[i].table != nil || len(few) > maxListedChildren {
+			return childMap{table: &next}
 		}
 	}
-	return fork{few: few}
+	return childMap{list: few}
 }
--- a/internal/routes/tree_test.go
+++ b/internal/routes/tree_test.go
@@ -12,21 +12,21 @@
 	"pgregory.net/rapid"
 )
 
-func claimOf(t interface{ Fatal(...any) }, r Rule, key string, revision int64) *Claim {
+func newTestClaim(t interface{ Fatal(...any) }, r Rule, key string, revision int64) *Claim {
 	c, err := NewClaim(r, key, revision, nil)
 	if err != nil {
 		t.Fatal(err)
 	}
-	led, missing := c.Lead(func(pool string) (int, bool) { return int(pool[0] - 'a'), true })
-	if led == nil {
+	claim, missing := c.Lead(func(pool string) (int, bool) { return int(pool[0] - 'a'), true })
+	if claim == nil {
 		t.Fatal(missing)
 	}
-	return led
+	return claim
 }
 
-// scanClaims is the twin of a tree: the documented order, and among those that are equal in it the lower revision, then
+// referenceMatchClaims is the reference for Tree.Match: the documented order, and among equals the lower revision, then
 // the lower key.
-func scanClaims(claims []*Claim, c call) (best *Claim) {
+func referenceMatchClaims(claims []*Claim, c call) (best *Claim) {
 	for _, x := range claims {
 		if !c.matches(x.Rule) {
 			continue
@@ -35,7 +35,7 @@
 			best = x
 			continue
 		}
-		a, b := rank(x.Rule), rank(best.Rule)
+		a, b := specificity(x.Rule), specificity(best.Rule)
 		if cmp.Or(slices.Compare(b[:], a[:]), cmp.Compare(x.Revision, best.Revision), cmp.Compare(x.Key, best.Key)) < 0 {
 			best = x
 		}
@@ -43,11 +43,11 @@
 	return best
 }
 
-// lost are the keys of those that have lost calls to another claim, by asking each pair.
-func lost(claims []*Claim) (keys []string) {
+// losingClaims returns the keys of the claims that lose calls to another one, by comparing each pair.
+func losingClaims(claims []*Claim) (keys []string) {
 	for _, x := range claims {
 		if slices.ContainsFunc(claims, func(y *Claim) bool {
-			if x == y || y.rank(x) > 0 || x.spot() != y.spot() || x.Class != y.Class || (x.Methods == nil) != (y.Methods == nil) {
+			if x == y || y.compareRank(x) > 0 || x.hostAndPrefix() != y.hostAndPrefix() || x.Class != y.Class || (x.Methods == nil) != (y.Methods == nil) {
 				return false
 			}
 			return x.Methods == nil || slices.ContainsFunc(x.Methods, func(m string) bool { return slices.Contains(y.Methods, m) })
@@ -59,45 +59,45 @@
 	return keys
 }
 
-// dump is the shape of a tree in words, without the order of ways, which has no meaning.
+// dump returns the structure of a tree as text, with children in the order of their names.
 func (t *Tree) dump() string {
 	var b strings.Builder
-	var put func(p *place, depth int)
-	var ways func(f *fork, depth int) []way
-	ways = func(f *fork, depth int) (all []way) {
-		if f.wide == nil {
-			return f.few
+	var dumpNode func(p *treeNode, depth int)
+	var collect func(f *childMap, depth int) []childEntry
+	collect = func(f *childMap, depth int) (all []childEntry) {
+		if f.table == nil {
+			return f.list
 		}
 		fmt.Fprintf(&b, "%*swide\n", depth, "")
-		for i := range f.wide {
-			all = append(all, ways(&f.wide[i], depth+1)...)
+		for i := range f.table {
+			all = append(all, collect(&f.table[i], depth+1)...)
 		}
 		return all
 	}
-	put = func(p *place, depth int) {
+	dumpNode = func(p *treeNode, depth int) {
 		fmt.Fprintf(&b, "%*s%s%s", depth, "", p.name, p.tail)
 		for _, c := range p.claims {
 			fmt.Fprintf(&b, " %s@%d", c.Key, c.Revision)
 		}
 		b.WriteByte('\n')
-		all := slices.Clone(ways(&p.kids, depth))
-		slices.SortFunc(all, func(x, y way) int { return strings.Compare(x.to.name, y.to.name) })
+		all := slices.Clone(collect(&p.children, depth))
+		slices.SortFunc(all, func(x, y childEntry) int { return strings.Compare(x.node.name, y.node.name) })
 		for _, w := range all {
-			put(w.to, depth+1)
+			dumpNode(w.node, depth+1)
 		}
 	}
-	for i, p := range t.first {
+	for i, p := range t.roots {
 		fmt.Fprintln(&b, "of", i)
 		if p != nil {
-			put(p, 1)
+			dumpNode(p, 1)
 		}
 	}
 	return b.String()
 }
 
-// Claims come and go; the tree answers as the twin at each step, its ties are those of all pairs, and its shape is that
-// of its claims. Versions kept on the way still answer as they did.
-func TestATreeIsItsClaimsWhateverTheHistory(t *testing.T) {
+// Random claims are added and removed. The tree must match as the reference after each change, report the ties found by
+// comparing all pairs, and have a structure that does not depend on its history. Old versions must match as before.
+func TestTreeDependsOnItsClaimsOnly(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		type version struct {
 			tree   Tree
@@ -106,38 +106,38 @@
 		var tree Tree
 		var claims []*Claim
 		var kept []version
-		ties := map[spot][]Tie{}
+		ties := map[hostAndPrefix][]Tie{}
 		agrees := func(v version, tries int) {
 			for range tries {
-				c := call{rapid.SampledFrom(askHosts).Draw(t, "host"), rapid.SampledFrom(askPaths).Draw(t, "path"),
-					rapid.SampledFrom(askMethods).Draw(t, "method"), rapid.SampledFrom([]string{"read", "book", "bulk", ""}).Draw(t, "class")}
-				if got, want := v.tree.Match(c.host, c.path, c.method, c.class), scanClaims(v.claims, c); got != want {
-					t.Fatalf("%+v: %v, the twin has %v in\n%s", c, got, want, v.tree.dump())
+				c := call{rapid.SampledFrom(callHosts).Draw(t, "host"), rapid.SampledFrom(callPaths).Draw(t, "path"),
+					rapid.SampledFrom(callMethods).Draw(t, "method"), rapid.SampledFrom([]string{"read", "book", "bulk", ""}).Draw(t, "class")}
+				if got, want := v.tree.Match(c.host, c.path, c.method, c.class), referenceMatchClaims(v.claims, c); got != want {
+					t.Fatalf("%+v: %v, the reference has %v in\n%s", c, got, want, v.tree.dump())
 				}
 			}
 		}
-		narrow := rapid.Bool().Draw(t, "one place") // so that ties are many, and one place has more than a few
+		narrow := rapid.Bool().Draw(t, "one place") // many ties, and many claims at one node
 		for n := range rapid.IntRange(1, 60).Draw(t, "changes") {
-			var of *Claim
-			var now []Tie
+			var changed *Claim
+			var newTies []Tie
 			if len(claims) > 0 && rapid.IntRange(0, 2).Draw(t, "out") == 0 {
 				i := rapid.IntRange(0, len(claims)-1).Draw(t, "which")
-				of = claims[i]
+				changed = claims[i]
 				claims = slices.Delete(slices.Clone(claims), i, i+1)
-				tree, now = tree.Without(of)
+				tree, newTies = tree.Without(changed)
 			} else {
 				r := drawRule(t)
 				switch {
 				case narrow:
 					r.Host, r.Prefix = "a.x", "/a"
-				case rapid.IntRange(0, 2).Draw(t, "longer") == 0: // so that ways part within a tail, and not at its letters
+				case rapid.IntRange(0, 2).Draw(t, "longer") == 0: // so that prefixes branch within a tail, at a segment boundary
 					r.Prefix = rapid.SampledFrom([]string{"/a/bc", "/a/b/ab", "/a/b/a/bb", "/a/b/a/b/c"}).Draw(t, "tail")
 				}
-				of = claimOf(t, r, fmt.Sprint("k", n), int64(rapid.IntRange(0, 5).Draw(t, "revision")))
-				claims = append(slices.Clip(claims), of)
-				tree, now = tree.With(of)
+				changed = newTestClaim(t, r, fmt.Sprint("k", n), int64(rapid.IntRange(0, 5).Draw(t, "revision")))
+				claims = append(slices.Clip(claims), changed)
+				tree, newTies = tree.With(changed)
 			}
-			ties[of.spot()] = now
+			ties[changed.hostAndPrefix()] = newTies
 			kept = append(kept, version{tree, claims})
 			agrees(kept[len(kept)-1], 3)
 		}
@@ -148,46 +148,46 @@
 			}
 		}
 		slices.Sort(named)
-		if want := lost(claims); !slices.Equal(named, want) {
-			t.Fatalf("ties named %q, there are %q in\n%s", named, want, tree.dump())
+		if want := losingClaims(claims); !slices.Equal(named, want) {
+			t.Fatalf("reported ties %q, want %q in\n%s", named, want, tree.dump())
 		}
 		for _, v := range kept {
 			agrees(v, 1)
 		}
-		var anew Tree
+		var rebuilt Tree
 		for _, i := range rapid.Permutation(claims).Draw(t, "another order") {
-			anew, _ = anew.With(i)
+			rebuilt, _ = rebuilt.With(i)
 		}
-		if a, b := tree.dump(), anew.dump(); a != b || tree.Len() != len(claims) {
-			t.Fatalf("%d claims, as\n%s\nin another order\n%s", tree.Len(), a, b)
+		if a, b := tree.dump(), rebuilt.dump(); a != b || tree.Len() != len(claims) {
+			t.Fatalf("%d claims, structure\n%s\nwhen added in another order\n%s", tree.Len(), a, b)
 		}
 		for _, c := range claims {
-			anew, _ = anew.Without(c)
+			rebuilt, _ = rebuilt.Without(c)
 		}
-		if got := anew.dump(); got != new(Tree).dump() || anew.Len() != 0 {
-			t.Fatalf("when all are gone there is\n%s", got)
+		if got := rebuilt.dump(); got != new(Tree).dump() || rebuilt.Len() != 0 {
+			t.Fatalf("after removing all claims the tree is\n%s", got)
 		}
 	})
 }
 
-func treeOf(t interface{ Fatal(...any) }, rules []Rule) (tree Tree, claims []*Claim) {
+func newTestTree(t interface{ Fatal(...any) }, rules []Rule) (tree Tree, claims []*Claim) {
 	for i, r := range rules {
-		c := claimOf(t, r, fmt.Sprintf("k%06d", i), int64(i+1))
+		c := newTestClaim(t, r, fmt.Sprintf("k%06d", i), int64(i+1))
 		claims = append(claims, c)
 		tree, _ = tree.With(c)
 	}
 	return tree, claims
 }
 
-// Ten thousand routes, as a table of the same rules has them; and after half of them have gone, as a table of the rest.
-func TestALargeTreeMatchesAsATable(t *testing.T) {
-	rules, calls := mixed(10_000)
+// A tree of 10,000 routes must match as a table of the same rules, also after half of them were removed.
+func TestLargeTreeMatchesTable(t *testing.T) {
+	rules, calls := generateRules(10_000)
 	for i := range rules {
 		if rules[i].To = []Share{{"a", 1}}; i%5 == 0 {
 			rules[i].To = []Share{{"a", 95}, {"b", 5}, {"c", 0}}
 		}
 	}
-	tree, claims := treeOf(t, rules)
+	tree, claims := newTestTree(t, rules)
 	same := func(rules []Rule, claims []*Claim) {
 		t.Helper()
 		table, err := Compile(rules, []string{"a", "b", "c"}, nil)
@@ -204,7 +204,7 @@
 				t.Fatalf("%+v: %v, the table has %d", c, got, want)
 			}
 			if key := rnd.Uint64(); got != nil && got.Pool(key) != table.Pool(want, key) {
-				t.Fatalf("%+v: key %x goes to %d, by the table to %d", c, key, got.Pool(key), table.Pool(want, key))
+				t.Fatalf("%+v: key %x gets pool %d, from the table %d", c, key, got.Pool(key), table.Pool(want, key))
 			}
 		}
 	}
@@ -222,21 +222,21 @@
 		}
 	}
 	same(fewer, left)
-	var anew Tree
+	var rebuilt Tree
 	for _, c := range left {
-		anew, _ = anew.With(c)
+		rebuilt, _ = rebuilt.With(c)
 	}
-	if tree.dump() != anew.dump() {
-		t.Error("after all that, the shape is not that of the claims alone")
+	if tree.dump() != rebuilt.dump() {
+		t.Error("the structure differs from that of a new tree with the same claims")
 	}
 }
 
-func TestAMatchInATreeAllocatesNothing(t *testing.T) {
-	rules, calls := mixed(1000)
+func TestTreeMatchDoesNotAllocate(t *testing.T) {
+	rules, calls := generateRules(1000)
 	for i := range rules {
 		rules[i].To = []Share{{"a", 95}, {"b", 5}}
 	}
-	tree, _ := treeOf(t, rules)
+	tree, _ := newTestTree(t, rules)
 	i := 0
 	if n := testing.AllocsPerRun(2000, func() {
 		c := &calls[i%len(calls)]
@@ -247,14 +247,14 @@
 	}
 }
 
-// What a change allocates is what it costs: a few slices of ways, and nothing that grows with the routes beside it.
-func TestAChangeOfATreeCostsItself(t *testing.T) {
+// A change must allocate a few arrays of children at most, independently of the number of routes.
+func TestTreeChangeCostIsBounded(t *testing.T) {
 	for _, n := range []int{1000, 10_000} {
-		rules, _ := mixed(n)
+		rules, _ := generateRules(n)
 		for i := range rules {
 			rules[i].To = []Share{{"a", 1}}
 		}
-		tree, claims := treeOf(t, rules)
+		tree, claims := newTestTree(t, rules)
 		var before, after runtime.MemStats
 		runtime.ReadMemStats(&before)
 		const changes = 500
@@ -264,21 +264,21 @@
 			tree, _ = less.With(c)
 		}
 		runtime.ReadMemStats(&after)
-		if each := (after.TotalAlloc - before.TotalAlloc) / (2 * changes); each > 10_000 { // the widest way is 2 KiB a step
-			t.Errorf("among %d routes a change takes %d bytes", n, each)
+		if each := (after.TotalAlloc - before.TotalAlloc) / (2 * changes); each > 10_000 { // a table of children takes 2 KiB per level
+			t.Errorf("a change among %d routes allocates %d bytes", n, each)
 		}
 	}
 }
 
-func TestALeadNeedsEveryPool(t *testing.T) {
+func TestLeadNeedsEveryPool(t *testing.T) {
 	c, err := NewClaim(Rule{To: []Share{{"a", 1}, {"b", 0}, {"c", 2}}}, "k", 1, nil)
 	if err != nil {
 		t.Fatal(err)
 	}
 	there := map[string]int{"a": 7, "c": 9}
 	find := func(pool string) (int, bool) { at, ok := there[pool]; return at, ok }
-	if led, missing := c.Lead(find); led != nil || missing != "b" { // with a weight of 0 too: it stands by
-		t.Errorf("led %v, missing %q", led, missing)
+	if led, missing := c.Lead(find); led != nil || missing != "b" { // a pool with a weight of 0 must exist as well
+		t.Errorf("claim %v, missing pool %q", led, missing)
 	}
 	there["b"] = 8
 	led, _ := c.Lead(find)
@@ -287,6 +287,6 @@
 		met[led.Pool(key)] = true
 	}
 	if len(met) != 2 || !met[7] || !met[9] {
-		t.Errorf("led to %v", met)
+		t.Errorf("pools %v, want 7 and 9", met)
 	}
 }
--- a/internal/routes/trie.go
+++ b/internal/routes/trie.go
@@ -9,64 +9,68 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// trie holds the paths of all hosts in two slices, for the sake of the processor's caches: a step down reads a place of
-// steps, a node and the name that it is reached by, however large the table is.
+// trie holds the paths of all hosts in two slices, which is kind to the CPU caches: following an edge reads one slot of
+// edges, one node and the node's name, however large the table is.
 type trie struct {
 	nodes []node
-	steps []step // by hash, with the next free place for those that meet; a power of two, at most half full
+	edges []edge // hash table with linear probing; its size is a power of two, and it is at most half full
 }
 
-// node is a place in the paths of one host: that of one or more entries, or where their prefixes part.
+// node is a prefix within the paths of one host: the prefix of one or more entries, or one at which their prefixes
+// branch.
 type node struct {
-	name string // the segment, host or domain that leads here from above
-	tail string // what has to follow it, slash first; whole segments
+	name string // the segment, host or domain on the edge from the parent
+	tail string // further whole segments that must follow the name, with the leading slash
 	group
-	kids bool
+	hasChildren bool
 }
 
-// group is the entries of one host and one prefix, in the form that is searched.
+// group holds the entries of one host and one prefix, indexed by method and class.
 type group struct {
-	more *arms // the entries that name a method or a class
-	rest int32 // 1 more than the entry for every method and class; most nodes have no other
+	conditional   *conditionalEntries // the entries that name a method or a class; nil: none
+	unconditional int32               // 1 + the entry for every method and class, or 0; most groups have no other entry
 }
 
-// step leads from a node to the next. The names are the operator's alone, so that no client can have them meet.
-type step struct {
+// edge leads from a node to a child. Only names from the operator's rules are stored, so clients cannot cause
+// collisions.
+type edge struct {
 	hash uint64
-	to   int32 // 0: free
+	node int32 // 0: free slot
 }
 
-// The first nodes. The hosts' own ones are reached from these as segments are from theirs.
+// The root nodes. The nodes of hosts and domains are their children, as those of segments are children of other nodes.
 const (
-	hosts int32 = iota
-	domains
-	everyHost
+	hostRoot int32 = iota
+	domainRoot
+	anyHostRoot
 )
 
-// apart has the same name lead elsewhere from each node: 2^64 over the golden ratio (Knuth, volume 3, section 6.4).
-const apart = 0x9e3779b97f4a7c15
+// hashMultiplier mixes the parent node into an edge's hash, so that the same name gets different slots under different
+// nodes. It is 2^64 divided by the golden ratio (Knuth, volume 3, section 6.4).
+const hashMultiplier = 0x9e3779b97f4a7c15
 
-// down finds the node that a name leads to; 0: none.
-func down[S string | []byte](t *trie, from int32, hash uint64, name S) int32 {
-	hash ^= uint64(from) * apart
+// followEdge returns the child of a node by name and the name's hash; 0: none.
+func followEdge[S string | []byte](t *trie, from int32, hash uint64, name S) int32 {
+	hash ^= uint64(from) * hashMultiplier
 	for i := hash; ; i++ {
-		s := &t.steps[i&uint64(len(t.steps)-1)]
-		if s.to == 0 || s.hash == hash && t.nodes[s.to].name == string(name) {
-			return s.to
+		s := &t.edges[i&uint64(len(t.edges)-1)]
+		if s.node == 0 || s.hash == hash && t.nodes[s.node].name == string(name) {
+			return s.node
 		}
 	}
 }
 
-// host finds the node of a host or a domain.
-func (t *trie) host(from int32, name []byte) int32 {
-	if !t.nodes[from].kids {
+// hostNode returns the node of a host or a domain; 0: none.
+func (t *trie) hostNode(from int32, name []byte) int32 {
+	if !t.nodes[from].hasChildren {
 		return 0
 	}
-	return down(t, from, xxhash.Sum64(name), name)
+	return followEdge(t, from, xxhash.Sum64(name), name)
 }
 
-// find walks down a path from a host's node as far as there are prefixes for it, and keeps the last entry met.
-func (t *trie) find(at int32, path, method, class string) int {
+// lookup descends from a host's node along a path as far as there are prefixes for it, and returns the last entry
+// found.
+func (t *trie) lookup(at int32, path, method, class string) int {
 	best := None
 	for {
 		n := &t.nodes[at]
@@ -78,155 +82,161 @@
 				return best
 			}
 		}
-		if e := n.entry(method, class); e != None {
+		if e := n.matchEntry(method, class); e != None {
 			best = e
 		}
-		if !n.kids || path == "" || path[0] != '/' {
+		if !n.hasChildren || path == "" || path[0] != '/' {
 			return best
 		}
 		segment, rest := path[1:], ""
 		if i := strings.IndexByte(segment, '/'); i >= 0 {
 			segment, rest = segment[:i], segment[i:]
 		}
-		if at = down(t, at, xxhash.Sum64String(segment), segment); at == 0 {
+		if at = followEdge(t, at, xxhash.Sum64String(segment), segment); at == 0 {
 			return best
 		}
 		path = rest
 	}
 }
 
-// branch is a node while the trie grows.
+// branch is a node during the construction of a trie.
 type branch struct {
-	tail  string
-	group map[arm]int
-	kids  map[string]*branch
+	tail     string
+	group    map[condition]int
+	children map[string]*branch
 }
 
-func (b *branch) kid(name string) *branch {
-	if b.kids == nil {
-		b.kids = map[string]*branch{}
+// child returns the child of a name and creates it if necessary.
+func (b *branch) child(name string) *branch {
+	if b.children == nil {
+		b.children = map[string]*branch{}
 	}
-	if b.kids[name] == nil {
-		b.kids[name] = new(branch)
+	if b.children[name] == nil {
+		b.children[name] = new(branch)
 	}
-	return b.kids[name]
+	return b.children[name]
 }
 
-// add hangs the entries of one prefix in, a branch for each segment.
-func (b *branch) add(prefix string, group map[arm]int) {
+// insert stores the entries of one prefix, with a branch for each segment.
+func (b *branch) insert(prefix string, group map[condition]int) {
 	if prefix != "" {
 		for segment := range strings.SplitSeq(prefix[1:], "/") {
-			b = b.kid(segment)
+			b = b.child(segment)
 		}
 	}
 	b.group = group
 }
 
-// compress joins branches that have one way on and no entries with the next. A host's own stays: paths begin there.
+// compress merges branches without entries that have a single child with that child. The branch of a host itself stays,
+// because paths begin there.
 func (b *branch) compress() {
-	for segment, kid := range b.kids {
+	for segment, kid := range b.children {
 		tail := ""
-		for kid.group == nil && len(kid.kids) == 1 {
-			for next, only := range kid.kids {
+		for kid.group == nil && len(kid.children) == 1 {
+			for next, only := range kid.children {
 				tail += "/" + next
 				kid = only
 			}
 		}
 		kid.tail = tail
 		kid.compress()
-		b.kids[segment] = kid
+		b.children[segment] = kid
 	}
 }
 
-// lay puts branches into a trie; the first are those of the constants above. Below one node all lie together.
-func lay(first ...*branch) *trie {
+// buildTrie lays out branches as a trie. first are the root nodes, in the order of their constants. The descendants of
+// a node are adjacent.
+func buildTrie(first ...*branch) *trie {
 	t := &trie{nodes: make([]node, len(first))}
-	from := make([]int32, len(first))
-	var put func(at int32, b *branch)
-	put = func(at int32, b *branch) {
+	parents := make([]int32, len(first))
+	var layOut func(at int32, b *branch)
+	layOut = func(at int32, b *branch) {
 		n := &t.nodes[at]
-		n.tail, n.kids = b.tail, len(b.kids) > 0
-		n.group = shape(b.group)
-		for _, name := range slices.Sorted(maps.Keys(b.kids)) {
+		n.tail, n.hasChildren = b.tail, len(b.children) > 0
+		n.group = newGroup(b.group)
+		for _, name := range slices.Sorted(maps.Keys(b.children)) {
 			to := int32(len(t.nodes))
-			t.nodes, from = append(t.nodes, node{name: name}), append(from, at)
-			put(to, b.kids[name])
+			t.nodes, parents = append(t.nodes, node{name: name}), append(parents, at)
+			layOut(to, b.children[name])
 		}
 	}
 	for i, b := range first {
-		put(int32(i), b)
+		layOut(int32(i), b)
 	}
 	size := 2
 	for size < 2*len(t.nodes) {
 		size *= 2
 	}
-	t.steps = make([]step, size)
+	t.edges = make([]edge, size)
 	for to := len(first); to < len(t.nodes); to++ {
-		hash := xxhash.Sum64String(t.nodes[to].name) ^ uint64(from[to])*apart
+		hash := xxhash.Sum64String(t.nodes[to].name) ^ uint64(parents[to])*hashMultiplier
 		i := hash
-		for t.steps[i&uint64(size-1)].to != 0 {
+		for t.edges[i&uint64(size-1)].node != 0 {
 			i++
 		}
-		t.steps[i&uint64(size-1)] = step{hash, int32(to)}
+		t.edges[i&uint64(size-1)] = edge{hash, int32(to)}
 	}
 	return t
 }
 
-// arm is a method and a class of an entry; empty ones match all.
-type arm struct{ method, class string }
+// condition is a method and a class that an entry matches; an empty one matches all.
+type condition struct{ method, class string }
 
-// arms are what the entries of one host and one prefix match that name a method or a class, each but once.
-type arms struct {
-	few  []armed // by precedence
-	many map[arm]int
+// conditionalEntries holds the entries of one host and prefix that name a method or a class, by their conditions, each
+// of which occurs once. Either list or byCondition is set.
+type conditionalEntries struct {
+	list        []conditionalEntry // by precedence; at most maxListedConditions
+	byCondition map[condition]int
 }
 
-type armed struct {
-	arm
+// conditionalEntry is an entry with one of its conditions.
+type conditionalEntry struct {
+	condition
 	entry int
 }
 
-// fewArms is how many are compared one by one. Eight take 36 ns, the looks into a map 84; from sixteen on the map wins.
-const fewArms = 8
+// maxListedConditions is the largest number of conditions compared one by one. Eight take 36 ns and the lookups in a
+// map 84 ns; from sixteen on, the map is faster.
+const maxListedConditions = 8
 
-// entry is the first of a group's that matches.
-func (g *group) entry(method, class string) int {
-	if g.more != nil {
-		for i := range g.more.few {
-			if x := &g.more.few[i]; (x.method == "" || x.method == method) && (x.class == "" || x.class == class) {
+// matchEntry returns the matching entry of highest precedence in a group, or None.
+func (g *group) matchEntry(method, class string) int {
+	if g.conditional != nil {
+		for i := range g.conditional.list {
+			if x := &g.conditional.list[i]; (x.method == "" || x.method == method) && (x.class == "" || x.class == class) {
 				return x.entry
 			}
 		}
-		if g.more.many != nil {
-			for _, x := range [...]arm{{method, class}, {method, ""}, {"", class}} {
-				if e, ok := g.more.many[x]; ok {
+		if g.conditional.byCondition != nil {
+			for _, x := range [...]condition{{method, class}, {method, ""}, {"", class}} {
+				if e, ok := g.conditional.byCondition[x]; ok {
 					return e
 				}
 			}
 		}
 	}
-	return int(g.rest) - 1
+	return int(g.unconditional) - 1
 }
 
-// shape gives entries by their arms the form that is searched.
-func shape(by map[arm]int) (g group) {
-	if e, ok := by[arm{}]; ok {
-		g.rest = int32(e) + 1
-		delete(by, arm{})
+// newGroup indexes entries by their conditions. It removes the empty condition from the map.
+func newGroup(byCondition map[condition]int) (g group) {
+	if e, ok := byCondition[condition{}]; ok {
+		g.unconditional = int32(e) + 1
+		delete(byCondition, condition{})
 	}
 	switch {
-	case len(by) > fewArms:
-		g.more = &arms{many: by}
+	case len(byCondition) > maxListedConditions:
+		g.conditional = &conditionalEntries{byCondition: byCondition}
 		return g
-	case len(by) == 0:
+	case len(byCondition) == 0:
 		return g
 	}
-	g.more = new(arms)
-	for x, e := range by {
-		g.more.few = append(g.more.few, armed{x, e})
+	g.conditional = new(conditionalEntries)
+	for x, e := range byCondition {
+		g.conditional.list = append(g.conditional.list, conditionalEntry{x, e})
 	}
-	slices.SortFunc(g.more.few, func(x, y armed) int {
-		return cmp.Or(named(x.method, y.method), named(x.class, y.class),
+	slices.SortFunc(g.conditional.list, func(x, y conditionalEntry) int {
+		return cmp.Or(compareNamed(x.method, y.method), compareNamed(x.class, y.class),
 			cmp.Compare(x.method, y.method), cmp.Compare(x.class, y.class))
 	})
 	return g
