--- a/internal/routes/reference_test.go
+++ b/internal/routes/reference_test.go
@@ -12,7 +12,7 @@
 // call holds the arguments of a match.
 type call struct{ host, path, method, class string }
 
-// The reference implementation checks the rules one by one in the documented order. It shares no code with the package.
+// The reference for Match checks the rules one by one in the documented order and shares no code with the package.
 
 func (c call) matches(r Rule) bool {
 	ascii := func(s string) string {
--- a/internal/routes/tree.go
+++ b/internal/routes/tree.go
@@ -45,7 +45,7 @@
 const (
 	hashBits          = 6  // a change copies 2 KiB per level; 10,000 names take two levels
 	maxListedChildren = 16 // compared one by one: 128 bytes, two cache lines
-	maxHashShift      = 60
+	maxHashShift      = 60 // from this shift on, too few bits of the hash are left for a table
 )
 
 // Len returns the number of claims.
@@ -251,13 +251,13 @@
 	default:
 		panic("routes: claim added twice, or removed but not in the tree: " + e.claim.Key)
 	}
-	by := map[condition]int{}
+	byCondition := map[condition]int{}
 	for i, c := range next.claims {
 		var tie Tie
 		for _, a := range c.conditions() {
-			first, held := by[a]
+			first, held := byCondition[a]
 			if !held {
-				by[a] = i
+				byCondition[a] = i
 				continue
 			}
 			if tie.Lost == nil {
@@ -271,7 +271,7 @@
 			e.ties = append(e.ties, tie)
 		}
 	}
-	next.group, next.catchAll = newGroup(by), nil
+	next.group, next.catchAll = newGroup(byCondition), nil
 	if next.unconditional > 0 {
 		next.catchAll = next.claims[next.unconditional-1]
 	}
@@ -286,41 +286,41 @@
 		*s = s.with(w, shift+hashBits)
 		return childMap{table: &next}
 	}
-	few := make([]childEntry, 0, len(f.list)+1)
+	entries := make([]childEntry, 0, len(f.list)+1)
 	for _, x := range f.list {
 		if x.hash != w.hash || x.node.name != w.node.name {
-			few = append(few, x)
+			entries = append(entries, x)
 		}
 	}
-	few = append(few, w)
-	if len(few) <= maxListedChildren || shift >= maxHashShift {
-		return childMap{list: few}
+	entries = append(entries, w)
+	if len(entries) <= maxListedChildren || shift >= maxHashShift {
+		return childMap{list: entries}
 	}
-	wide := new([1 << hashBits]childMap)
-	for _, x := range few {
-		s := &wide[x.hash>>shift&(1<<hashBits-1)]
+	table := new([1 << hashBits]childMap)
+	for _, x := range entries {
+		s := &table[x.hash>>shift&(1<<hashBits-1)]
 		*s = s.with(x, shift+hashBits)
 	}
-	return childMap{table: wide}
+	return childMap{table: table}
 }
 
 // without returns the map without the entry of a name. A table with few enough entries becomes a list again.
 func (f childMap) without(hash uint64, name string, shift int) childMap {
 	if f.table == nil {
-		few := slices.DeleteFunc(slices.Clone(f.list), func(x childEntry) bool { return x.hash == hash && x.node.name == name })
-		if len(few) == 0 {
-			few = nil
+		entries := slices.DeleteFunc(slices.Clone(f.list), func(x childEntry) bool { return x.hash == hash && x.node.name == name })
+		if len(entries) == 0 {
+			entries = nil
 		}
-		return childMap{list: few}
+		return childMap{list: entries}
 	}
 	next := *f.table
 	s := &next[hash>>shift&(1<<hashBits-1)]
 	*s = s.without(hash, name, shift+hashBits)
-	var few []childEntry
+	var entries []childEntry
 	for i := range next {
-		if few = append(few, next[i].list...); next[i].table != nil || len(few) > maxListedChildren {
+		if entries = append(entries, next[i].list...); next[i].table != nil || len(entries) > maxListedChildren {
 			return childMap{table: &next}
 		}
 	}
-	return childMap{list: few}
+	return childMap{list: entries}
 }
--- a/internal/routes/trie.go
+++ b/internal/routes/trie.go
@@ -9,8 +9,8 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// trie holds the paths of all hosts in two slices, which is kind to the CPU caches: following an edge reads one slot of
-// edges, one node and the node's name, however large the table is.
+// trie holds the paths of all hosts in two slices, to have few cache misses: following an edge reads one slot of edges,
+// one node and the node's name, however large the table is.
 type trie struct {
 	nodes []node
 	edges []edge // hash table with linear probing; its size is a power of two, and it is at most half full
--- a/internal/zones/limit.go
+++ b/internal/zones/limit.go
@@ -23,26 +23,26 @@
 	// fillMargin is kept free below Settings.Fill. It absorbs the noise of reports (3 to 10% each, plus the variation of
 	// the load from second to second) and the unsynchronized steps of several balancers.
 	fillMargin = 0.08
-	// firstLimitGain is the share of the observed spare capacity that a first limit takes. The first reports are too low,
-	// because most answers come from the less busy app nodes.
+	// firstLimitGain is the share of the observed spare capacity that a first limit takes. The first reports are too
+	// low, because most answers come from the less busy app nodes.
 	firstLimitGain   = 0.7
 	stepGain         = 0.5  // share of the spare capacity that a later step adds
 	assumedBusy      = 0.6  // busy share assumed for a zone without reports, if the own zone's is not known either
 	guessFraction    = 0.5  // share of the limit that an assumed busy share would give
 	minLimitFraction = 0.01 // share of the capacity that a zone always gets, since without calls no report would ever come
 
-	returnStart     = 0.1             // first limit of a returning zone, as a share of this balancer's part of the target load
+	returnStart     = 0.1             // first limit of a returning zone, as a share of its target load per balancer
 	maxReturnGrowth = 2.0             // largest growth of a returning zone's limit per step, relative to the work sent
 	minReturnWarmth = 0.95            // warmth that a returning zone needs to become well
 	liftLimitAfter  = 5 * time.Second // see adjustLimit
 
-	// Bounds of the token bucket, in seconds of the limit. It holds at most maxCredit. The least valuable class is accepted
-	// while the bucket is at or above 0, the most valuable one until it is maxDebt below, and others in between. So
-	// valuable calls have priority without a forecast of how many will come.
+	// Bounds of the token bucket, in seconds of the limit. It holds at most maxCredit. The least valuable class is
+	// accepted while the bucket is at or above 0, the most valuable one until it is maxDebt below, and others in
+	// between. So valuable calls have priority without a forecast of how many will come.
 	maxCredit = 0.2
 	// pendingTimeout: the caller holds a call back instead of sending it if none of a warming zone's cold app nodes may
-	// take it now. Until it is sent, or for this time after the last such decision, calls of the same or a lower value are
-	// not accepted for that zone, since another one may have capacity for them.
+	// take it now. Until it is sent, or for this time after the last such decision, calls of the same or a lower value
+	// are not accepted for that zone, since another one may have capacity for them.
 	pendingTimeout = 150 * time.Millisecond
 	maxDebt        = 0.5
 )
--- a/internal/zones/simulation_test.go
+++ b/internal/zones/simulation_test.go
@@ -8,9 +8,9 @@
 )
 
 // This file simulates zones as a fluid model, with balancers that know nothing of each other, in virtual time. A zone
-// does capacity core-seconds of work per second and queues the rest. The latency of an answer is its own work (more while
-// nodes are cold) plus the queue. Nodes report the busy share of their last period, with noise; an answer carries the
-// latest report that has become visible by then.
+// does capacity core-seconds of work per second and queues the rest. The latency of an answer is its own work (more
+// while nodes are cold) plus the queue. Nodes report the busy share of their last period, with noise; an answer carries
+// the latest report that has become visible by then.
 
 // zoneModel simulates one zone.
 type zoneModel struct {
@@ -95,12 +95,13 @@
 
 const zoneCapacity = 4.0 // of each simulated zone, in cores
 
-// meanCallWork is in core-seconds: of four calls, three are looks of 10 ms and one is an order of 30 ms, so that the mean
-// is 15 ms and orders are half of the work.
+// meanCallWork is in core-seconds: of four calls, three are looks of 10 ms and one is an order of 30 ms, so that the
+// mean is 15 ms and orders are half of the work.
 const meanCallWork = 0.015
 
-// newSimulation puts inDark balancers into zone 0, which is to go dark, and one into zone 1. load0 and load1 are the load
-// of each zone's own clients as a share of its capacity; work is the ratio of the calls' configured to their true work.
+// newSimulation puts inDark balancers into zone 0, which is to go dark, and one into zone 1. load0 and load1 are the
+// load of each zone's own clients as a share of its capacity; work is the ratio of the calls' configured to their true
+// work.
 func newSimulation(t *testing.T, seed uint64, inDark int, work, load0, load1 float64) *simulation {
 	l := &simulation{rng: rand.New(rand.NewPCG(seed, 9))}
 	for range 2 {
--- a/internal/zones/zones.go
+++ b/internal/zones/zones.go
@@ -67,8 +67,8 @@
 	defaultHoldMost  = 16 * time.Second
 	defaultForgive   = 60 * time.Second
 	// defaultSettle: a load report is refreshed every 430 to 1300 ms and averages over that time, arrives up to 300 ms
-	// late, and is smoothed here over busySmoothing. A step may follow the last one when nine tenths of that one's effect
-	// is visible.
+	// late, and is smoothed here over busySmoothing. A step may follow the last one when nine tenths of that one's
+	// effect is visible.
 	defaultSettle = 2500 * time.Millisecond
 )
 
--- a/internal/zones/zones_test.go
+++ b/internal/zones/zones_test.go
@@ -14,8 +14,8 @@
 
 const ms = time.Millisecond
 
-// twoZones returns settings with two classes: 0 (look) is movable and of low value, 1 (order) stays in its zone and is of
-// higher value.
+// twoZones returns settings with two classes: 0 (look) is movable and of low value, 1 (order) stays in its zone and is
+// of higher value.
 func twoZones(balancers int) Settings {
 	return Settings{Zones: []string{"north", "south"}, Own: 0, Tiers: [][]int{{0}, {1}}, Balancers: balancers,
 		Classes: []Class{{Value: 1, Work: 10, Movable: true}, {Value: 5, Work: 30}}}
@@ -54,8 +54,8 @@
 	}
 }
 
-// Random events, with these invariants: no zone gets more than its limit within a second, no call goes to a dark zone but
-// as a trial, trials are not too frequent, hold times grow with relapses, and orders are not shed before looks.
+// Random events, with these invariants: no zone gets more than its limit within a second, no call goes to a dark zone
+// but as a trial, trials are not too frequent, hold times grow with relapses, and orders are not shed before looks.
 func TestInvariantsUnderRandomEvents(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		cfg := twoZones(rapid.IntRange(1, 4).Draw(t, "balancers"))
