--- a/internal/store/append.go
+++ b/internal/store/append.go
@@ -7,43 +7,46 @@
 	"go.etcd.io/bbolt"
 )
 
-var errImported = errors.New("an import has put other contents in their place")
+var errReplacedByImport = errors.New("an import replaced the contents of the store")
 
-type waiting struct {
-	records []Record
-	done    chan error
-	imports int // how many imports there had been
+// pendingAppend is an Append call that waits in the queue.
+type pendingAppend struct {
+	records     []Record
+	done        chan error
+	importCount int // Store.importCount when the append was queued
 }
 
-// Refused is an append, a compaction or an import that was not made, and why.
-type Refused struct {
+// WriteError reports an append, a compaction or an import that was not carried out.
+type WriteError struct {
 	Reason error
-	// Doubt: the disk failed after it may have taken the change and before it could be taken back. The store does not
-	// show it and takes nothing else until it is taken back; after a crash in that state it may be there.
-	Doubt bool
+	// Uncertain is set when the disk failed after it may have stored the change, and the change could not be rolled back
+	// yet. The store hides the change and accepts no other until the rollback succeeds. After a crash before that, the
+	// change may be present.
+	Uncertain bool
 }
 
-func (r *Refused) Error() string {
-	if r.Doubt {
-		return fmt.Sprintf("not saved, or not surely: %v (after a restart of the box it may turn out to be there)", r.Reason)
+func (r *WriteError) Error() string {
+	if r.Uncertain {
+		return fmt.Sprintf("the change may or may not have been saved: %v (it may be present after a restart)", r.Reason)
 	}
 	return fmt.Sprintf("not saved, nothing was changed: %v", r.Reason)
 }
 
-func (r *Refused) Unwrap() error { return r.Reason }
+func (r *WriteError) Unwrap() error { return r.Reason }
 
-// Append writes records, all or none, and returns once they are on the disk. Their revisions follow Last one by one, the
-// first of all is 1. A refusal is a *Refused and has changed nothing, unless it says that it is in doubt.
+// Append writes all records or none, and returns once they are on the disk. Their revisions must continue from Last
+// without gaps; the first revision of a store is 1. A failure is a *WriteError and has changed nothing unless Uncertain is
+// set.
 func (s *Store) Append(records ...Record) error { return <-s.Queue(records...) }
 
-// Queue is Append for a caller that cannot wait: its order is settled as it returns, and the answer comes on the
-// channel. What is queued while a sync goes on shares the next one. When an append fails, so does all that was queued
-// behind it, which may rest on it.
+// Queue is an asynchronous Append: the order is fixed when it returns, and the result arrives on the channel. Appends
+// queued during a sync share the next one. When an append fails, all appends queued after it fail too, as they may depend
+// on it.
 func (s *Store) Queue(records ...Record) <-chan error {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	w := waiting{records: records, done: make(chan error, 1), imports: s.imports}
-	if err := s.admit(records); err != nil {
+	w := pendingAppend{records: records, done: make(chan error, 1), importCount: s.importCount}
+	if err := s.validate(records); err != nil {
 		w.done <- err
 		return w.done
 	}
@@ -51,38 +54,38 @@
 		w.done <- nil
 		return w.done
 	}
-	s.queued = records[len(records)-1].Revision
+	s.lastQueued = records[len(records)-1].Revision
 	s.queue = append(s.queue, w)
 	if !s.committing {
 		s.committing = true
-		go s.commit()
+		go s.commitLoop()
 	}
 	return w.done
 }
 
-func (s *Store) admit(records []Record) error {
+func (s *Store) validate(records []Record) error {
 	if s.closed {
-		return &Refused{Reason: ErrClosed}
+		return &WriteError{Reason: ErrClosed}
 	}
 	if len(s.queue) >= MaxQueue {
-		return &Refused{Reason: fmt.Errorf("%d changes wait for the disk already", len(s.queue))}
+		return &WriteError{Reason: fmt.Errorf("%d appends are already waiting for the disk", len(s.queue))}
 	}
-	before := s.queued
+	prev := s.lastQueued
 	for _, r := range records {
-		if r.Revision != before+1 { // so what was asked behind one that has failed since cannot take its place
-			return &Refused{Reason: fmt.Errorf("revision %d does not follow revision %d", r.Revision, before)}
+		if r.Revision != prev+1 { // an append that was prepared behind one that has failed must not take its place
+			return &WriteError{Reason: fmt.Errorf("revision %d does not follow revision %d", r.Revision, prev)}
 		}
 		if len(r.Data) > MaxRecord {
-			return &Refused{Reason: fmt.Errorf("revision %d is %d bytes long, and at most %d are taken", r.Revision, len(r.Data),
+			return &WriteError{Reason: fmt.Errorf("revision %d is %d bytes long; the limit is %d", r.Revision, len(r.Data),
 				MaxRecord)}
 		}
-		before = r.Revision
+		prev = r.Revision
 	}
 	return nil
 }
 
-// commit writes what is queued until nothing is, and ends: a store that nobody edits has no goroutine.
-func (s *Store) commit() {
+// commitLoop writes queued appends until the queue is empty, and then ends, so that an idle store has no goroutine.
+func (s *Store) commitLoop() {
 	for {
 		s.mu.Lock()
 		batch := s.queue
@@ -95,40 +98,40 @@
 		}
 		s.mu.Unlock()
 
-		s.writer.Lock()
-		err := s.write(batch)
+		s.writeMu.Lock()
+		err := s.writeBatch(batch)
 		s.mu.Lock()
 		if err == nil {
-			s.last = batch[len(batch)-1].records[len(batch[len(batch)-1].records)-1].Revision
-		} else if !errors.Is(err, errImported) {
+			s.lastDurable = batch[len(batch)-1].records[len(batch[len(batch)-1].records)-1].Revision
+		} else if !errors.Is(err, errReplacedByImport) {
 			for _, w := range s.queue {
-				w.done <- &Refused{Reason: fmt.Errorf("the change before it failed: %w", errors.Unwrap(err))}
+				w.done <- &WriteError{Reason: fmt.Errorf("an earlier append failed: %w", errors.Unwrap(err))}
 			}
-			s.queue, s.queued = nil, s.last
+			s.queue, s.lastQueued = nil, s.lastDurable
 		}
 		s.mu.Unlock()
-		s.writer.Unlock()
+		s.writeMu.Unlock()
 		for _, w := range batch {
 			w.done <- err
 		}
 	}
 }
 
-// write makes one transaction of a batch. The writer's lock is held.
-func (s *Store) write(batch []waiting) error {
-	if err := s.ready(); err != nil {
+// writeBatch commits a batch in one transaction. s.writeMu is held.
+func (s *Store) writeBatch(batch []pendingAppend) error {
+	if err := s.ensureWritable(); err != nil {
 		return err
 	}
-	if batch[0].imports != s.imports { // it was taken off the queue before the import, and is written to what came after
-		return &Refused{Reason: errImported}
+	if batch[0].importCount != s.importCount { // dequeued before an import, so it does not apply to the imported contents
+		return &WriteError{Reason: errReplacedByImport}
 	}
 	err := s.update(func(tx *bbolt.Tx) error {
 		b := tx.Bucket(bucketRecords)
-		b.FillPercent = 0.9 // revisions only rise, so a page that is split is never filled up later
+		b.FillPercent = 0.9 // keys only increase, so the left half of a split page never gets more
 		n := b.Sequence()
 		for _, w := range batch {
 			for _, r := range w.records {
-				if err := b.Put(key(r.Revision), encode(r)); err != nil {
+				if err := b.Put(revisionKey(r.Revision), encodeValue(r)); err != nil {
 					return err
 				}
 				n++
@@ -140,45 +143,46 @@
 		return nil
 	}
 	s.log.Error("store_append_failed", "dir", s.dir, "reason", err.Error())
-	s.sick = err
-	return &Refused{Reason: err, Doubt: s.heal() != nil}
+	s.commitErr = err
+	return &WriteError{Reason: err, Uncertain: s.rollBackFailedCommit() != nil}
 }
 
-// ready refuses while the disk does not do what it must.
-func (s *Store) ready() error {
-	if s.broken != nil {
-		return &Refused{Reason: fmt.Errorf("the store takes no changes until the box is restarted: %w", s.broken)}
+// ensureWritable returns a *WriteError while an earlier failure prevents changes. s.writeMu is held.
+func (s *Store) ensureWritable() error {
+	if s.fatalErr != nil {
+		return &WriteError{Reason: fmt.Errorf("the store accepts no changes until the process is restarted: %w", s.fatalErr)}
 	}
-	if err := s.heal(); err != nil {
-		return &Refused{Reason: fmt.Errorf("the store has failed (%w) and still does: %w", s.sick, err)}
+	if err := s.rollBackFailedCommit(); err != nil {
+		return &WriteError{Reason: fmt.Errorf("an earlier write failed (%w), and recovery fails too: %w", s.commitErr, err)}
 	}
 	return nil
 }
 
-// heal takes back what a failed commit may have left: bbolt writes the meta page that makes a commit hold, and syncs it
-// then, so that a commit whose last sync fails can be read, and may or may not outlive a crash.
-func (s *Store) heal() error {
-	if s.broken != nil {
-		return s.broken
+// rollBackFailedCommit removes the records that a failed commit may have left. bbolt writes the meta page that publishes a
+// commit and only then syncs it, so a commit whose last sync fails is readable and may or may not survive a crash.
+// s.writeMu is held.
+func (s *Store) rollBackFailedCommit() error {
+	if s.fatalErr != nil {
+		return s.fatalErr
 	}
-	if s.sick == nil {
+	if s.commitErr == nil {
 		return nil
 	}
-	s.views.Lock() // the pages that a reader of before the failure sees may now count as free
-	s.views.Unlock()
-	if err := settle(s.path()); err != nil {
+	s.dbMu.Lock() // wait for readers from before the failure: the pages that they see may now count as free
+	s.dbMu.Unlock()
+	if err := rewriteMetaPages(s.path()); err != nil {
 		return err
 	}
-	last := key(s.Last())
-	var left bool
-	err := guarded(func() error {
+	last := revisionKey(s.Last())
+	var leftover bool
+	err := catchFaults(func() error {
 		return s.db.View(func(tx *bbolt.Tx) error {
 			k, _ := tx.Bucket(bucketRecords).Cursor().Last()
-			left = string(k) > string(last)
+			leftover = string(k) > string(last)
 			return nil
 		})
 	})
-	if err == nil && left {
+	if err == nil && leftover {
 		err = s.update(func(tx *bbolt.Tx) error {
 			b := tx.Bucket(bucketRecords)
 			n := b.Sequence()
@@ -194,17 +198,18 @@
 	if err != nil {
 		return err
 	}
-	s.log.Warn("store_works_again", "dir", s.dir, "after", s.sick.Error())
-	s.sick = nil
+	s.log.Warn("store_works_again", "dir", s.dir, "after", s.commitErr.Error())
+	s.commitErr = nil
 	return nil
 }
 
-// update is bbolt's, except that a panic in it ends the store's changes: bbolt may hold its writer's lock for good.
+// update runs a bbolt write transaction. After a panic in it the store accepts no more changes, since bbolt may never
+// release its writer lock.
 func (s *Store) update(f func(tx *bbolt.Tx) error) error {
-	err := guarded(func() error { return s.db.Update(f) })
-	var fault *fault
+	err := catchFaults(func() error { return s.db.Update(f) })
+	var fault *accessFault
 	if errors.As(err, &fault) {
-		s.broken = err
+		s.fatalErr = err
 	}
 	return err
 }
--- a/internal/store/bench_test.go
+++ b/internal/store/bench_test.go
@@ -16,16 +16,16 @@
 	"time"
 )
 
-// plainLog is what bbolt was weighed against: one file, a frame of length, checksum, revision and bytes for each record,
-// synced after each batch, read whole at the start and cut at the first frame that is not whole. Snapshots, a schema and
-// the rest of this package would come on top, and cost it nothing in these figures.
+// plainLog is the alternative to bbolt that the benchmarks compare: one file with a frame of length, checksum, revision and
+// data for each record, synced after each batch, read completely at the start and truncated at the first incomplete frame.
+// It lacks snapshots, a schema and the rest of this package, whose cost its figures therefore do not include.
 type plainLog struct {
 	f    *os.File
 	last uint64
 	buf  []byte
 }
 
-func openPlain(path string) (*plainLog, []Record, error) {
+func openPlainLog(path string) (*plainLog, []Record, error) {
 	f, err := os.OpenFile(path, os.O_RDWR|os.O_CREATE, 0o600)
 	if err != nil {
 		return nil, nil, err
@@ -57,7 +57,7 @@
 	for _, r := range records {
 		l.buf = binary.BigEndian.AppendUint32(l.buf, uint32(len(r.Data)))
 		l.buf = binary.BigEndian.AppendUint32(l.buf, checksum(r))
-		l.buf = append(append(l.buf, key(r.Revision)...), r.Data...)
+		l.buf = append(append(l.buf, revisionKey(r.Revision)...), r.Data...)
 	}
 	if _, err := l.f.Write(l.buf); err != nil {
 		return err
@@ -65,40 +65,40 @@
 	return syscall.Fdatasync(int(l.f.Fd()))
 }
 
-func quantiles(b *testing.B, took []time.Duration) {
+func reportQuantiles(b *testing.B, took []time.Duration) {
 	slices.Sort(took)
 	b.ReportMetric(float64(took[len(took)/2].Microseconds()), "µs-median")
 	b.ReportMetric(float64(took[len(took)*99/100].Microseconds()), "µs-99%")
 }
 
-// An edit's time with its sync, behind 10,000 records: go test ./internal/store -run - -bench Append -benchtime 5000x
+// Time of an append with its sync, after 10,000 records: go test ./internal/store -run - -bench Append -benchtime 5000x
 func BenchmarkAppend(b *testing.B) {
 	each := func(b *testing.B, write func(...Record) error) {
 		var took []time.Duration
 		for b.Loop() {
 			rev := uint64(10_001 + len(took))
-			r := sample(rev, rev)
+			r := sampleRecords(rev, rev)
 			from := time.Now()
 			must(b, write(r...))
 			took = append(took, time.Since(from))
 		}
-		quantiles(b, took)
+		reportQuantiles(b, took)
 	}
 	b.Run("bbolt", func(b *testing.B) {
-		s := open(b, b.TempDir(), Options{})
-		must(b, s.Append(sample(1, 10_000)...))
+		s := openStore(b, b.TempDir(), Options{})
+		must(b, s.Append(sampleRecords(1, 10_000)...))
 		each(b, s.Append)
 	})
 	b.Run("log", func(b *testing.B) {
-		l, _, err := openPlain(filepath.Join(b.TempDir(), "log"))
+		l, _, err := openPlainLog(filepath.Join(b.TempDir(), "log"))
 		must(b, err)
 		defer l.f.Close()
-		must(b, l.append(sample(1, 10_000)...))
+		must(b, l.append(sampleRecords(1, 10_000)...))
 		each(b, l.append)
 	})
 	b.Run("bbolt-64-at-once", func(b *testing.B) {
-		s := open(b, b.TempDir(), Options{})
-		must(b, s.Append(sample(1, 10_000)...))
+		s := openStore(b, b.TempDir(), Options{})
+		must(b, s.Append(sampleRecords(1, 10_000)...))
 		var mu sync.Mutex
 		var took []time.Duration
 		rev := s.Last()
@@ -107,7 +107,7 @@
 			for p.Next() {
 				mu.Lock()
 				rev++
-				from, done := time.Now(), s.Queue(sample(rev, rev)...)
+				from, done := time.Now(), s.Queue(sampleRecords(rev, rev)...)
 				mu.Unlock()
 				if err := <-done; err != nil {
 					b.Error(err)
@@ -117,40 +117,40 @@
 				mu.Unlock()
 			}
 		})
-		quantiles(b, took)
+		reportQuantiles(b, took)
 	})
 }
 
-// A start with 10,000 records: go test ./internal/store -run - -bench Open
+// Time to open and load 10,000 records: go test ./internal/store -run - -bench Open
 func BenchmarkOpen(b *testing.B) {
 	b.Run("bbolt", func(b *testing.B) {
 		dir := b.TempDir()
-		s := open(b, dir, Options{})
-		must(b, s.Append(sample(1, 10_000)...))
+		s := openStore(b, dir, Options{})
+		must(b, s.Append(sampleRecords(1, 10_000)...))
 		must(b, s.Close())
 		var took []time.Duration
 		for b.Loop() {
 			from := time.Now()
-			s := open(b, dir, Options{})
-			c := load1(b, s)
+			s := openStore(b, dir, Options{})
+			c := mustLoad(b, s)
 			took = append(took, time.Since(from))
 			if len(c.Records) != 10_000 {
 				b.Fatal(len(c.Records))
 			}
 			must(b, s.Close())
 		}
-		quantiles(b, took)
+		reportQuantiles(b, took)
 	})
 	b.Run("log", func(b *testing.B) {
 		path := filepath.Join(b.TempDir(), "log")
-		l, _, err := openPlain(path)
+		l, _, err := openPlainLog(path)
 		must(b, err)
-		must(b, l.append(sample(1, 10_000)...))
+		must(b, l.append(sampleRecords(1, 10_000)...))
 		l.f.Close()
 		var took []time.Duration
 		for b.Loop() {
 			from := time.Now()
-			l, all, err := openPlain(path)
+			l, all, err := openPlainLog(path)
 			took = append(took, time.Since(from))
 			must(b, err)
 			if len(all) != 10_000 {
@@ -158,16 +158,16 @@
 			}
 			l.f.Close()
 		}
-		quantiles(b, took)
+		reportQuantiles(b, took)
 	})
 }
 
-// A snapshot in the place of 10,000 records, the newest 1,000 kept.
+// Time to compact 10,000 records into a snapshot, keeping the newest 1,000.
 func BenchmarkCompact(b *testing.B) {
 	for b.Loop() {
 		b.StopTimer()
-		s := open(b, b.TempDir(), Options{})
-		must(b, s.Append(sample(1, 10_000)...))
+		s := openStore(b, b.TempDir(), Options{})
+		must(b, s.Append(sampleRecords(1, 10_000)...))
 		b.StartTimer()
 		must(b, s.Compact(Record{10_000, make([]byte, 100_000)}, 9_001))
 	}
--- a/internal/store/compact.go
+++ b/internal/store/compact.go
@@ -12,84 +12,85 @@
 
 func (s *Store) path() string { return filepath.Join(s.dir, fileName) }
 
-// Compact puts a snapshot of the state as of its revision in place of the records before keep; those from keep up to
-// the snapshot stay as history. The file is written anew and exchanged whole, so it is never larger than what it holds,
-// and a crash at any point leaves the one or the other.
+// Compact replaces the records before revision keep with a snapshot of the state at the snapshot's revision; records from
+// keep up to the snapshot stay as history. It writes a new file and renames it over the old one, so the file never holds
+// unused space from dropped records, and a crash at any point leaves either the old or the new file.
 func (s *Store) Compact(snapshot Record, keep uint64) error {
-	s.writer.Lock()
-	defer s.writer.Unlock()
-	if err := s.ready(); err != nil {
+	s.writeMu.Lock()
+	defer s.writeMu.Unlock()
+	if err := s.ensureWritable(); err != nil {
 		return err
 	}
 	c, err := s.Load()
 	if err != nil {
-		return &Refused{Reason: err}
+		return &WriteError{Reason: err}
 	}
 	switch {
 	case snapshot.Revision > c.Last():
-		err = fmt.Errorf("a snapshot of revision %d, and the newest is %d", snapshot.Revision, c.Last())
+		err = fmt.Errorf("the snapshot is of revision %d, but the newest revision is %d", snapshot.Revision, c.Last())
 	case c.Snapshot != nil && snapshot.Revision < c.Snapshot.Revision:
-		err = fmt.Errorf("a snapshot of revision %d, and there is one of %d", snapshot.Revision, c.Snapshot.Revision)
+		err = fmt.Errorf("the snapshot is of revision %d, but the store already has one of revision %d", snapshot.Revision,
+			c.Snapshot.Revision)
 	case keep > snapshot.Revision+1:
-		err = fmt.Errorf("the records from %d on are to be kept, and the snapshot covers those up to %d only", keep,
+		err = fmt.Errorf("the records from revision %d on are to be kept, but the snapshot covers only those up to %d", keep,
 			snapshot.Revision)
 	case len(snapshot.Data) > MaxSnapshot:
-		err = fmt.Errorf("the snapshot is %d bytes long, and at most %d are taken", len(snapshot.Data), MaxSnapshot)
+		err = fmt.Errorf("the snapshot is %d bytes long; the limit is %d", len(snapshot.Data), MaxSnapshot)
 	}
 	if err != nil {
-		return &Refused{Reason: err}
+		return &WriteError{Reason: err}
 	}
 	c.Snapshot = &snapshot
 	for len(c.Records) > 0 && c.Records[0].Revision < keep {
 		c.Records = c.Records[1:]
 	}
-	return s.replace(c)
+	return s.replaceFile(c)
 }
 
-// replace writes contents to a new file, syncs it, and gives it the store's name. Until the rename all is as it was.
-// The writer's lock is held, or the store is not yet anyone's.
-func (s *Store) replace(c Contents) error {
-	path := filepath.Join(s.dir, newName)
-	if err := os.Remove(path); err != nil && !errors.Is(err, fs.ErrNotExist) { // or we would add to what is left there
-		return &Refused{Reason: err}
+// replaceFile writes contents to a new file, syncs it and renames it over the store's file. Until the rename nothing has
+// changed. s.writeMu is held, or Open has not returned yet.
+func (s *Store) replaceFile(c Contents) error {
+	path := filepath.Join(s.dir, newFileName)
+	if err := os.Remove(path); err != nil && !errors.Is(err, fs.ErrNotExist) { // openBolt would add to a leftover file
+		return &WriteError{Reason: err}
 	}
 	var db *bbolt.DB
-	err := guarded(func() (err error) {
+	err := catchFaults(func() (err error) {
 		if db, err = openBolt(path); err != nil {
 			return err
 		}
-		return fill(db, c)
+		return writeContents(db, c)
 	})
 	if err == nil {
 		err = os.Rename(path, s.path())
 	}
 	if err != nil {
-		var fault *fault
+		var fault *accessFault
 		if db != nil && !errors.As(err, &fault) {
 			db.Close()
 		}
-		os.Remove(path) // what stays of it is removed by the next Open
-		return &Refused{Reason: err}
+		os.Remove(path) // if this fails, the next Open removes the file
+		return &WriteError{Reason: err}
 	}
-	s.views.Lock()
+	s.dbMu.Lock()
 	old := s.db
 	s.db = db
 	s.mu.Lock()
-	s.last = c.Last()
+	s.lastDurable = c.Last()
 	s.mu.Unlock()
-	s.views.Unlock()
+	s.dbMu.Unlock()
 	if old != nil {
 		old.Close()
 	}
 	if err := syncDir(s.dir); err != nil {
-		// After a crash the name may mean the old file, so nothing more may be promised on the new one.
-		s.broken = fmt.Errorf("the state folder cannot be synced: %w", err)
-		return &Refused{Reason: s.broken, Doubt: true}
+		// After a crash the name may refer to the old file, so no further change may be acknowledged on the new one.
+		s.fatalErr = fmt.Errorf("cannot sync the state folder: %w", err)
+		return &WriteError{Reason: s.fatalErr, Uncertain: true}
 	}
 	return nil
 }
 
-func fill(db *bbolt.DB, c Contents) error {
+func writeContents(db *bbolt.DB, c Contents) error {
 	return db.Update(func(tx *bbolt.Tx) error {
 		about, err := tx.CreateBucketIfNotExists(bucketAbout)
 		if err != nil {
@@ -99,18 +100,19 @@
 		if err != nil {
 			return err
 		}
-		// Always there, or a key that has gone bad would read as a store that never had a snapshot.
+		// The snapshot key is always written: if it could be absent, a damaged key would read as a store without snapshot.
+		// Data starts with a 1 if there is a snapshot and is empty if not.
 		var snapshot Record
 		if c.Snapshot != nil {
 			snapshot = Record{Revision: c.Snapshot.Revision, Data: append([]byte{1}, c.Snapshot.Data...)}
 		}
-		err = errors.Join(about.Put(keyLayout, encode(Record{Data: key(layout)})),
-			about.Put(keySchema, encode(Record{Data: key(c.Schema)})),
-			about.Put(keySnapshot, append(key(snapshot.Revision), encode(snapshot)...)))
+		err = errors.Join(about.Put(keyLayout, encodeValue(Record{Data: revisionKey(layoutVersion)})),
+			about.Put(keySchema, encodeValue(Record{Data: revisionKey(c.Schema)})),
+			about.Put(keySnapshot, append(revisionKey(snapshot.Revision), encodeValue(snapshot)...)))
 		records.FillPercent = 0.9
 		for _, r := range c.Records {
 			if err == nil {
-				err = records.Put(key(r.Revision), encode(r))
+				err = records.Put(revisionKey(r.Revision), encodeValue(r))
 			}
 		}
 		return errors.Join(err, records.SetSequence(uint64(len(c.Records))))
--- a/internal/store/crashdisk/disk.go
+++ b/internal/store/crashdisk/disk.go
@@ -1,8 +1,8 @@
-// Package crashdisk models what a disk may hold after a crash. A Disk replays the writes, syncs and changes of names that a
-// process made in one folder, in the order in which the kernel was asked, and gives images of the folder as a crash at that
-// moment may leave it: what was not synced is there, lost, torn or older than what was written after it.
+// Package crashdisk models what a disk may hold after a crash. A Disk replays the writes, syncs and name changes that a
+// process made in one folder, in the order of the system calls, and returns images of the folder as a crash at that moment
+// may leave it: unsynced data may be present, lost, torn or reordered.
 //
-// It is for tests alone: no program links it. The tests of internal/store record the events of real processes.
+// It is used only in tests; no program links it. The tests of internal/store record the events of real processes.
 package crashdisk
 
 import (
@@ -13,24 +13,25 @@
 	"slices"
 )
 
-// Kind of an event.
+// Kind is the kind of an event.
 type Kind uint8
 
 const (
-	Write    Kind = iota // of Data at Off in Ino
-	Truncate             // of Ino to Off
-	Begin                // of a sync of Ino
-	Done                 // of that sync; Failed: with an error
-	Create               // of Name as Ino
-	Rename               // of Name to To
-	Link                 // of Name as To too
-	Remove               // of Name
-	BeginDir             // of a sync of the folder
-	DoneDir              // of that
-	Said                 // Text, on standard output
+	Write        Kind = iota // Data was written at Off to file Ino
+	Truncate                 // file Ino was set to the size Off
+	SyncBegin                // a sync of file Ino began
+	SyncDone                 // that sync ended; with an error if Failed is set
+	Create                   // Name was created as file Ino
+	Rename                   // Name was renamed to To
+	Link                     // Name was also linked as To
+	Remove                   // Name was removed
+	DirSyncBegin             // a sync of the folder began
+	DirSyncDone              // that sync ended; with an error if Failed is set
+	Output                   // Text was written to standard output
 )
 
-// Event is one step of a process. Files are known by a number of ours (Ino), since names change.
+// Event is one recorded action of a process. Files are identified by a number that this package assigns (Ino), since names
+// change.
 type Event struct {
 	Kind     Kind
 	Ino      int
@@ -41,25 +42,28 @@
 	Text     string
 }
 
-// sector is what a disk writes whole, as a rule; images break that too (tear), since some disks do.
-const sector = 512
+// sectorSize is the unit, in bytes, that disks usually write atomically. Some do not, so images may hold torn sectors too
+// (tear).
+const sectorSize = 512
 
-// version is what a sector, or a file's size, became at a time.
+// version is the content of a sector, or the size of a file, from a time on. Times count the events applied.
 type version struct {
 	at   int
 	data []byte
 	size int64
-	lost bool // a sync of it failed: the kernel has forgotten that it is unwritten, and no later sync makes up for it
+	lost bool // a sync of it failed: the kernel then counts it as written, so later syncs do not write it
 }
 
+// file holds the cached and the durable content of a file, and the versions in between that may reach the disk.
 type file struct {
 	cache, disk []byte
 	sectors     map[int64][]version
 	sizes       []version
-	began       int
+	syncBegan   int
 }
 
-type naming struct {
+// nameChange is a change of the folder that was made at a time.
+type nameChange struct {
 	at   int
 	name string
 	to   string
@@ -67,21 +71,21 @@
 	kind Kind
 }
 
-// Disk is a folder on a disk with a cache.
+// Disk simulates one folder on a disk behind a write cache.
 type Disk struct {
-	now      int
-	files    map[int]*file
-	cached   map[string]int
-	durable  map[string]int
-	pending  []naming
-	beganDir int
+	now            int
+	files          map[int]*file
+	cachedNames    map[string]int
+	durableNames   map[string]int
+	pendingChanges []nameChange
+	dirSyncBegan   int
 }
 
-// New is a disk that holds the files of a folder, all synced; they are numbered from 1 in the order of their names.
+// New returns a disk that holds the given files, all synced and numbered from 1 in the order of their names.
 func New(files map[string][]byte) *Disk {
-	d := &Disk{files: map[int]*file{}, cached: map[string]int{}, durable: map[string]int{}}
+	d := &Disk{files: map[int]*file{}, cachedNames: map[string]int{}, durableNames: map[string]int{}}
 	for i, name := range slices.Sorted(maps.Keys(files)) {
-		d.cached[name], d.durable[name] = i+1, i+1
+		d.cachedNames[name], d.durableNames[name] = i+1, i+1
 		d.files[i+1] = &file{cache: slices.Clone(files[name]), disk: slices.Clone(files[name]), sectors: map[int64][]version{}}
 	}
 	return d
@@ -94,7 +98,7 @@
 	return d.files[ino]
 }
 
-// Apply takes the next event.
+// Apply replays the next event.
 func (d *Disk) Apply(e Event) {
 	d.now++
 	switch e.Kind {
@@ -106,55 +110,55 @@
 			f.sizes = append(f.sizes, version{at: d.now, size: end})
 		}
 		copy(f.cache[e.Off:], e.Data)
-		for s := e.Off / sector; s*sector < end; s++ {
-			f.sectors[s] = append(f.sectors[s], version{at: d.now, data: f.sector(s)})
+		for s := e.Off / sectorSize; s*sectorSize < end; s++ {
+			f.sectors[s] = append(f.sectors[s], version{at: d.now, data: f.readSector(s)})
 		}
 	case Truncate:
 		f := d.file(e.Ino)
 		old := int64(len(f.cache))
 		f.cache = append(f.cache[:min(old, e.Off)], make([]byte, max(0, e.Off-old))...)
 		f.sizes = append(f.sizes, version{at: d.now, size: e.Off})
-		for s := e.Off / sector; s*sector < old; s++ {
-			f.sectors[s] = append(f.sectors[s], version{at: d.now, data: f.sector(s)})
+		for s := e.Off / sectorSize; s*sectorSize < old; s++ {
+			f.sectors[s] = append(f.sectors[s], version{at: d.now, data: f.readSector(s)})
 		}
-	case Begin:
-		d.file(e.Ino).began = d.now
-	case Done:
+	case SyncBegin:
+		d.file(e.Ino).syncBegan = d.now
+	case SyncDone:
 		f := d.file(e.Ino)
 		for s, all := range f.sectors {
-			var safe *version
-			if all, safe = synced(all, f.began, e.Failed); safe != nil {
-				f.put(s, safe.data)
+			var durable *version
+			if all, durable = splitAtSync(all, f.syncBegan, e.Failed); durable != nil {
+				f.writeSector(s, durable.data)
 			}
 			if f.sectors[s] = all; len(all) == 0 {
 				delete(f.sectors, s)
 			}
 		}
-		var safe *version
-		if f.sizes, safe = synced(f.sizes, f.began, e.Failed); safe != nil {
-			f.disk = resized(f.disk, safe.size)
+		var durable *version
+		if f.sizes, durable = splitAtSync(f.sizes, f.syncBegan, e.Failed); durable != nil {
+			f.disk = resized(f.disk, durable.size)
 		}
 	case Create, Rename, Link, Remove:
-		n := naming{at: d.now, name: e.Name, to: e.To, ino: e.Ino, kind: e.Kind}
+		n := nameChange{at: d.now, name: e.Name, to: e.To, ino: e.Ino, kind: e.Kind}
 		if e.Kind != Create {
-			n.ino = d.cached[e.Name]
+			n.ino = d.cachedNames[e.Name]
 		}
-		n.apply(d.cached)
-		d.pending = append(d.pending, n)
-	case BeginDir:
-		d.beganDir = d.now
-	case DoneDir:
+		n.apply(d.cachedNames)
+		d.pendingChanges = append(d.pendingChanges, n)
+	case DirSyncBegin:
+		d.dirSyncBegan = d.now
+	case DirSyncDone:
 		if e.Failed {
-			break // a folder's changes are in the journal: a later sync that succeeds covers them
+			break // changes of a folder stay in the file system's journal, so a later successful sync covers them
 		}
-		for len(d.pending) > 0 && d.pending[0].at < d.beganDir {
-			d.pending[0].apply(d.durable)
-			d.pending = d.pending[1:]
+		for len(d.pendingChanges) > 0 && d.pendingChanges[0].at < d.dirSyncBegan {
+			d.pendingChanges[0].apply(d.durableNames)
+			d.pendingChanges = d.pendingChanges[1:]
 		}
 	}
 }
 
-func (n naming) apply(names map[string]int) {
+func (n nameChange) apply(names map[string]int) {
 	switch n.kind {
 	case Create:
 		names[n.name] = n.ino
@@ -168,8 +172,9 @@
 	}
 }
 
-// synced splits versions at a sync that began at a time: what is still open, and what the disk now holds for certain.
-func synced(all []version, began int, failed bool) (open []version, safe *version) {
+// splitAtSync applies the end of a sync that began at a time: it returns the versions that may still replace the durable
+// one, and the newest version that is now durable, nil if there is none.
+func splitAtSync(all []version, began int, failed bool) (open []version, durable *version) {
 	for i := range all {
 		if all[i].at >= began {
 			continue
@@ -177,30 +182,30 @@
 		if failed {
 			all[i].lost = true
 		} else if !all[i].lost {
-			safe = &all[i]
+			durable = &all[i]
 		}
 	}
-	if safe == nil {
+	if durable == nil {
 		return all, nil
 	}
 	for _, v := range all {
-		if v.at > safe.at {
+		if v.at > durable.at {
 			open = append(open, v)
 		}
 	}
-	return open, safe
+	return open, durable
 }
 
-func (f *file) sector(s int64) []byte {
-	from := min(s*sector, int64(len(f.cache)))
-	return slices.Clone(f.cache[from:min((s+1)*sector, int64(len(f.cache)))])
+func (f *file) readSector(s int64) []byte {
+	from := min(s*sectorSize, int64(len(f.cache)))
+	return slices.Clone(f.cache[from:min((s+1)*sectorSize, int64(len(f.cache)))])
 }
 
-func (f *file) put(s int64, data []byte) {
-	if end := s*sector + int64(len(data)); int64(len(f.disk)) < end {
+func (f *file) writeSector(s int64, data []byte) {
+	if end := s*sectorSize + int64(len(data)); int64(len(f.disk)) < end {
 		f.disk = resized(f.disk, end)
 	}
-	copy(f.disk[s*sector:], data)
+	copy(f.disk[s*sectorSize:], data)
 }
 
 func resized(b []byte, size int64) []byte {
@@ -210,14 +215,14 @@
 	return append(b[:len(b):len(b)], make([]byte, size-int64(len(b)))...)
 }
 
-// Image is the folder as a crash now may leave it.
+// Image returns the folder as a crash at this moment may leave it, chosen by r.
 func (d *Disk) Image(r *rand.Rand) map[string][]byte {
-	// How much of what was not synced has reached the disk: mostly nothing, mostly all, or some.
-	reached := []float64{0, 0.1, 0.5, 0.9, 1}[r.IntN(5)]
+	// The share of unsynced changes that reached the disk, from none to all.
+	writtenShare := []float64{0, 0.1, 0.5, 0.9, 1}[r.IntN(5)]
 	tear := r.IntN(3) == 0
-	names := maps.Clone(d.durable)
-	for _, n := range d.pending {
-		if r.Float64() < reached {
+	names := maps.Clone(d.durableNames)
+	for _, n := range d.pendingChanges {
+		if r.Float64() < writtenShare {
 			n.apply(names)
 		}
 	}
@@ -226,34 +231,34 @@
 		f := d.file(names[name])
 		b := slices.Clone(f.disk)
 		size := int64(len(b))
-		if len(f.sizes) > 0 && r.Float64() < reached {
+		if len(f.sizes) > 0 && r.Float64() < writtenShare {
 			size = f.sizes[r.IntN(len(f.sizes))].size
 			b = resized(b, size)
 		}
 		for _, s := range slices.Sorted(maps.Keys(f.sectors)) {
 			all := f.sectors[s]
-			if r.Float64() >= reached {
+			if r.Float64() >= writtenShare {
 				continue
 			}
 			data := all[len(all)-1].data
-			if r.IntN(2) == 0 { // an older write has reached the disk, and the newer one has not
+			if r.IntN(2) == 0 { // an older write may have reached the disk without the newer ones
 				data = all[r.IntN(len(all))].data
 			}
-			if s*sector >= size {
+			if s*sectorSize >= size {
 				continue
 			}
 			if tear && r.IntN(8) == 0 {
 				data = data[:r.IntN(len(data)+1)]
 			}
-			copy(b[s*sector:], data)
+			copy(b[s*sectorSize:], data)
 		}
 		image[name] = b
 	}
 	return image
 }
 
-// Put writes an image into an empty folder.
-func Put(dir string, image map[string][]byte) error {
+// WriteImage writes an image into an empty folder.
+func WriteImage(dir string, image map[string][]byte) error {
 	for name, data := range image {
 		if err := os.WriteFile(filepath.Join(dir, name), data, 0o600); err != nil {
 			return err
--- a/internal/store/document.go
+++ b/internal/store/document.go
@@ -8,34 +8,35 @@
 	"io"
 )
 
-// kind marks the documents that Export writes.
-const kind = "pewterrudder state"
+// documentKind is the field kind of the documents that Export writes.
+const documentKind = "pewterrudder state"
 
-type document struct {
-	Kind     string   `json:"kind"`
-	Layout   uint64   `json:"layout"`
-	Schema   uint64   `json:"schema"`
-	Last     uint64   `json:"last"` // a document that was cut by hand is noticed
-	Snapshot *entry   `json:"snapshot,omitempty"`
-	Records  []*entry `json:"records"`
+// exportDocument is the JSON form of Contents.
+type exportDocument struct {
+	Kind     string           `json:"kind"`
+	Layout   uint64           `json:"layout"`
+	Schema   uint64           `json:"schema"`
+	Last     uint64           `json:"last"` // newest revision; detects a document that was truncated by hand
+	Snapshot *documentEntry   `json:"snapshot,omitempty"`
+	Records  []*documentEntry `json:"records"`
 }
 
-// entry holds bytes as JSON that a person can read where they are compact JSON, and as base64 where they are not: what
-// comes back must be the same to the byte.
-type entry struct {
+// documentEntry is the JSON form of a Record. Bytes that are compact JSON are embedded as readable JSON (Data), all others
+// as base64 (Bytes), so that an import restores every record byte for byte.
+type documentEntry struct {
 	Revision uint64          `json:"revision"`
 	Data     json.RawMessage `json:"data,omitempty"`
 	Bytes    []byte          `json:"bytes,omitempty"`
 }
 
-func newEntry(r Record) *entry {
-	if again, err := json.Marshal(json.RawMessage(r.Data)); err == nil && len(r.Data) > 0 && bytes.Equal(again, r.Data) {
-		return &entry{Revision: r.Revision, Data: r.Data}
+func newEntry(r Record) *documentEntry {
+	if compacted, err := json.Marshal(json.RawMessage(r.Data)); err == nil && len(r.Data) > 0 && bytes.Equal(compacted, r.Data) {
+		return &documentEntry{Revision: r.Revision, Data: r.Data}
 	}
-	return &entry{Revision: r.Revision, Bytes: r.Data}
+	return &documentEntry{Revision: r.Revision, Bytes: r.Data}
 }
 
-func (e *entry) record() (Record, error) {
+func (e *documentEntry) record() (Record, error) {
 	r := Record{Revision: e.Revision, Data: e.Bytes}
 	if e.Data == nil {
 		return r, nil
@@ -43,19 +44,19 @@
 	if e.Bytes != nil {
 		return r, fmt.Errorf("revision %d has both data and bytes", e.Revision)
 	}
-	var b bytes.Buffer // whoever formatted the document has not changed the records
+	var b bytes.Buffer // undoes the document's indentation
 	err := json.Compact(&b, e.Data)
 	r.Data = b.Bytes()
 	return r, err
 }
 
-// Export writes all that is on the disk, at one moment, as one JSON document.
+// Export writes a consistent copy of all that is on the disk as one JSON document.
 func (s *Store) Export(w io.Writer) error {
 	c, err := s.Load()
 	if err != nil {
 		return err
 	}
-	d := document{Kind: kind, Layout: layout, Schema: c.Schema, Last: c.Last(), Records: []*entry{}}
+	d := exportDocument{Kind: documentKind, Layout: layoutVersion, Schema: c.Schema, Last: c.Last(), Records: []*documentEntry{}}
 	if c.Snapshot != nil {
 		d.Snapshot = newEntry(*c.Snapshot)
 	}
@@ -67,45 +68,45 @@
 	return e.Encode(d)
 }
 
-// Import puts an exported document in the place of all that the store holds, or changes nothing. One of an older schema
-// goes through Migrate; one of a newer is refused. A store that holds something is replaced only if that is said.
-func (s *Store) Import(r io.Reader, over bool) error {
-	c, err := s.parse(r)
+// Import replaces all contents of the store with an exported document, or changes nothing. A document of an older schema
+// goes through Migrate; one of a newer schema is rejected. A store that is not empty is replaced only if overwrite is set.
+func (s *Store) Import(r io.Reader, overwrite bool) error {
+	c, err := s.parseDocument(r)
 	if err != nil {
-		return &Refused{Reason: fmt.Errorf("the document: %w", err)}
+		return &WriteError{Reason: fmt.Errorf("cannot import the document: %w", err)}
 	}
-	s.writer.Lock()
-	defer s.writer.Unlock()
-	return s.swap(c, over)
+	s.writeMu.Lock()
+	defer s.writeMu.Unlock()
+	return s.applyImport(c, overwrite)
 }
 
-// swap is Import's change. The writer's lock is held.
-func (s *Store) swap(c Contents, over bool) error {
-	if err := s.ready(); err != nil {
+// applyImport replaces the contents with c and rejects all queued appends. s.writeMu is held.
+func (s *Store) applyImport(c Contents, overwrite bool) error {
+	if err := s.ensureWritable(); err != nil {
 		return err
 	}
-	now, err := s.Load()
+	current, err := s.Load()
 	if err != nil {
-		return &Refused{Reason: err}
+		return &WriteError{Reason: err}
 	}
-	if last := now.Last(); last > 0 && !over {
-		return &Refused{Reason: fmt.Errorf("the store holds revisions up to %d, which the import would drop", last)}
+	if last := current.Last(); last > 0 && !overwrite {
+		return &WriteError{Reason: fmt.Errorf("the store holds revisions up to %d, which the import would discard", last)}
 	}
-	if err := s.replace(c); err != nil {
+	if err := s.replaceFile(c); err != nil {
 		return err
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	for _, w := range s.queue {
-		w.done <- &Refused{Reason: errImported}
+		w.done <- &WriteError{Reason: errReplacedByImport}
 	}
-	s.queue, s.queued = nil, s.last
-	s.imports++
+	s.queue, s.lastQueued = nil, s.lastDurable
+	s.importCount++
 	return nil
 }
 
-func (s *Store) parse(r io.Reader) (Contents, error) {
-	var d document
+func (s *Store) parseDocument(r io.Reader) (Contents, error) {
+	var d exportDocument
 	var c Contents
 	limit := &io.LimitedReader{R: r, N: 4 * MaxSnapshot}
 	dec := json.NewDecoder(limit)
@@ -117,19 +118,19 @@
 		return c, err
 	}
 	if _, err := dec.Token(); err != io.EOF {
-		return c, errors.New("something follows its end")
+		return c, errors.New("unexpected data after its end")
 	}
-	if d.Kind != kind {
-		return c, fmt.Errorf("kind is %q, and not %q", d.Kind, kind)
+	if d.Kind != documentKind {
+		return c, fmt.Errorf("kind is %q, expected %q", d.Kind, documentKind)
 	}
-	if d.Layout > layout {
-		return c, &Newer{Path: "it", Have: d.Layout, Wanted: layout}
+	if d.Layout > layoutVersion {
+		return c, &NewerVersionError{Path: "the document", Have: d.Layout, Supported: layoutVersion}
 	}
 	if d.Schema == 0 {
 		return c, errors.New("schema is missing")
 	}
 	if d.Schema > s.schema {
-		return c, &Newer{Path: "it", Have: d.Schema, Wanted: s.schema}
+		return c, &NewerVersionError{Path: "the document", Have: d.Schema, Supported: s.schema}
 	}
 	c.Schema = d.Schema
 	if d.Snapshot != nil {
@@ -152,21 +153,21 @@
 		}
 		c.Records = append(c.Records, r)
 	}
-	if err := c.gaps(); err != nil {
+	if err := c.checkContinuity(); err != nil {
 		return c, err
 	}
 	if c.Last() != d.Last {
-		return c, fmt.Errorf("it ends at revision %d, and says that it ends at %d: a part is missing", c.Last(), d.Last)
+		return c, fmt.Errorf("its newest revision is %d, but its field last is %d: part of it is missing", c.Last(), d.Last)
 	}
 	if c.Schema == s.schema {
 		return c, nil
 	}
-	if s.step == nil {
-		return c, fmt.Errorf("it is of schema %d, and this program has no way from there to %d", c.Schema, s.schema)
+	if s.migrateFn == nil {
+		return c, fmt.Errorf("it has schema %d, and this program cannot migrate it to schema %d", c.Schema, s.schema)
 	}
-	c, err := s.step(c.Schema, c)
+	c, err := s.migrateFn(c.Schema, c)
 	if err == nil {
-		err = c.gaps()
+		err = c.checkContinuity()
 	}
 	c.Schema = s.schema
 	return c, err
--- a/internal/store/lock.go
+++ b/internal/store/lock.go
@@ -11,16 +11,16 @@
 
 const lockName = "lock"
 
-// Held says which process has the folder.
-type Held struct{ Dir, By string }
+// LockedError reports that another process has locked the state folder.
+type LockedError struct{ Dir, Holder string }
 
-func (h *Held) Error() string {
-	return fmt.Sprintf("the state folder %s is in use by %s: stop that one, or name another folder", h.Dir, h.By)
+func (h *LockedError) Error() string {
+	return fmt.Sprintf("the state folder %s is in use by %s: stop that process, or use another folder", h.Dir, h.Holder)
 }
 
-// hold takes the folder. The lock is on a file of its own, since the store's file is exchanged as it is compacted, and
-// the kernel ends it with the process, whatever ends that.
-func hold(dir string) (*os.File, error) {
+// lockDir locks the folder for this process. The lock is on a separate file because compaction replaces the store's file.
+// The kernel releases it when the process ends, however it ends.
+func lockDir(dir string) (*os.File, error) {
 	f, err := os.OpenFile(filepath.Join(dir, lockName), os.O_RDWR|os.O_CREATE, 0o600)
 	if err != nil {
 		return nil, err
@@ -30,22 +30,23 @@
 		if !errors.Is(err, syscall.EWOULDBLOCK) {
 			return nil, fmt.Errorf("%s: %w", f.Name(), err)
 		}
-		name := make([]byte, 256)
-		n, _ := f.ReadAt(name, 0)
-		by := strings.TrimSpace(string(name[:n]))
-		if by == "" { // it has the lock and is about to say so
-			by = "another process"
+		owner := make([]byte, 256)
+		n, _ := f.ReadAt(owner, 0)
+		holder := strings.TrimSpace(string(owner[:n]))
+		if holder == "" { // the other process has the lock and has not written its name yet
+			holder = "another process"
 		}
-		return nil, &Held{Dir: dir, By: by}
+		return nil, &LockedError{Dir: dir, Holder: holder}
 	}
-	// Only for the message above: a disk too full to take the name is no reason to refuse the folder.
+	// The name is only used in LockedError, so a disk that is too full to store it must not make lockDir fail.
 	if f.Truncate(0) == nil {
 		fmt.Fprintf(f, "%s, process %d\n", filepath.Base(os.Args[0]), os.Getpid())
 	}
 	return f, nil
 }
 
-// release ends the lock itself, since a process that is just being started may hold a copy of the descriptor.
-func release(f *os.File) error {
+// unlockDir releases the lock explicitly, since a child process that is being started may still hold a copy of the
+// descriptor, and closing ours would then not release it.
+func unlockDir(f *os.File) error {
 	return errors.Join(syscall.Flock(int(f.Fd()), syscall.LOCK_UN), f.Close())
 }
--- a/internal/store/read.go
+++ b/internal/store/read.go
@@ -8,42 +8,43 @@
 	"go.etcd.io/bbolt"
 )
 
-// chunk is how many records Records takes in one look: bbolt cannot grow its map while someone looks, so a slow reader
-// must not.
-const chunk = 256
+// recordsPerRead is how many records Records reads in one transaction. bbolt cannot grow its memory map during a read
+// transaction, so a slow consumer must not keep one open.
+const recordsPerRead = 256
 
-// Load reads all that is on the disk, at one moment.
+// Load reads a consistent copy of all that is on the disk.
 func (s *Store) Load() (c Contents, err error) {
 	err = s.view(func(db *bbolt.DB, last uint64) error {
-		c, err = contents(db, last)
+		c, err = readContents(db, last)
 		return err
 	})
 	return c, err
 }
 
-// Records gives the kept records from a revision on, in order, and ends after an error. Nothing is held between two of
-// them: records that are appended meanwhile come too, and those that a compaction drops may be missing.
+// Records yields the stored records from a revision on, in order, and ends after an error. No lock or transaction is held
+// while the caller handles a record: records appended meanwhile are included, and records that a compaction drops may be
+// missing.
 func (s *Store) Records(from uint64) iter.Seq2[Record, error] {
 	return func(yield func(Record, error) bool) {
 		for {
-			var some []Record
+			var batch []Record
 			err := s.view(func(db *bbolt.DB, last uint64) error {
 				return db.View(func(tx *bbolt.Tx) error {
 					c := tx.Bucket(bucketRecords).Cursor()
-					for k, v := c.Seek(key(from)); k != nil && len(some) < chunk; k, v = c.Next() {
-						r, err := decode(binary.BigEndian.Uint64(k), v)
+					for k, v := c.Seek(revisionKey(from)); k != nil && len(batch) < recordsPerRead; k, v = c.Next() {
+						r, err := decodeValue(binary.BigEndian.Uint64(k), v)
 						if err != nil {
 							return err
 						}
 						if r.Revision > last {
 							return nil
 						}
-						some = append(some, r)
+						batch = append(batch, r)
 					}
 					return nil
 				})
 			})
-			for _, r := range some {
+			for _, r := range batch {
 				if !yield(r, nil) {
 					return
 				}
@@ -52,47 +53,48 @@
 				yield(Record{}, err)
 				return
 			}
-			if len(some) == 0 {
+			if len(batch) == 0 {
 				return
 			}
-			from = some[len(some)-1].Revision + 1
+			from = batch[len(batch)-1].Revision + 1
 		}
 	}
 }
 
-// view reads no further than the newest revision that is known to be on the disk: bbolt shows a commit before its sync.
+// view calls read with the newest revision that is known to be on the disk. Readers must ignore later records, because
+// bbolt makes a commit readable before its last sync.
 func (s *Store) view(read func(db *bbolt.DB, last uint64) error) error {
-	s.views.RLock()
-	defer s.views.RUnlock()
+	s.dbMu.RLock()
+	defer s.dbMu.RUnlock()
 	if s.db == nil {
 		return ErrClosed
 	}
 	last := s.Last()
-	return guarded(func() error { return read(s.db, last) })
+	return catchFaults(func() error { return read(s.db, last) })
 }
 
-// contents reads and checks all up to a revision.
-func contents(db *bbolt.DB, last uint64) (c Contents, err error) {
+// readContents reads and checks the whole file and returns the records up to revision last.
+func readContents(db *bbolt.DB, last uint64) (c Contents, err error) {
 	err = db.View(func(tx *bbolt.Tx) error {
 		about, records := tx.Bucket(bucketAbout), tx.Bucket(bucketRecords)
 		if about == nil || records == nil {
-			return damaged("a bucket is missing")
+			return corruptf("a bucket is missing")
 		}
-		kind, err := number(about, keyLayout)
+		fileLayout, err := readNumber(about, keyLayout)
 		if err != nil {
 			return err
 		}
-		if kind > layout {
-			return &Newer{Path: db.Path(), Have: kind, Wanted: layout}
+		if fileLayout > layoutVersion {
+			return &NewerVersionError{Path: db.Path(), Have: fileLayout, Supported: layoutVersion}
 		}
-		if c.Schema, err = number(about, keySchema); err != nil {
+		if c.Schema, err = readNumber(about, keySchema); err != nil {
 			return err
 		}
 		v := about.Get(keySnapshot)
 		if len(v) < 8 {
-			return damaged("the snapshot's place is missing")
+			return corruptf("the snapshot entry is missing")
 		}
-		r, err := decode(binary.BigEndian.Uint64(v), v[8:])
+		r, err := decodeValue(binary.BigEndian.Uint64(v), v[8:])
 		if err != nil {
 			return err
 		}
@@ -103,9 +105,9 @@
 		cursor := records.Cursor()
 		for k, v := cursor.First(); k != nil; k, v = cursor.Next() {
 			if n++; len(k) != 8 || v == nil {
-				return damaged("the key %x is no revision", k)
+				return corruptf("key %x is not a revision", k)
 			}
-			r, err := decode(binary.BigEndian.Uint64(k), v)
+			r, err := decodeValue(binary.BigEndian.Uint64(k), v)
 			if err != nil {
 				return err
 			}
@@ -114,23 +116,23 @@
 			}
 		}
 		if n != records.Sequence() {
-			return damaged("%d records are there of %d", n, records.Sequence())
+			return corruptf("found %d records, expected %d", n, records.Sequence())
 		}
-		if err := c.gaps(); err != nil {
-			return damaged("%v", err)
+		if err := c.checkContinuity(); err != nil {
+			return corruptf("%v", err)
 		}
 		return nil
 	})
 	if errors.Is(err, bbolt.ErrInvalid) || errors.Is(err, bbolt.ErrChecksum) || errors.Is(err, bbolt.ErrVersionMismatch) {
-		err = damaged("%v", err)
+		err = corruptf("%v", err)
 	}
 	return c, err
 }
 
-func number(about *bbolt.Bucket, name []byte) (uint64, error) {
-	r, err := decode(0, about.Get(name))
+func readNumber(about *bbolt.Bucket, name []byte) (uint64, error) {
+	r, err := decodeValue(0, about.Get(name))
 	if err != nil || len(r.Data) != 8 {
-		return 0, damaged("its %s is not whole", name)
+		return 0, corruptf("its %s entry is missing or invalid", name)
 	}
 	return binary.BigEndian.Uint64(r.Data), nil
 }
--- a/internal/store/tracer_linux_amd64_test.go
+++ b/internal/store/tracer_linux_amd64_test.go
@@ -16,16 +16,16 @@
 	"pewterrudder/internal/store/crashdisk"
 )
 
-// tracedCall is a system call that the test may have fail.
+// tracedCall is a system call that the test can make fail.
 type tracedCall struct {
-	Kind crashdisk.Kind // Write, Truncate, Begin (a sync), BeginDir, Create, Rename, Link or Remove
+	Kind crashdisk.Kind // Write, Truncate, SyncBegin, DirSyncBegin, Create, Rename, Link or Remove
 	Name string
 }
 
 // callFault is how a system call ends; the zero value leaves it as it is.
 type callFault struct {
 	Errno syscall.Errno
-	Short bool // a write: half of it is taken, and the process asks for the rest
+	Short bool // a write: only half of it is written, and the process must write the rest
 }
 
 // traceTimeout is how long a traced process may run before it is killed.
@@ -41,21 +41,21 @@
 
 // tracedThread is the state of one thread of the traced process.
 type tracedThread struct {
-	in    bool // a system call
-	regs  syscall.PtraceRegs
-	fault callFault
+	inCall bool // inside a system call
+	regs   syscall.PtraceRegs
+	fault  callFault
 }
 
-// tracer follows a process through ptrace and records its writes, syncs and changes of names in one folder, in the order in
-// which the kernel was asked, and what it wrote on standard output. It takes the calls that Go's os package and bbolt make;
-// an unknown call on the folder's files is an error.
+// tracer follows a process through ptrace and records its writes, syncs and name changes in one folder, in the order of the
+// system calls, and its standard output. It supports the calls that Go's os package and bbolt make; any other call on the
+// folder's files is an error.
 type tracer struct {
 	pid     int
 	dir     string
 	mem     *os.File
 	fds     map[int]*openFile
 	names   map[string]int
-	inos    int
+	lastIno int
 	threads map[int]*tracedThread
 	events  []crashdisk.Event
 	fault   func(tracedCall) callFault
@@ -64,10 +64,11 @@
 // errNoTrace reports a machine that does not let a process trace its child.
 var errNoTrace = errors.New("ptrace is not permitted here")
 
-// traceRun starts a program, follows it to its end or kills it, and returns the events in the folder dir. files are what the
-// folder holds at the start, numbered as crashdisk.New numbers them.
+// traceRun starts a program, traces it until it ends, and returns the events in the folder dir. On an error the program is
+// killed. files are what the folder holds at the start, numbered as crashdisk.New numbers them. fault chooses how each call
+// ends; nil leaves all as they are.
 func traceRun(argv, env []string, dir string, files map[string][]byte, fault func(tracedCall) callFault) ([]crashdisk.Event, error) {
-	runtime.LockOSThread() // a process is traced by one thread
+	runtime.LockOSThread() // ptrace binds a traced process to one thread
 	defer runtime.UnlockOSThread()
 	null, err := os.OpenFile(os.DevNull, os.O_RDWR, 0)
 	if err != nil {
@@ -83,13 +84,13 @@
 	defer end.Stop()
 	t := &tracer{pid: pid, dir: dir, fds: map[int]*openFile{}, names: map[string]int{}, threads: map[int]*tracedThread{}, fault: fault}
 	for _, name := range slices.Sorted(maps.Keys(files)) {
-		t.inos++
-		t.names[name] = t.inos
+		t.lastIno++
+		t.names[name] = t.lastIno
 	}
 	if err := t.follow(); err != nil {
 		syscall.Kill(pid, syscall.SIGKILL)
 		var ws syscall.WaitStatus
-		for { // the threads' ends come first
+		for { // the other threads end first
 			got, werr := syscall.Wait4(-1, &ws, syscall.WALL|unix.WNOTHREAD, nil)
 			if werr != nil && werr != syscall.EINTR || got == pid && (ws.Exited() || ws.Signaled()) {
 				break
@@ -119,7 +120,7 @@
 	t.threads[t.pid] = &tracedThread{}
 	for tid, sig := t.pid, 0; ; {
 		if tid != 0 {
-			if err := syscall.PtraceSyscall(tid, sig); err != nil && err != syscall.ESRCH { // it may be ending
+			if err := syscall.PtraceSyscall(tid, sig); err != nil && err != syscall.ESRCH { // the thread may be ending
 				return err
 			}
 		}
@@ -140,7 +141,7 @@
 			delete(t.threads, tid)
 			tid = 0
 		case ws.StopSignal() == syscall.SIGTRAP|0x80 && known != nil:
-			if err := t.call(tid, known); err != nil {
+			if err := t.handleSyscallStop(tid, known); err != nil {
 				return err
 			}
 		case known == nil: // a new thread's first stop
@@ -152,9 +153,9 @@
 	}
 }
 
-func (t *tracer) note(e crashdisk.Event) { t.events = append(t.events, e) }
+func (t *tracer) record(e crashdisk.Event) { t.events = append(t.events, e) }
 
-func (t *tracer) text(at uint64) string {
+func (t *tracer) readString(at uint64) string {
 	var b []byte
 	var c [1]byte
 	for len(b) < 4096 {
@@ -166,13 +167,13 @@
 	return string(b)
 }
 
-// inside gives a path's name in the folder.
-func (t *tracer) inside(path string) (string, bool) {
+// nameInDir returns the file name of a path and whether it is directly in the traced folder.
+func (t *tracer) nameInDir(path string) (string, bool) {
 	return filepath.Base(path), filepath.Dir(path) == t.dir
 }
 
-// call sees a thread go into the kernel, and come out.
-func (t *tracer) call(tid int, th *tracedThread) error {
+// handleSyscallStop handles the entry of a thread into a system call, or its exit.
+func (t *tracer) handleSyscallStop(tid int, th *tracedThread) error {
 	var regs syscall.PtraceRegs
 	if err := syscall.PtraceGetRegs(tid, &regs); err != nil {
 		if err == syscall.ESRCH {
@@ -180,42 +181,42 @@
 		}
 		return err
 	}
-	if th.in {
-		th.in = false
-		return t.leave(tid, th, &regs)
+	if th.inCall {
+		th.inCall = false
+		return t.recordExit(tid, th, &regs)
 	}
 	if int64(regs.Rax) != -int64(syscall.ENOSYS) {
-		return nil // the end of the exec, or the clone, that the thread began with
+		return nil // exit of the exec or clone that started the thread
 	}
-	th.in, th.regs, th.fault = true, regs, callFault{}
-	what, ok, err := t.enter(&regs)
+	th.inCall, th.regs, th.fault = true, regs, callFault{}
+	call, ok, err := t.classify(&regs)
 	if err != nil || !ok {
 		return err
 	}
 	if t.fault != nil {
-		th.fault = t.fault(what)
+		th.fault = t.fault(call)
 	}
 	switch {
 	case th.fault.Errno != 0:
 		regs.Orig_rax = ^uint64(0)
-		if err := syscall.PtraceSetRegs(tid, &regs); err != nil || what.Kind != crashdisk.Begin && what.Kind != crashdisk.BeginDir {
-			return err // a sync that fails has begun all the same
+		if err := syscall.PtraceSetRegs(tid, &regs); err != nil || call.Kind != crashdisk.SyncBegin && call.Kind != crashdisk.DirSyncBegin {
+			return err // a sync that fails has still begun
 		}
-	case th.fault.Short && what.Kind == crashdisk.Write && regs.Rdx > 1:
+	case th.fault.Short && call.Kind == crashdisk.Write && regs.Rdx > 1:
 		regs.Rdx /= 2
 		th.regs.Rdx = regs.Rdx
 		if err := syscall.PtraceSetRegs(tid, &regs); err != nil {
 			return err
 		}
 	}
-	return t.begin(&th.regs)
+	return t.recordEntry(&th.regs)
 }
 
-// enter tells whether a call is one that is followed.
-func (t *tracer) enter(regs *syscall.PtraceRegs) (tracedCall, bool, error) {
+// classify returns the call if it is one that is recorded, and an error if it is one that the tracer does not support.
+func (t *tracer) classify(regs *syscall.PtraceRegs) (tracedCall, bool, error) {
 	o := t.fds[int(int32(regs.Rdi))]
 	named := func(kind crashdisk.Kind, at uint64) (tracedCall, bool, error) {
-		name, in := t.inside(t.text(at))
+		name, in := t.nameInDir(t.readString(at))
 		return tracedCall{Kind: kind, Name: name}, in, nil
 	}
 	switch nr := regs.Orig_rax; nr {
@@ -226,7 +227,7 @@
 		if nr == syscall.SYS_WRITE && regs.Rdi == 1 {
 			b := make([]byte, regs.Rdx)
 			_, err := t.mem.ReadAt(b, int64(regs.Rsi))
-			t.note(crashdisk.Event{Kind: crashdisk.Said, Text: string(b)})
+			t.record(crashdisk.Event{Kind: crashdisk.Output, Text: string(b)})
 			return tracedCall{}, false, err
 		}
 	case syscall.SYS_FTRUNCATE:
@@ -235,9 +236,9 @@
 		}
 	case syscall.SYS_FSYNC, syscall.SYS_FDATASYNC:
 		if o != nil && o.dir {
-			return tracedCall{Kind: crashdisk.BeginDir}, true, nil
+			return tracedCall{Kind: crashdisk.DirSyncBegin}, true, nil
 		} else if o != nil {
-			return tracedCall{Kind: crashdisk.Begin, Name: o.name}, true, nil
+			return tracedCall{Kind: crashdisk.SyncBegin, Name: o.name}, true, nil
 		}
 	case syscall.SYS_RENAMEAT, unix.SYS_RENAMEAT2, syscall.SYS_RENAME:
 		at := regs.Rsi
@@ -250,26 +251,26 @@
 	case syscall.SYS_UNLINKAT:
 		return named(crashdisk.Remove, regs.Rsi)
 	case syscall.SYS_OPENAT:
-		if name, in := t.inside(t.text(regs.Rsi)); in && regs.Rdx&syscall.O_CREAT != 0 && t.names[name] == 0 {
+		if name, in := t.nameInDir(t.readString(regs.Rsi)); in && regs.Rdx&syscall.O_CREAT != 0 && t.names[name] == 0 {
 			return tracedCall{Kind: crashdisk.Create, Name: name}, true, nil
 		}
 	case syscall.SYS_PWRITEV, unix.SYS_PWRITEV2, syscall.SYS_WRITEV, syscall.SYS_FALLOCATE, unix.SYS_COPY_FILE_RANGE,
 		syscall.SYS_SENDFILE, syscall.SYS_SPLICE, syscall.SYS_DUP, syscall.SYS_DUP2, unix.SYS_DUP3:
 		if o != nil {
-			return tracedCall{}, false, fmt.Errorf("call %d on %s is not followed", nr, o.name)
+			return tracedCall{}, false, fmt.Errorf("system call %d on %s is not supported", nr, o.name)
 		}
 	case syscall.SYS_MMAP:
 		if o := t.fds[int(int32(regs.R8))]; o != nil && regs.Rdx&syscall.PROT_WRITE != 0 && regs.R10&syscall.MAP_SHARED != 0 {
-			return tracedCall{}, false, fmt.Errorf("%s is mapped for writing, which is not followed", o.name)
+			return tracedCall{}, false, fmt.Errorf("%s is mapped for writing, which is not supported", o.name)
 		}
 	case syscall.SYS_TRUNCATE, syscall.SYS_CREAT, syscall.SYS_UNLINK, syscall.SYS_LINK, syscall.SYS_FORK, syscall.SYS_VFORK:
-		return tracedCall{}, false, fmt.Errorf("call %d is not followed", nr)
+		return tracedCall{}, false, fmt.Errorf("system call %d is not supported", nr)
 	}
 	return tracedCall{}, false, nil
 }
 
-// begin notes what may have happened as soon as the call has begun.
-func (t *tracer) begin(regs *syscall.PtraceRegs) error {
+// recordEntry records what may take effect as soon as the call has begun.
+func (t *tracer) recordEntry(regs *syscall.PtraceRegs) error {
 	fd := int(int32(regs.Rdi))
 	o := t.fds[fd]
 	switch nr := regs.Orig_rax; nr {
@@ -283,21 +284,21 @@
 			e.Off = o.pos
 			o.pos += int64(len(data))
 		}
-		t.note(e)
+		t.record(e)
 	case syscall.SYS_FTRUNCATE:
-		t.note(crashdisk.Event{Kind: crashdisk.Truncate, Ino: o.ino, Off: int64(regs.Rsi)})
+		t.record(crashdisk.Event{Kind: crashdisk.Truncate, Ino: o.ino, Off: int64(regs.Rsi)})
 	case syscall.SYS_FSYNC, syscall.SYS_FDATASYNC:
 		if o.dir {
-			t.note(crashdisk.Event{Kind: crashdisk.BeginDir})
+			t.record(crashdisk.Event{Kind: crashdisk.DirSyncBegin})
 		} else {
-			t.note(crashdisk.Event{Kind: crashdisk.Begin, Ino: o.ino})
+			t.record(crashdisk.Event{Kind: crashdisk.SyncBegin, Ino: o.ino})
 		}
 	}
 	return nil
 }
 
-// leave notes what is known only by a call's result.
-func (t *tracer) leave(tid int, th *tracedThread, regs *syscall.PtraceRegs) error {
+// recordExit records what is known only from the result of the call.
+func (t *tracer) recordExit(tid int, th *tracedThread, regs *syscall.PtraceRegs) error {
 	if th.fault.Errno != 0 {
 		regs.Rax = -uint64(th.fault.Errno)
 		if err := syscall.PtraceSetRegs(tid, regs); err != nil {
@@ -305,13 +306,13 @@
 		}
 	}
 	failed := int64(regs.Rax) < 0
-	was := &th.regs
-	fd := int(int32(was.Rdi))
+	entry := &th.regs
+	fd := int(int32(entry.Rdi))
 	o := t.fds[fd]
-	switch nr := was.Orig_rax; nr {
+	switch nr := entry.Orig_rax; nr {
 	case syscall.SYS_OPENAT:
-		path := t.text(was.Rsi)
-		name, in := t.inside(path)
+		path := t.readString(entry.Rsi)
+		name, in := t.nameInDir(path)
 		if failed || !in && path != t.dir {
 			break
 		}
@@ -320,13 +321,13 @@
 			break
 		}
 		if t.names[name] == 0 {
-			t.inos++
-			t.names[name] = t.inos
-			t.note(crashdisk.Event{Kind: crashdisk.Create, Name: name, Ino: t.inos})
+			t.lastIno++
+			t.names[name] = t.lastIno
+			t.record(crashdisk.Event{Kind: crashdisk.Create, Name: name, Ino: t.lastIno})
 		}
 		t.fds[int(regs.Rax)] = &openFile{ino: t.names[name], name: name}
-		if was.Rdx&syscall.O_TRUNC != 0 {
-			t.note(crashdisk.Event{Kind: crashdisk.Truncate, Ino: t.names[name]})
+		if entry.Rdx&syscall.O_TRUNC != 0 {
+			t.record(crashdisk.Event{Kind: crashdisk.Truncate, Ino: t.names[name]})
 		}
 	case syscall.SYS_CLOSE:
 		delete(t.fds, fd)
@@ -335,38 +336,38 @@
 			o.pos += int64(regs.Rax)
 		}
 	case syscall.SYS_WRITE, syscall.SYS_PWRITE64, syscall.SYS_FTRUNCATE:
-		if o != nil && failed && th.fault.Errno == 0 || o != nil && nr != syscall.SYS_FTRUNCATE && !failed && regs.Rax != was.Rdx {
-			return fmt.Errorf("the disk under the test failed in call %d on %s: %d", nr, o.name, int64(regs.Rax))
+		if o != nil && failed && th.fault.Errno == 0 || o != nil && nr != syscall.SYS_FTRUNCATE && !failed && regs.Rax != entry.Rdx {
+			return fmt.Errorf("the real disk failed in system call %d on %s: %d", nr, o.name, int64(regs.Rax))
 		}
 	case syscall.SYS_FSYNC, syscall.SYS_FDATASYNC:
 		if o != nil && o.dir {
-			t.note(crashdisk.Event{Kind: crashdisk.DoneDir, Failed: failed})
+			t.record(crashdisk.Event{Kind: crashdisk.DirSyncDone, Failed: failed})
 		} else if o != nil {
-			t.note(crashdisk.Event{Kind: crashdisk.Done, Ino: o.ino, Failed: failed})
+			t.record(crashdisk.Event{Kind: crashdisk.SyncDone, Ino: o.ino, Failed: failed})
 		}
 	case syscall.SYS_RENAME, syscall.SYS_RENAMEAT, unix.SYS_RENAMEAT2, syscall.SYS_LINKAT:
-		from, to, kind := was.Rsi, was.R10, crashdisk.Rename
+		from, to, kind := entry.Rsi, entry.R10, crashdisk.Rename
 		if nr == syscall.SYS_RENAME {
-			from, to = was.Rdi, was.Rsi
+			from, to = entry.Rdi, entry.Rsi
 		} else if nr == syscall.SYS_LINKAT {
 			kind = crashdisk.Link
 		}
-		a, in := t.inside(t.text(from))
-		b, into := t.inside(t.text(to))
+		a, in := t.nameInDir(t.readString(from))
+		b, into := t.nameInDir(t.readString(to))
 		if failed || !in {
 			break
 		}
 		if !into {
-			return fmt.Errorf("%s leaves the folder, which is not followed", a)
+			return fmt.Errorf("%s is moved out of the folder, which is not supported", a)
 		}
-		t.note(crashdisk.Event{Kind: kind, Name: a, To: b})
+		t.record(crashdisk.Event{Kind: kind, Name: a, To: b})
 		t.names[b] = t.names[a]
 		if kind == crashdisk.Rename {
 			delete(t.names, a)
 		}
 	case syscall.SYS_UNLINKAT:
-		if name, in := t.inside(t.text(was.Rsi)); in && !failed {
-			t.note(crashdisk.Event{Kind: crashdisk.Remove, Name: name})
+		if name, in := t.nameInDir(t.readString(entry.Rsi)); in && !failed {
+			t.record(crashdisk.Event{Kind: crashdisk.Remove, Name: name})
 			delete(t.names, name)
 		}
 	}
--- a/internal/store/workload_test.go
+++ b/internal/store/workload_test.go
@@ -13,8 +13,11 @@
 	"testing"
 )
 
-// The tests that end a process start this binary again, which then plays a random load on a store, says each step on its
-// standard output before it takes it, and each answer once it has it.
+// TestMain also runs the child processes of the tests that need a process of their own: they start this binary again with a
+// role in STORE_CHILD. The role "load" applies a random load to a store and writes each request to standard output before
+// it makes it, and each result once it has it. Each line is a word and the edits that it concerns: "base" (the contents
+// after an open), "ask" (a request), "yes", "no" or "doubt" (its result, the last one for an uncertain append). A line with
+// "aside" reports that a store was quarantined.
 func TestMain(m *testing.M) {
 	switch child := os.Getenv("STORE_CHILD"); child {
 	case "":
@@ -23,23 +26,24 @@
 		seed, _ := strconv.ParseUint(os.Getenv("STORE_SEED"), 10, 64)
 		steps, _ := strconv.Atoi(os.Getenv("STORE_STEPS"))
 		schema, _ := strconv.ParseUint(os.Getenv("STORE_SCHEMA"), 10, 64)
-		load(os.Getenv("STORE_DIR"), seed, max(schema, 1), steps)
+		runRandomLoad(os.Getenv("STORE_DIR"), seed, max(schema, 1), steps)
 	case "full":
-		full(os.Getenv("STORE_DIR"))
+		runFullDisk(os.Getenv("STORE_DIR"))
 	case "hold":
-		holdOpen(os.Getenv("STORE_DIR"))
+		runHoldLock(os.Getenv("STORE_DIR"))
 	}
 	os.Exit(0)
 }
 
-// edit is a revision and which attempt at it this is: a revision that was refused is used again.
+// edit identifies an append of the load: a revision, and a number that differs between attempts, since a rejected revision
+// is used again.
 type edit struct{ rev, attempt uint64 }
 
 func (e edit) record() Record {
 	r := rand.New(rand.NewPCG(e.rev, e.attempt))
 	n := r.IntN(300)
 	if r.IntN(20) == 0 {
-		n = r.IntN(9000) // over several pages
+		n = r.IntN(9000) // spans several pages
 	}
 	b := fmt.Appendf(nil, "%d:%d ", e.rev, e.attempt)
 	for range n {
@@ -48,7 +52,7 @@
 	return Record{Revision: e.rev, Data: b}
 }
 
-func parse(text string) (all []edit) {
+func parseEdits(text string) (all []edit) {
 	for _, f := range strings.Fields(text) {
 		var e edit
 		if _, err := fmt.Sscanf(f, "%d:%d", &e.rev, &e.attempt); err != nil {
@@ -59,7 +63,7 @@
 	return all
 }
 
-func text(all []edit) string {
+func formatEdits(all []edit) string {
 	var b strings.Builder
 	for _, e := range all {
 		fmt.Fprintf(&b, " %d:%d", e.rev, e.attempt)
@@ -67,21 +71,21 @@
 	return b.String()
 }
 
-// edits reads which edits contents stand for, and that every byte of them is as it was written.
-func edits(c Contents) ([]edit, error) {
+// editsOf returns the edits that contents consist of, and checks that every byte of them is as it was written.
+func editsOf(c Contents) ([]edit, error) {
 	var all []edit
 	if c.Snapshot != nil {
-		all = parse(string(c.Snapshot.Data))
+		all = parseEdits(string(c.Snapshot.Data))
 	}
 	for _, r := range c.Records {
 		head, _, _ := bytes.Cut(r.Data, []byte(" "))
-		got := parse(string(head))
+		got := parseEdits(string(head))
 		if len(got) != 1 || !bytes.Equal(got[0].record().Data, r.Data) || got[0].rev != r.Revision {
-			return nil, fmt.Errorf("revision %d reads %.60q", r.Revision, r.Data)
+			return nil, fmt.Errorf("revision %d has unexpected data %.60q", r.Revision, r.Data)
 		}
 		if c.Snapshot != nil && r.Revision <= c.Snapshot.Revision {
 			if !slices.Contains(all, got[0]) {
-				return nil, fmt.Errorf("%v is kept, and the snapshot does not know it", got[0])
+				return nil, fmt.Errorf("%v is kept as history, but the snapshot does not contain it", got[0])
 			}
 			continue
 		}
@@ -90,30 +94,30 @@
 	return all, nil
 }
 
-func same(_ uint64, c Contents) (Contents, error) { return c, nil }
+func keepContents(_ uint64, c Contents) (Contents, error) { return c, nil }
 
-func load(dir string, seed, schema uint64, steps int) {
+func runRandomLoad(dir string, seed, schema uint64, steps int) {
 	r := rand.New(rand.NewPCG(seed, 1))
-	say := func(what string, all []edit) { os.Stdout.WriteString(what + text(all) + "\n") }
+	report := func(what string, all []edit) { os.Stdout.WriteString(what + formatEdits(all) + "\n") }
 	var s *Store
 	open := func() bool {
 		for range 20 {
 			var err error
-			if s, err = Open(dir, Options{Schema: schema, Migrate: same}); err != nil {
+			if s, err = Open(dir, Options{Schema: schema, Migrate: keepContents}); err != nil {
 				continue
 			}
-			if aside, why := s.Aside(); aside != "" {
+			if path, why := s.Quarantined(); path != "" {
 				os.Stdout.WriteString("aside " + why.Error() + "\n")
 			}
 			c, err := s.Load()
 			if err != nil {
 				continue
 			}
-			all, err := edits(c)
+			all, err := editsOf(c)
 			if err != nil {
 				panic(err)
 			}
-			say("base", all)
+			report("base", all)
 			return true
 		}
 		return false
@@ -121,7 +125,7 @@
 	if !open() {
 		return
 	}
-	attempt, refusals := seed<<20, 0
+	attempt, rejections := seed<<20, 0
 	next := func(rev uint64, n int) (all []edit) {
 		for i := range n {
 			attempt++
@@ -135,43 +139,43 @@
 		}
 		return out
 	}
-	answered := func(all []edit, err error) {
-		var refused *Refused
+	reportResult := func(all []edit, err error) {
+		var writeErr *WriteError
 		switch {
 		case err == nil:
-			say("yes", all)
-			refusals = 0
+			report("yes", all)
+			rejections = 0
 			return
-		case !errors.As(err, &refused):
+		case !errors.As(err, &writeErr):
 			panic(err)
-		case refused.Doubt:
-			say("doubt", all)
+		case writeErr.Uncertain:
+			report("doubt", all)
 		default:
-			say("no", all)
+			report("no", all)
 		}
-		refusals++
+		rejections++
 	}
 	for range steps {
 		switch p := r.IntN(100); {
-		case p < 10: // several at once
+		case p < 10: // several concurrent appends
 			rev := s.Last()
 			var groups [][]edit
 			var answers []<-chan error
 			for range 2 + r.IntN(5) {
 				g := next(rev, 1)
 				rev++
-				say("ask", g)
+				report("ask", g)
 				groups, answers = append(groups, g), append(answers, s.Queue(records(g)...))
 			}
 			for i, g := range groups {
-				answered(g, <-answers[i])
+				reportResult(g, <-answers[i])
 			}
 		case p < 18:
 			c, err := s.Load()
 			if err != nil {
 				panic(err)
 			}
-			all, err := edits(c)
+			all, err := editsOf(c)
 			if err != nil {
 				panic(err)
 			}
@@ -180,101 +184,102 @@
 				continue
 			}
 			last := all[len(all)-1].rev
-			s.Compact(Record{Revision: last, Data: []byte(text(all))}, last+1-min(last, uint64(r.IntN(20))))
-		case p < 22 || refusals > 3: // what an operator would do then
-			refusals = 0
+			s.Compact(Record{Revision: last, Data: []byte(formatEdits(all))}, last+1-min(last, uint64(r.IntN(20))))
+		case p < 22 || rejections > 3: // after repeated failures: restart, as an operator would
+			rejections = 0
 			s.Close()
 			if !open() {
 				return
 			}
-		case p < 28: // several that hold together or not at all
+		case p < 28: // several records in one atomic append
 			g := next(s.Last(), 2+r.IntN(3))
-			say("ask", g)
-			answered(g, s.Append(records(g)...))
+			report("ask", g)
+			reportResult(g, s.Append(records(g)...))
 		default:
 			g := next(s.Last(), 1)
-			say("ask", g)
-			answered(g, s.Append(records(g)...))
+			report("ask", g)
+			reportResult(g, s.Append(records(g)...))
 		}
 	}
 	s.Close()
 }
 
-// told is what the one who asked knows at a moment.
-type told struct {
-	sure    []edit   // answered, or seen
-	flight  [][]edit // asked, not answered
-	doubted [][]edit // answered as in doubt, since the last that was taken
+// clientView is what a client knows about its edits, from the lines of runRandomLoad.
+type clientView struct {
+	confirmed []edit   // acknowledged, or read
+	inFlight  [][]edit // requested, no result yet
+	uncertain [][]edit // reported as uncertain since the last confirmed one
 }
 
-func (t *told) hear(line string) error {
+func (t *clientView) observe(line string) error {
 	what, rest, _ := strings.Cut(strings.TrimSpace(line), " ")
 	if what == "aside" {
-		return fmt.Errorf("a store was put aside: %s", rest)
+		return fmt.Errorf("a store was quarantined: %s", rest)
 	}
-	g := parse(rest)
+	g := parseEdits(rest)
 	switch what {
 	case "base":
-		if err := t.allows(g); err != nil {
+		if err := t.check(g); err != nil {
 			return err
 		}
-		*t = told{sure: g}
+		*t = clientView{confirmed: g}
 	case "ask":
-		t.flight = append(t.flight, g)
+		t.inFlight = append(t.inFlight, g)
 	case "yes", "no", "doubt":
-		if len(t.flight) == 0 || !slices.Equal(t.flight[0], g) {
-			return fmt.Errorf("%v was answered, which was not the next", g)
+		if len(t.inFlight) == 0 || !slices.Equal(t.inFlight[0], g) {
+			return fmt.Errorf("result for %v, which is not the oldest request in flight", g)
 		}
-		t.flight = t.flight[1:]
+		t.inFlight = t.inFlight[1:]
 		if what == "yes" {
-			t.sure, t.doubted = append(t.sure, g...), nil
+			t.confirmed, t.uncertain = append(t.confirmed, g...), nil
 		} else if what == "doubt" {
-			t.doubted = append(t.doubted, g)
+			t.uncertain = append(t.uncertain, g)
 		}
 	default:
-		return fmt.Errorf("%q was said", line)
+		return fmt.Errorf("unknown line %q", line)
 	}
 	return nil
 }
 
-// allows says whether a store may hold just these edits: all that were answered, none that were refused or never asked,
-// and of those in flight the first ones, each whole.
-func (t *told) allows(got []edit) error {
-	if len(got) < len(t.sure) || !slices.Equal(got[:len(t.sure)], t.sure) {
-		return fmt.Errorf("lost: %d edits were answered, to%s; there are %d, to%s", len(t.sure), text(tail(t.sure)), len(got),
-			text(tail(got)))
+// check returns an error unless a store may hold exactly these edits: all confirmed ones, none that was rejected or never
+// requested, and of the requests in flight a prefix, each request whole.
+func (t *clientView) check(got []edit) error {
+	if len(got) < len(t.confirmed) || !slices.Equal(got[:len(t.confirmed)], t.confirmed) {
+		return fmt.Errorf("lost: %d edits were confirmed, up to%s; the store holds %d, up to%s", len(t.confirmed),
+			formatEdits(lastEdits(t.confirmed)), len(got), formatEdits(lastEdits(got)))
 	}
-	more := got[len(t.sure):]
-	// Those of one batch that are in doubt are told one after the other. One doubted earlier is taken back before the next
-	// is written.
-	for i := range len(t.doubted) + 1 {
-		if len(more) == 0 || startOf(more, slices.Concat(t.doubted[i:], t.flight)) {
+	unconfirmed := got[len(t.confirmed):]
+	// Uncertain appends of one batch are reported one after the other. An earlier uncertain append is rolled back before the
+	// next batch is written.
+	for i := range len(t.uncertain) + 1 {
+		if len(unconfirmed) == 0 || isPrefixOf(unconfirmed, slices.Concat(t.uncertain[i:], t.inFlight)) {
 			return nil
 		}
 	}
-	return fmt.Errorf("invented:%s; in flight were %v, in doubt %v", text(more), t.flight, t.doubted)
+	return fmt.Errorf("unexpected:%s; in flight were %v, uncertain %v", formatEdits(unconfirmed), t.inFlight, t.uncertain)
 }
 
-func startOf(more []edit, groups [][]edit) bool {
+func isPrefixOf(edits []edit, groups [][]edit) bool {
 	for _, g := range groups {
-		if len(more) < len(g) || !slices.Equal(more[:len(g)], g) {
+		if len(edits) < len(g) || !slices.Equal(edits[:len(g)], g) {
 			return false
 		}
-		if more = more[len(g):]; len(more) == 0 {
+		if edits = edits[len(g):]; len(edits) == 0 {
 			return true
 		}
 	}
 	return false
 }
 
-func tail(all []edit) []edit { return all[max(0, len(all)-3):] }
+func lastEdits(all []edit) []edit { return all[max(0, len(all)-3):] }
 
-func (t *told) copy() *told {
-	return &told{slices.Clone(t.sure), slices.Clone(t.flight), slices.Clone(t.doubted)}
+func (t *clientView) clone() *clientView {
+	return &clientView{slices.Clone(t.confirmed), slices.Clone(t.inFlight), slices.Clone(t.uncertain)}
 }
 
-// room is a folder in memory where there is such, as thousands of images are written that nobody needs on a disk.
-func room(t *testing.T) string {
+// memoryDir returns a new folder in /dev/shm if possible, since the tests write thousands of disk images that need not be
+// durable.
+func memoryDir(t *testing.T) string {
 	dir, err := os.MkdirTemp("/dev/shm", "store")
 	if err != nil {
 		return t.TempDir()
