--- a/internal/control/bench_test.go
+++ b/internal/control/bench_test.go
@@ -6,8 +6,9 @@
 	"time"
 )
 
-// A box with a history of edits on 1,000 nodes, one in ten of them timed and each thirtieth ended.
-func boxOf(tb testing.TB, edits int) *box {
+// boxWithHistory returns a box with a history of edits on 1,000 nodes; every tenth edit is timed, and every thirtieth has
+// the shortest time.
+func boxWithHistory(tb testing.TB, edits int) *testBox {
 	b := newBox()
 	for i := range edits {
 		e := Edit{ID: fmt.Sprint("e", i), By: "ann", What: Weight{fmt.Sprint("n", i%1000), float64(1 + i%7)}}
@@ -30,7 +31,7 @@
 func BenchmarkEdit(b *testing.B) {
 	for _, n := range []int{100, 10_000, 1_000_000} {
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
-			s := boxOf(b, n)
+			s := boxWithHistory(b, n)
 			i := n
 			b.ReportAllocs()
 			for b.Loop() {
@@ -48,7 +49,7 @@
 }
 
 func BenchmarkStartFromSnapshot(b *testing.B) {
-	raw, err := boxOf(b, 10_000).Snapshot()
+	raw, err := boxWithHistory(b, 10_000).Snapshot()
 	if err != nil {
 		b.Fatal(err)
 	}
@@ -60,34 +61,35 @@
 	}
 }
 
-// A script that drains a node for half an hour every ten minutes, for years: what has run out is let go of.
-func TestTimedEditsOnOneKeyDoNotPileUp(t *testing.T) {
+// A script that drains a node for half an hour every ten minutes, for years, must not make the state grow: Trim has to
+// release the expired layers below the one in force.
+func TestTimedEditsOnOneKeyDoNotAccumulate(t *testing.T) {
 	b := newBox()
-	keep := made(t, b)
+	commit := mustCommit(t, b)
 	for i := range 2000 {
-		keep(b.Propose(b.now, Edit{ID: fmt.Sprint("e", i), By: "cron", What: Drain{"n1"}, For: 30 * time.Minute}))
-		b.pass(10 * time.Minute)
+		commit(b.Propose(b.now, Edit{ID: fmt.Sprint("e", i), By: "cron", What: Drain{"n1"}, For: 30 * time.Minute}))
+		b.advance(10 * time.Minute)
 		if i%100 == 99 {
 			b.Trim(10)
 		}
 	}
-	if len(b.layers) > 20 || len(b.ids) > 20 || len(b.history) > 10 {
-		t.Errorf("%d edits, %d ids, %d records are held after Trim(10)", len(b.layers), len(b.ids), len(b.history))
+	if len(b.layers) > 20 || len(b.revisionByID) > 20 || len(b.history) > 10 {
+		t.Errorf("%d edits, %d ids and %d records remain after Trim(10)", len(b.layers), len(b.revisionByID), len(b.history))
 	}
 	if _, ok := b.Want().Find("drain n1"); !ok {
-		t.Error("the latest drain is gone")
+		t.Error("the latest drain is lost")
 	}
-	b.pass(21 * time.Minute)
-	if all, _, _, err := b.settle(); err != nil || len(all) != 1 || all[0].Sets[0].Now != 0 {
-		t.Errorf("at the end: %v, %v, where it goes back to nothing", all, err)
+	b.advance(21 * time.Minute)
+	if all, _, _, err := b.commitDue(); err != nil || len(all) != 1 || all[0].Sets[0].Now != 0 {
+		t.Errorf("at the deadline: %v, %v, want one record that returns the key to layer 0", all, err)
 	}
 }
 
-// An edit on a history a thousand times as long must not take more allocations: nothing is walked or copied.
-func TestWorkDoesNotGrowWithHistory(t *testing.T) {
+// An edit must not allocate more when the history is a thousand times as long: nothing may scan or copy the history.
+func TestAllocationsDoNotGrowWithHistory(t *testing.T) {
 	var allocs []float64
 	for _, n := range []int{100, 100_000} {
-		s := boxOf(t, n)
+		s := boxWithHistory(t, n)
 		i := n
 		allocs = append(allocs, testing.AllocsPerRun(2000, func() {
 			i++
@@ -103,6 +105,6 @@
 		}))
 	}
 	if allocs[1] > allocs[0]+1 {
-		t.Errorf("%.0f allocations an edit with a long history, %.0f with a short one", allocs[1], allocs[0])
+		t.Errorf("%.0f allocations per edit with a long history, %.0f with a short one", allocs[1], allocs[0])
 	}
 }
--- a/internal/control/cases_test.go
+++ b/internal/control/cases_test.go
@@ -11,19 +11,19 @@
 	"github.com/cockroachdb/datadriven"
 )
 
-// box drives a State as a service would: what is taken is written, and then counts.
-type box struct {
+// testBox drives a State as the control service does: accepted records are written and then committed.
+type testBox struct {
 	*State
 	now  Now
 	disk []string // the records, as JSON
 }
 
-func newBox() *box {
-	return &box{State: New(), now: Now{Wall: time.Date(2026, 3, 1, 22, 0, 0, 0, time.UTC), Mono: 1000 * time.Hour, Boot: "first"}}
+func newBox() *testBox {
+	return &testBox{State: New(), now: Now{Wall: time.Date(2026, 3, 1, 22, 0, 0, 0, time.UTC), Mono: 1000 * time.Hour, Boot: "first"}}
 }
 
-// write makes a record durable, unless it is.
-func (b *box) write(r Record) {
+// write stores a record on disk, unless it is there.
+func (b *testBox) write(r Record) {
 	if r.Revision > uint64(len(b.disk)) {
 		raw, err := json.Marshal(r)
 		if err != nil {
@@ -33,14 +33,14 @@
 	}
 }
 
-// keep is both phases.
-func (b *box) keep(r Record) ([]Change, error) {
+// writeAndCommit performs both phases.
+func (b *testBox) writeAndCommit(r Record) ([]Change, error) {
 	b.write(r)
 	return b.Commit(r)
 }
 
-// start makes the state anew from what is on disk.
-func (b *box) start() error {
+// restart rebuilds the state from the records on disk.
+func (b *testBox) restart() error {
 	b.State = New()
 	for _, raw := range b.disk {
 		var r Record
@@ -54,33 +54,33 @@
 	return nil
 }
 
-// settle does what is due.
-func (b *box) settle() (all []Record, changes []Change, next time.Duration, err error) {
+// commitDue writes and commits the records of Tick until nothing is due.
+func (b *testBox) commitDue() (all []Record, changes []Change, next time.Duration, err error) {
 	for {
 		due, next := b.Tick(b.now)
 		if len(due) == 0 {
 			return all, changes, next, nil
 		}
 		for _, r := range due {
-			cs, err := b.keep(r)
+			cs, err := b.writeAndCommit(r)
 			if err != nil {
 				return nil, nil, 0, err
 			}
 			all, changes = append(all, r), append(changes, cs...)
 		}
 		if len(all) > 10000 {
-			return nil, nil, 0, fmt.Errorf("more and more is due, %v at last", &all[len(all)-1])
+			return nil, nil, 0, fmt.Errorf("Tick does not stop returning records, the last is %v", &all[len(all)-1])
 		}
 	}
 }
 
-func (b *box) pass(d time.Duration) {
+func (b *testBox) advance(d time.Duration) {
 	b.now.Mono += d
 	b.now.Wall = b.now.Wall.Add(d)
 }
 
-// opOf reads an operation from its text.
-func opOf(text string) (Op, error) {
+// parseOp parses the text form of an operation.
+func parseOp(text string) (Op, error) {
 	var several Several
 	for _, one := range strings.Split(text, "; ") {
 		f := strings.SplitN(one, " ", 3)
@@ -108,7 +108,7 @@
 		case "unpool":
 			op = Unpool{f[1]}
 		default:
-			return nil, fmt.Errorf("what is %q", one)
+			return nil, fmt.Errorf("unknown operation %q", one)
 		}
 		several.Ops = append(several.Ops, op)
 	}
@@ -118,29 +118,29 @@
 	return several, nil
 }
 
-// The hard cases, one file each: what is asked, and what is answered.
-func TestHardCases(t *testing.T) {
+// Runs the requests of each file under testdata/cases and compares the answers.
+func TestCases(t *testing.T) {
 	datadriven.Walk(t, "testdata/cases", func(t *testing.T, path string) {
 		b, pending := newBox(), Record{}
 		datadriven.RunTest(t, path, func(t *testing.T, d *datadriven.TestData) string {
 			var out strings.Builder
-			answer := func(r Record, err error) string {
-				var clash *Conflict
-				switch had := b.Revision(); {
-				case errors.As(err, &clash):
+			describe := func(r Record, err error) string {
+				var conflict *Conflict
+				switch latest := b.Revision(); {
+				case errors.As(err, &conflict):
 					fmt.Fprintf(&out, "conflict: %v\n", err)
-					if clash.Now != nil {
-						fmt.Fprintf(&out, "in force: %s, by %s\n", clash.Now.What, clash.Now.By)
+					if conflict.Now != nil {
+						fmt.Fprintf(&out, "in force: %s, by %s\n", conflict.Now.What, conflict.Now.By)
 					}
 				case err != nil:
 					fmt.Fprintf(&out, "refused (%s): %v\n", err.(*Refusal).Why, err)
-				case r.Revision <= had:
+				case r.Revision <= latest:
 					fmt.Fprintf(&out, "already: %s\n", &r)
 				case d.HasArg("unanswered"):
 					pending = r
 					fmt.Fprintf(&out, "to be written: %s\n", &r)
 				default:
-					changes, err := b.keep(r)
+					changes, err := b.writeAndCommit(r)
 					if err != nil {
 						t.Fatal(err)
 					}
@@ -155,41 +155,41 @@
 				return out.String()
 			}
 			e := Edit{Force: d.HasArg("force")}
-			var back, keep int
+			var revision, keep int
 			var trial, length string
 			d.MaybeScanArgs(t, "id", &e.ID)
 			d.MaybeScanArgs(t, "by", &e.By)
 			d.MaybeScanArgs(t, "against", &e.Against)
 			d.MaybeScanArgs(t, "trial", &trial)
 			d.MaybeScanArgs(t, "for", &length)
-			d.MaybeScanArgs(t, "revision", &back)
+			d.MaybeScanArgs(t, "revision", &revision)
 			d.MaybeScanArgs(t, "keep", &keep)
 			e.Trial, _ = time.ParseDuration(trial)
 			e.For, _ = time.ParseDuration(length)
 			switch d.Cmd {
 			case "edit":
 				var err error
-				if e.What, err = opOf(strings.TrimSpace(d.Input)); err != nil {
+				if e.What, err = parseOp(strings.TrimSpace(d.Input)); err != nil {
 					t.Fatal(err)
 				}
-				return answer(b.Propose(b.now, e))
+				return describe(b.Propose(b.now, e))
 			case "undo":
-				return answer(b.Undo(b.now, Back{ID: e.ID, By: e.By, Revision: uint64(back), Force: e.Force}))
+				return describe(b.Undo(b.now, Back{ID: e.ID, By: e.By, Revision: uint64(revision), Force: e.Force}))
 			case "confirm":
-				return answer(b.Confirm(b.now, e.ID, e.By))
-			case "pass": // for= so long, with a tick at its end
-				b.pass(e.For)
-			case "jump": // the wall clock alone
+				return describe(b.Confirm(b.now, e.ID, e.By))
+			case "pass": // advances by for=, then ticks
+				b.advance(e.For)
+			case "jump": // of the wall clock alone, by for=
 				b.now.Wall = b.now.Wall.Add(e.For)
-			case "kill": // written= says that the disk had the pending record
+			case "kill": // written: the pending record had reached the disk
 				if d.HasArg("written") {
 					b.write(pending)
 				}
 				if d.HasArg("reboot") {
 					b.now.Boot, b.now.Mono = b.now.Boot+"'", time.Second
 				}
-				b.pass(e.For)
-				if err := b.start(); err != nil {
+				b.advance(e.For)
+				if err := b.restart(); err != nil {
 					t.Fatal(err)
 				}
 				return fmt.Sprintf("at revision %d\n", b.Revision())
@@ -210,10 +210,10 @@
 				return out.String()
 			case "wants":
 			default:
-				t.Fatalf("what is %q", d.Cmd)
+				t.Fatalf("unknown command %q", d.Cmd)
 			}
 			if d.Cmd != "wants" {
-				all, _, next, err := b.settle()
+				all, _, next, err := b.commitDue()
 				if err != nil {
 					t.Fatal(err)
 				}
--- a/internal/control/control.go
+++ b/internal/control/control.go
@@ -1,26 +1,30 @@
-// Package control holds what operators want of a box: nodes drained, weights, caps, pools and notes, as revisions. It
-// owns the history of their edits, what is in force by it, and when an edit ends by itself. What the roster says it only
-// hears (Hear), to ask before a pool loses its last ready node; that word is in no record, no snapshot and no answer of
-// Want. It must never do I/O, read a clock, start a goroutine or lock: one goroutine drives it, and the same records
-// always give the same state.
+// Package control holds the operators' settings of a box (drained nodes, weights, caps, pools and notes) as a sequence of
+// revisions. It owns the history of edits, decides which edit is in force for each setting, and when an edit expires. It
+// must never do I/O, read a clock, start a goroutine or take a lock: one goroutine drives it, and the same records always
+// give the same state.
 //
-//   - Two phases. Propose, Undo, Confirm and Tick judge, and give the record that has to be made durable; they change
-//     nothing. Commit makes it count. A record that is durable counts, answered or not, since the next start commits
-//     all that the store holds; one that is not never was. Propose again in between gives the same revision anew.
-//   - Keys. An edit writes keys ("drain n1", "cap search"). It is refused with a Conflict where one of them has been
-//     written after the revision that it was made against. Edits without a key in common never disturb each other.
-//   - Ids. An edit whose id has been made gives the record of then (its revision is no more than Revision) and no second.
-//   - Layers. What is in force at a key is the word of one edit, its layer; 0 is the roster's, or the settings'. An edit
-//     lies on the layer that it found. An end, by time or by undo, goes back to what lies below, past whatever has run
-//     out meanwhile. So a trial on top of a timed drain goes back to the drain, if that has time left, and to its end.
-//   - The last ready node of a pool is drained, by an edit or an undo, only with Force. An end by time does not ask, for
-//     nobody is there to answer: Record.Empties says which pools it left without one.
-//   - Time. See Now: deadlines are in box time, which no jump of the wall clock moves while the machine is up.
-//   - Undo of an edit needs its word to be in force at all its keys; that of another record, that it was the last to
-//     write them. An undo can be undone.
+//   - Two phases. Propose, Undo, Confirm and Tick validate a request and return the record to make durable; they change
+//     nothing. Commit applies it. A durable record counts whether or not the client was answered, since the next start
+//     commits everything in the store; a record that is not durable never happened. A second Propose before the Commit
+//     returns the same revision again.
+//   - Keys. An edit writes keys ("drain n1", "cap search"). It is refused with a Conflict if one of them was written after
+//     the revision that the edit was made against. Edits without a common key never affect each other.
+//   - Idempotency. An edit whose id has already been committed returns the original record, whose revision is not above
+//     Revision, and creates no second one.
+//   - Layers. The value in force at a key comes from one edit, its layer; layer 0 stands for the roster or the settings.
+//     An edit lies on the layer that was in force when it was made. When it expires or is undone, the key returns to the
+//     layer below, skipping layers that have expired meanwhile. So a trial on top of a timed drain returns to the drain,
+//     if that has time left, and keeps the drain's deadline.
+//   - Last ready node. An edit or an undo drains the last ready node of a pool only with Force. An expiry does not ask,
+//     because nobody is there to answer; Record.Empties lists the pools that it left without a ready node. Hear supplies
+//     the state of the nodes for this check alone: it is in no record, no snapshot and no result of Want.
+//   - Time. Deadlines are in box time, which no jump of the wall clock moves while the machine is up. See Now.
+//   - Undo. An edit can be undone while it is in force at all its keys; any other record, while it was the last to write
+//     them. An undo can be undone.
 //
-// Work per edit is that of its keys, and log n of the edits that will end by themselves. Nothing walks the history; only
-// an end or an undo walks past what has run out below it on the same key since Trim.
+// The cost of an edit is linear in its keys and logarithmic in the number of edits that will expire. It does not depend
+// on the length of the history, except that an expiry or an undo walks the layers below it on the same key that have
+// expired since the last Trim.
 package control
 
 import (
@@ -30,53 +34,53 @@
 	"time"
 )
 
-// State is all of it. Make it with New or FromSnapshot.
+// State is the history of edits and what is in force by it. Create one with New or FromSnapshot.
 type State struct {
-	revision uint64
-	floor    uint64 // the history begins after it
-	keys     map[Key]slot
-	layers   map[uint64]*layer // by the edit's revision
-	ids      map[string]uint64 // of edits and undos
-	history  []*Record         // in order; none is ever written to
-	timers   timers
+	revision     uint64
+	floor        uint64 // the last revision that Trim removed; the history begins after it
+	slots        map[Key]slot
+	layers       map[uint64]*layer // by revision of the edit
+	revisionByID map[string]uint64 // for edits and undos
+	history      []*Record         // oldest first; records are immutable
+	timers       timerHeap
 
-	last Stamp // of the latest record
-	base Stamp // of the record at the floor
+	lastStamp  Stamp // of the latest record
+	floorStamp Stamp // of the record at the floor
 
-	sights map[string]Sight
-	ready  map[string]int // per pool: nodes that are ready and that no operator drains
+	statuses   map[string]Sight
+	readyCount map[string]int // per pool: ready nodes that no operator has drained
 }
 
-// slot is what is in force at a key, and the revision that made it so.
+// slot is the layer in force at a key, and the revision that put it in force.
 type slot struct{ layer, revision uint64 }
 
-// layer is an edit that has been taken.
+// layer is a committed edit.
 type layer struct {
 	*Record
-	parts     []part // sorted by key, as Sets is
-	confirmed uint64 // by which revision
-	live      int    // keys at which it is in force
-	at        int    // in timers and one, or 0
+	keyOps      []keyOp // sorted by key, parallel to Sets
+	confirmedBy uint64  // revision of the confirmation of a trial; 0: none
+	activeKeys  int     // number of keys at which it is in force
+	timerIndex  int     // one-based index in State.timers; 0: not in it
 }
 
-// New is a box of which nobody has wanted anything.
+// New returns the state of a box before the first edit.
 func New() *State {
-	return &State{keys: map[Key]slot{}, layers: map[uint64]*layer{}, ids: map[string]uint64{},
-		sights: map[string]Sight{}, ready: map[string]int{}}
+	return &State{slots: map[Key]slot{}, layers: map[uint64]*layer{}, revisionByID: map[string]uint64{},
+		statuses: map[string]Sight{}, readyCount: map[string]int{}}
 }
 
-// Revision is that of the latest record that counts; 0: none.
+// Revision returns the revision of the latest committed record; 0: none.
 func (s *State) Revision() uint64 { return s.revision }
 
-// find gives the place of a key in an edit.
+// find returns the index of a key in keyOps.
 func (l *layer) find(k Key) (int, bool) {
-	return slices.BinarySearchFunc(l.parts, k, func(p part, k Key) int { return cmp.Compare(p.key, k) })
+	return slices.BinarySearchFunc(l.keyOps, k, func(p keyOp, k Key) int { return cmp.Compare(p.key, k) })
 }
 
-// ends is when the layer's word runs out.
-func (l *layer) ends() (at time.Duration, ok bool) {
+// deadline returns the box time at which the layer expires; ok is false if it does not.
+func (l *layer) deadline() (at time.Duration, ok bool) {
 	switch {
-	case l.Edit.Trial > 0 && l.confirmed == 0:
+	case l.Edit.Trial > 0 && l.confirmedBy == 0:
 		return l.Box + l.Edit.Trial, true
 	case l.Edit.For > 0:
 		return l.Box + l.Edit.For, true
@@ -84,138 +88,139 @@
 	return 0, false
 }
 
-// word is what a layer says at a key; nil: nothing.
-func (s *State) word(k Key, at uint64) Op {
-	l := s.layers[at]
+// opAt returns the operation of a layer at a key; nil if the layer is 0 or resets the key.
+func (s *State) opAt(k Key, revision uint64) Op {
+	l := s.layers[revision]
 	if l == nil {
 		return nil
 	}
 	i, ok := l.find(k)
-	if !ok || l.parts[i].op.empty() {
+	if !ok || l.keyOps[i].op.resets() {
 		return nil
 	}
-	return l.parts[i].op
+	return l.keyOps[i].op
 }
 
-// Commit makes a record count, and gives what of the fleet follows: each node or pool that it touches, whole. A record
-// that counts already changes nothing. One that does not fit what went before is an error and changes nothing.
+// Commit applies a durable record. It returns the complete settings of each node and pool that the record touches. A
+// record that is already committed changes nothing. A record that does not follow from the state is an error and changes
+// nothing.
 func (s *State) Commit(r Record) ([]Change, error) {
 	if r.Revision <= s.revision {
-		if had, ok := s.Record(r.Revision); ok && (had.ID != r.ID || had.Kind != r.Kind || had.Of != r.Of) {
-			return nil, fmt.Errorf("control: record %d: %s is held, where %s was given", r.Revision, &had, &r)
+		if existing, ok := s.Record(r.Revision); ok && (existing.ID != r.ID || existing.Kind != r.Kind || existing.Of != r.Of) {
+			return nil, fmt.Errorf("control: record %d: already committed as %s, not %s", r.Revision, &existing, &r)
 		}
 		return nil, nil
 	}
-	l, err := s.fits(&r)
+	l, err := s.validate(&r)
 	if err != nil {
 		return nil, fmt.Errorf("control: record %d: %w", r.Revision, err)
 	}
-	s.revision, s.last = r.Revision, r.Stamp
+	s.revision, s.lastStamp = r.Revision, r.Stamp
 	s.history = append(s.history, &r)
 	if r.ID != "" {
-		s.ids[r.ID] = r.Revision
+		s.revisionByID[r.ID] = r.Revision
 	}
 	if l != nil {
 		s.layers[r.Revision] = l
 	}
 	if r.Kind == Confirmed {
 		s.unarm(s.layers[r.Of])
-		s.layers[r.Of].confirmed = r.Revision
+		s.layers[r.Of].confirmedBy = r.Revision
 		s.arm(s.layers[r.Of])
 	}
 	for _, set := range r.Sets {
-		s.put(set, r.Revision)
+		s.apply(set, r.Revision)
 	}
 	return s.changes(r.Sets), nil
 }
 
-// put brings a layer into force at a key.
-func (s *State) put(set Set, revision uint64) {
-	was := s.word(set.Key, set.Was)
+// apply puts a layer in force at a key.
+func (s *State) apply(set Set, revision uint64) {
+	previous := s.opAt(set.Key, set.Was)
 	if l := s.layers[set.Was]; l != nil {
-		if l.live--; l.live == 0 {
+		if l.activeKeys--; l.activeKeys == 0 {
 			s.unarm(l)
 		}
 	}
-	s.keys[set.Key] = slot{set.Now, revision}
+	s.slots[set.Key] = slot{set.Now, revision}
 	if l := s.layers[set.Now]; l != nil {
-		if l.live++; l.live == 1 {
+		if l.activeKeys++; l.activeKeys == 1 {
 			s.arm(l)
 		}
 	}
-	if thing, node := set.Key.Parts(); thing == thingDrain {
-		s.drained(node, was != nil, s.word(set.Key, set.Now) != nil)
+	if keyType, node := set.Key.Parts(); keyType == keyTypeDrain {
+		s.drainChanged(node, previous != nil, s.opAt(set.Key, set.Now) != nil)
 	}
 }
 
-// reads takes a record's edit.
-func (l *layer) reads(r *Record) error {
+// setRecord fills the layer from the record of an edit, once the record matches its edit.
+func (l *layer) setRecord(r *Record) error {
 	if r.Edit == nil || r.Edit.ID != r.ID || r.Edit.By != r.By {
-		return fmt.Errorf("it has no edit of its id and author")
+		return fmt.Errorf("the edit is missing or has another id or author")
 	}
 	if err := r.Edit.check(); err != nil {
 		return err
 	}
-	l.Record, l.parts = r, parts(r.Edit.What)
-	if len(l.parts) != len(r.Sets) {
-		return fmt.Errorf("%d keys, where its edit has %d", len(r.Sets), len(l.parts))
+	l.Record, l.keyOps = r, sortedKeyOps(r.Edit.What)
+	if len(l.keyOps) != len(r.Sets) {
+		return fmt.Errorf("sets %d keys, but its edit has %d", len(r.Sets), len(l.keyOps))
 	}
 	for i, set := range r.Sets {
-		if set.Now != r.Revision || set.Was >= r.Revision || l.parts[i].key != set.Key {
-			return fmt.Errorf("%q: not what its edit says", set.Key)
+		if set.Now != r.Revision || set.Was >= r.Revision || l.keyOps[i].key != set.Key {
+			return fmt.Errorf("%q: does not match the edit", set.Key)
 		}
 	}
 	return nil
 }
 
-// fits says whether a record can be the next, and gives the layer that it makes, if any.
-func (s *State) fits(r *Record) (*layer, error) {
+// validate checks that a record can be the next one, and returns the layer of an edit; nil for other kinds.
+func (s *State) validate(r *Record) (*layer, error) {
 	if r.Revision != s.revision+1 {
-		return nil, fmt.Errorf("%d is the next", s.revision+1)
+		return nil, fmt.Errorf("expected revision %d", s.revision+1)
 	}
-	if r.Box < s.last.Box {
-		return nil, fmt.Errorf("box time %v, where %v was before", r.Box, s.last.Box)
+	if r.Box < s.lastStamp.Box {
+		return nil, fmt.Errorf("box time %v is before %v of the previous record", r.Box, s.lastStamp.Box)
 	}
-	if at, had := s.ids[r.ID]; had && r.ID != "" {
-		return nil, fmt.Errorf("its id %q is that of %d", r.ID, at)
+	if at, exists := s.revisionByID[r.ID]; exists && r.ID != "" {
+		return nil, fmt.Errorf("id %q is already used by revision %d", r.ID, at)
 	}
 	var l *layer
 	switch r.Kind {
 	case Edited:
 		l = &layer{}
-		if err := l.reads(r); err != nil {
+		if err := l.setRecord(r); err != nil {
 			return nil, err
 		}
 	case Undone:
-		if had, ok := s.Record(r.Of); r.Of > s.floor && (!ok || len(had.Sets) != len(r.Sets)) {
-			return nil, fmt.Errorf("it undoes %d, which has not these keys", r.Of)
+		if undone, ok := s.Record(r.Of); r.Of > s.floor && (!ok || len(undone.Sets) != len(r.Sets)) {
+			return nil, fmt.Errorf("undone revision %d is missing or has another number of keys", r.Of)
 		}
 	case Confirmed, Ended:
 		if s.layers[r.Of] == nil {
-			return nil, fmt.Errorf("it is of %d, which is no edit", r.Of)
+			return nil, fmt.Errorf("revision %d is not an edit", r.Of)
 		}
 	case Clock:
 	default:
-		return nil, fmt.Errorf("kind %q is not known", r.Kind)
+		return nil, fmt.Errorf("unknown kind %q", r.Kind)
 	}
 	if (r.Kind == Confirmed || r.Kind == Clock) && len(r.Sets) > 0 {
-		return nil, fmt.Errorf("%s sets nothing", r.Kind)
+		return nil, fmt.Errorf("kind %s must set no keys", r.Kind)
 	}
 	for i, set := range r.Sets {
 		if i > 0 && r.Sets[i-1].Key >= set.Key {
-			return nil, fmt.Errorf("%q: keys are in order, each once", set.Key)
+			return nil, fmt.Errorf("%q: keys must be sorted and unique", set.Key)
 		}
-		if had := s.keys[set.Key].layer; had != set.Was {
-			return nil, fmt.Errorf("%q: %d is in force, where %d was", set.Key, had, set.Was)
+		if current := s.slots[set.Key].layer; current != set.Was {
+			return nil, fmt.Errorf("%q: layer %d is in force, not layer %d", set.Key, current, set.Was)
 		}
-		switch now := s.layers[set.Now]; {
-		case l != nil: // reads has looked
-		case now != nil:
-			if _, ok := now.find(set.Key); !ok {
-				return nil, fmt.Errorf("%q: %d says nothing of it", set.Key, set.Now)
+		switch next := s.layers[set.Now]; {
+		case l != nil: // checked by setRecord
+		case next != nil:
+			if _, ok := next.find(set.Key); !ok {
+				return nil, fmt.Errorf("%q: edit %d does not write this key", set.Key, set.Now)
 			}
 		case set.Now != 0:
-			return nil, fmt.Errorf("%q: %d is no edit", set.Key, set.Now)
+			return nil, fmt.Errorf("%q: layer %d is not an edit", set.Key, set.Now)
 		}
 	}
 	return l, nil
--- a/internal/control/edit.go
+++ b/internal/control/edit.go
@@ -10,30 +10,31 @@
 	"unicode/utf8"
 )
 
-// Edit is what a person, or a script, asks for.
+// Edit is a change that a person or a script requests.
 type Edit struct {
-	ID      string        // of its own: the same twice is made once
-	By      string        // who, by the kernel's word
-	Against uint64        // the revision that its author looked at; 0: whatever is
-	What    Op            // one of those in op.go
-	Trial   time.Duration // goes back by itself after so long unless confirmed; 0: no trial
-	For     time.Duration // ends by itself after so long, from when it was made; 0: stays
-	Force   bool          // though a pool loses its last ready node by it
+	ID      string        // unique; sent again, the edit is made only once
+	By      string        // user name, from the peer credentials of the kernel
+	Against uint64        // revision that the author saw; 0: no conflict check
+	What    Op            // any operation of op.go
+	Trial   time.Duration // reverted after this time unless confirmed; 0: no trial
+	For     time.Duration // expires this long after it was made; 0: never
+	Force   bool          // allow a pool to lose its last ready node
 }
 
 const (
-	// timeLeast: what is shorter than the screen's own pace nobody could follow, nor confirm.
-	timeLeast = time.Second
-	// timeMost keeps sums of box time far from overflow; a year of drain is no timed edit any more.
-	timeMost = 366 * 24 * time.Hour
-	// nameMost bounds ids and names: they stand in tables 80 columns wide, and in every record.
-	nameMost = 256
-	textMost = 4096  // of a note: a screen and a half
-	opsMost  = 10000 // of one edit: a file applied to the largest fleet that the settings permit
+	// minDuration is the shortest trial or timed edit: one that is shorter than the refresh interval of the console could
+	// be neither followed nor confirmed.
+	minDuration = time.Second
+	// maxDuration keeps sums of box time far from overflow; a drain of more than a year is not a timed edit.
+	maxDuration = 366 * 24 * time.Hour
+	// maxNameLength bounds ids and names, in bytes: they appear in tables 80 columns wide and in every record.
+	maxNameLength = 256
+	maxNoteLength = 4096  // bytes of a note, one and a half screens
+	maxOps        = 10000 // operations per edit: a file applied to the largest fleet that the settings permit
 )
 
-// plainEdit is its JSON. Times are whole milliseconds.
-type plainEdit[T any] struct {
+// editJSON is the JSON form of an Edit. Times are whole milliseconds.
+type editJSON[T any] struct {
 	ID      string `json:"id"`
 	By      string `json:"by"`
 	Against uint64 `json:"against,omitempty"`
@@ -44,16 +45,16 @@
 }
 
 func (e Edit) MarshalJSON() ([]byte, error) {
-	return json.Marshal(plainEdit[Op]{e.ID, e.By, e.Against, e.What, e.Trial.Milliseconds(), e.For.Milliseconds(), e.Force})
+	return json.Marshal(editJSON[Op]{e.ID, e.By, e.Against, e.What, e.Trial.Milliseconds(), e.For.Milliseconds(), e.Force})
 }
 
-// UnmarshalJSON takes no key that it does not know: an edit is made whole or not at all.
+// UnmarshalJSON rejects unknown keys, so that no part of an edit is ignored.
 func (e *Edit) UnmarshalJSON(b []byte) error {
-	var p plainEdit[plainOp]
-	if err := strictly(b, &p); err != nil {
+	var p editJSON[opJSON]
+	if err := decodeStrict(b, &p); err != nil {
 		return err
 	}
-	const most = int64(timeMost/time.Millisecond) + 1 // so that the product cannot overflow; check refuses it
+	const most = int64(maxDuration/time.Millisecond) + 1 // keeps the product from overflowing; check rejects it
 	what, err := p.What.op()
 	if err != nil {
 		return fmt.Errorf("what.%w", err)
@@ -61,24 +62,24 @@
 	*e = Edit{p.ID, p.By, p.Against, what, time.Duration(min(p.Trial, most)) * time.Millisecond,
 		time.Duration(min(p.For, most)) * time.Millisecond, p.Force}
 	if p.Trial < 0 || p.For < 0 {
-		return fmt.Errorf("trial_ms, for_ms: %d, %d, where times are wanted", p.Trial, p.For)
+		return fmt.Errorf("trial_ms, for_ms: %d, %d, where 0 or more is wanted", p.Trial, p.For)
 	}
 	return nil
 }
 
-func strictly(b []byte, v any) error {
+func decodeStrict(b []byte, v any) error {
 	d := json.NewDecoder(bytes.NewReader(b))
 	d.DisallowUnknownFields()
 	if err := d.Decode(v); err != nil {
 		return err
 	}
 	if _, err := d.Token(); err != io.EOF {
-		return fmt.Errorf("there is more after the end")
+		return fmt.Errorf("unexpected data after the JSON value")
 	}
 	return nil
 }
 
-// check refuses what could not be kept or shown. The error names the key of the JSON.
+// check rejects an edit that could not be stored or displayed. The error names the JSON key.
 func (e *Edit) check() error {
 	if err := checkName("id", e.ID); err != nil {
 		return err
@@ -90,8 +91,8 @@
 		key string
 		d   time.Duration
 	}{{"trial_ms", e.Trial}, {"for_ms", e.For}} {
-		if t.d != 0 && (t.d < timeLeast || t.d > timeMost || t.d%time.Millisecond != 0) {
-			return fmt.Errorf("%s: %v, where 0 or whole milliseconds from %v to %v are wanted", t.key, t.d, timeLeast, timeMost)
+		if t.d != 0 && (t.d < minDuration || t.d > maxDuration || t.d%time.Millisecond != 0) {
+			return fmt.Errorf("%s: %v, where 0 or whole milliseconds from %v to %v are wanted", t.key, t.d, minDuration, maxDuration)
 		}
 	}
 	if e.For > 0 && e.Trial >= e.For {
@@ -106,10 +107,10 @@
 	return nil
 }
 
-// checkName checks an id or a name: it goes to terminals, so that a control character in it could forge a line there.
+// checkName checks an id or a name. It is printed on terminals, where a control character could forge a line.
 func checkName(key, s string) error {
-	if s == "" || len(s) > nameMost || !printable(s, false) {
-		return fmt.Errorf("%s: %.40q, where 1 to %d bytes of printable text are wanted", key, s, nameMost)
+	if s == "" || len(s) > maxNameLength || !printable(s, false) {
+		return fmt.Errorf("%s: %.40q, where 1 to %d bytes of printable text are wanted", key, s, maxNameLength)
 	}
 	return nil
 }
--- a/internal/control/jumps_test.go
+++ b/internal/control/jumps_test.go
@@ -9,39 +9,39 @@
 	"pgregory.net/rapid"
 )
 
-// Timed edits and trials end at their moment by a clock that never jumps, or as soon as the box is up again: whatever the
-// wall clock does by hours, over restarts of the process, and over those of the machine if what the wall clock says
-// passed while it was off is true.
-func TestNoJumpMovesAnEnd(t *testing.T) {
-	met := map[string]int{}
-	if checks := flag.Lookup("rapid.checks"); checks.Value.String() == "2000" { // each starts anew from a long history
+// Timed edits and trials must end at their deadline by a clock that never jumps, or as soon as the box is up again. This
+// holds for jumps of the wall clock by hours, for restarts of the process, and for reboots, provided that the wall clock
+// is right about the time that the machine was off.
+func TestClockJumpsDoNotMoveDeadlines(t *testing.T) {
+	covered := map[string]int{}
+	if checks := flag.Lookup("rapid.checks"); checks.Value.String() == "2000" { // every restart replays a long history
 		flag.Set("rapid.checks", "400")
 		defer flag.Set("rapid.checks", "2000")
 	}
 	rapid.Check(t, func(t *rapid.T) {
 		b := newBox()
-		var real time.Duration // time by a clock that never jumps
+		var elapsed time.Duration // by a clock that never jumps
 		ends := map[uint64]time.Duration{}
-		settle := func(t *rapid.T) time.Duration {
-			all, _, next, err := b.settle()
+		checkDue := func(t *rapid.T) time.Duration {
+			all, _, next, err := b.commitDue()
 			if err != nil {
 				t.Fatal(err)
 			}
 			for _, r := range all {
-				met[string(r.Kind)]++
-				if end, ok := ends[r.Of]; r.Kind == Ended && (!ok || real < end) {
-					t.Fatalf("%v ended %v early", &r, end-real)
+				covered[string(r.Kind)]++
+				if end, ok := ends[r.Of]; r.Kind == Ended && (!ok || elapsed < end) {
+					t.Fatalf("%v ended %v before its deadline", &r, end-elapsed)
 				}
 				delete(ends, r.Of)
 			}
 			for rev, end := range ends {
-				if real >= end {
-					t.Fatalf("%d is in force %v after its end", rev, real-end)
+				if elapsed >= end {
+					t.Fatalf("edit %d is in force %v after its deadline", rev, elapsed-end)
 				}
 			}
 			return next
 		}
-		pass := func(d time.Duration) { b.pass(d); real += d }
+		advance := func(d time.Duration) { b.advance(d); elapsed += d }
 		t.Repeat(map[string]func(*rapid.T){
 			"edit": func(t *rapid.T) {
 				rev := b.Revision() + 1
@@ -51,46 +51,46 @@
 				}
 				r, err := b.Propose(b.now, e)
 				if err == nil {
-					_, err = b.keep(r)
+					_, err = b.writeAndCommit(r)
 				}
 				if err != nil {
 					t.Fatal(err)
 				}
-				ends[r.Revision] = real + e.Trial + e.For
+				ends[r.Revision] = elapsed + e.Trial + e.For
 			},
 			"up": func(t *rapid.T) {
-				left := time.Duration(rapid.IntRange(1, 3600).Draw(t, "seconds")) * time.Second
-				for next := settle(t); left > 0; next = settle(t) {
-					step := left
+				remaining := time.Duration(rapid.IntRange(1, 3600).Draw(t, "seconds")) * time.Second
+				for next := checkDue(t); remaining > 0; next = checkDue(t) {
+					step := remaining
 					if next > 0 {
-						step = min(next, left)
+						step = min(next, remaining)
 					}
-					pass(step)
-					left -= step
+					advance(step)
+					remaining -= step
 				}
 			},
 			"jump": func(t *rapid.T) {
 				b.now.Wall = b.now.Wall.Add(time.Duration(rapid.SampledFrom([]int{-1, 1}).Draw(t, "hours")) * time.Hour)
-				met["jump"]++
+				covered["jump"]++
 			},
 			"down": func(t *rapid.T) {
 				if rapid.Bool().Draw(t, "reboot") {
-					settle(t) // it looks once a minute: see lookMost
+					checkDue(t) // detects a jump just before the reboot: see maxTickInterval
 					b.now.Boot, b.now.Mono = b.now.Boot+"'", time.Second
-					met["reboot"]++
+					covered["reboot"]++
 				}
-				pass(time.Duration(rapid.IntRange(0, 3600).Draw(t, "seconds")) * time.Second)
-				if err := b.start(); err != nil {
+				advance(time.Duration(rapid.IntRange(0, 3600).Draw(t, "seconds")) * time.Second)
+				if err := b.restart(); err != nil {
 					t.Fatal(err)
 				}
-				settle(t)
+				checkDue(t)
 			},
 		})
 	})
-	t.Log(met)
+	t.Log(covered)
 	for _, what := range []string{"end", "clock", "jump", "reboot"} {
-		if met[what] == 0 {
-			t.Errorf("no run met: %s", what)
+		if covered[what] == 0 {
+			t.Errorf("no run covered: %s", what)
 		}
 	}
 }
--- a/internal/control/linear_test.go
+++ b/internal/control/linear_test.go
@@ -12,30 +12,30 @@
 	"github.com/anishathalye/porcupine"
 )
 
-type linearIn struct {
+type linearInput struct {
 	op      string // "edit", "undo", "read"
 	node    string
 	weight  int
 	against uint64
 	id      string
-	undoes  uint64
+	undoOf  uint64
 }
 
-type linearOut struct {
-	taken    bool
-	revision uint64 // that was made, or that the conflict names
-	weight   int    // by a read
+type linearOutput struct {
+	accepted bool
+	revision uint64 // of the record that was made, or that the conflict names
+	weight   int    // result of a read
 }
 
-// linearWord is a node's weight, as lists of "revision=text": comparable, as porcupine wants states to be.
-type linearWord struct {
-	made  string // every change's id, at its revision
-	stack string // the weights that lie on one another, the one in force last
-	rev   uint64 // of the latest change
+// weightState is the state of one node's weight, as lists of "revision=text", because porcupine needs comparable states.
+type weightState struct {
+	changes string // ids of all changes, by revision
+	stack   string // layered weights by revision, the one in force last
+	rev     uint64 // of the latest change
 }
 
-// found gives the revision at which a list has a text, 0 if it has not.
-func found(list, text string) (at uint64) {
+// revisionOf returns the revision of a text in a list; 0 if it is not there.
+func revisionOf(list, text string) (at uint64) {
 	for f := range strings.FieldsSeq(list) {
 		if rev, t, _ := strings.Cut(f, "="); t == text {
 			at, _ = strconv.ParseUint(rev, 10, 64)
@@ -44,20 +44,21 @@
 	return at
 }
 
-// top is the last of a list, and the list without it.
-func top(list string) (rev uint64, text, rest string) {
+// lastEntry returns the last entry of a list, and the list without it.
+func lastEntry(list string) (rev uint64, text, rest string) {
 	rest, last := list[:max(0, strings.LastIndex(list, " "))], list[strings.LastIndex(list, " ")+1:]
 	at, text, _ := strings.Cut(last, "=")
 	rev, _ = strconv.ParseUint(at, 10, 64)
 	return rev, text, rest
 }
 
-// linearModel: each node alone, as porcupine checks it by itself, so that a revision only has to grow.
+// linearModel is checked for each node alone. Other nodes use revisions too, so that revisions of one node increase but
+// need not be consecutive.
 var linearModel = porcupine.Model{
 	Partition: func(history []porcupine.Operation) (out [][]porcupine.Operation) {
 		at := map[string]int{}
 		for _, o := range history {
-			node := o.Input.(linearIn).node
+			node := o.Input.(linearInput).node
 			if _, ok := at[node]; !ok {
 				at[node], out = len(out), append(out, nil)
 			}
@@ -65,22 +66,22 @@
 		}
 		return out
 	},
-	Init: func() any { return linearWord{} },
+	Init: func() any { return weightState{} },
 	Step: func(state, input, output any) (bool, any) {
-		w, in, out := state.(linearWord), input.(linearIn), output.(linearOut)
-		layer, weight, rest := top(w.stack)
-		had := found(w.made, in.id)
+		w, in, out := state.(weightState), input.(linearInput), output.(linearOutput)
+		layer, weight, rest := lastEntry(w.stack)
+		committed := revisionOf(w.changes, in.id)
 		switch {
 		case in.op == "read":
 			return weight == "" && out.weight == 0 || weight == strconv.Itoa(out.weight), w
-		case had > 0: // again: made once, with the answer of then
-			return out.taken && out.revision == had, w
-		case in.op == "undo" && layer != in.undoes, in.op == "edit" && in.against > 0 && w.rev > in.against:
-			return !out.taken && out.revision == w.rev, w
-		case !out.taken || out.revision <= w.rev:
+		case committed > 0: // sent again: made once, with the same answer
+			return out.accepted && out.revision == committed, w
+		case in.op == "undo" && layer != in.undoOf, in.op == "edit" && in.against > 0 && w.rev > in.against:
+			return !out.accepted && out.revision == w.rev, w
+		case !out.accepted || out.revision <= w.rev:
 			return false, w
 		}
-		w.rev, w.made = out.revision, w.made+fmt.Sprintf(" %d=%s", out.revision, in.id)
+		w.rev, w.changes = out.revision, w.changes+fmt.Sprintf(" %d=%s", out.revision, in.id)
 		if w.stack += fmt.Sprintf(" %d=%d", out.revision, in.weight); in.op == "undo" {
 			w.stack = rest
 		}
@@ -88,41 +89,41 @@
 	},
 }
 
-// Many writers on one box behind a mutex, as a service has it: judging, the disk and the commit are one step to others.
-// What each was answered has an order that fits, with conflicts, ids sent twice, undos and kills between the phases.
-func TestManyWritersAreLinearizable(t *testing.T) {
+// Concurrent writers share one box behind a mutex, as in the control service: validation, write and commit are one step.
+// Their answers must be linearizable, with conflicts, ids sent twice, undos, and restarts between write and commit.
+func TestConcurrentWritersAreLinearizable(t *testing.T) {
 	b := newBox()
 	var mu sync.Mutex
 	var history []porcupine.Operation
 	var clock int64
 	tick := func() int64 { clock++; return clock }
-	do := func(client int, in linearIn, rng *rand.Rand) linearOut {
+	do := func(client int, in linearInput, rng *rand.Rand) linearOutput {
 		mu.Lock()
 		call := tick()
 		mu.Unlock()
 		mu.Lock()
 		defer mu.Unlock()
-		var out linearOut
+		var out linearOutput
 		var r Record
 		var err error
 		switch in.op {
 		case "read":
-			if w, ok := b.Want().Find(key(thingWeight, in.node)); ok {
+			if w, ok := b.Want().Find(newKey(keyTypeWeight, in.node)); ok {
 				out.weight = int(w.What.(Weight).Weight)
 			}
 		case "undo":
-			r, err = b.Undo(b.now, Back{ID: in.id, By: "ann", Revision: in.undoes})
+			r, err = b.Undo(b.now, Back{ID: in.id, By: "ann", Revision: in.undoOf})
 		default:
 			r, err = b.Propose(b.now, Edit{ID: in.id, By: "ann", Against: in.against, What: Weight{in.node, float64(in.weight)}})
 		}
-		if clash, ok := err.(*Conflict); ok {
-			out.revision = clash.Theirs.Revision
+		if conflict, ok := err.(*Conflict); ok {
+			out.revision = conflict.Theirs.Revision
 		} else if err != nil {
 			t.Errorf("%+v: %v", in, err)
 		} else if in.op != "read" {
-			out.taken, out.revision = true, r.Revision
+			out.accepted, out.revision = true, r.Revision
 			if b.write(r); rng.IntN(10) == 0 {
-				err = b.start()
+				err = b.restart()
 			} else {
 				_, err = b.Commit(r)
 			}
@@ -134,13 +135,13 @@
 		return out
 	}
 	var wg sync.WaitGroup
-	var clashes, again, undone [8]int
+	var conflicts, resent, undone [8]int
 	for client := range 8 {
 		wg.Go(func() {
 			rng := rand.New(rand.NewPCG(1, uint64(client)))
 			var seen uint64
 			for i := range 60 {
-				in := linearIn{op: "edit", node: fmt.Sprint("n", rng.IntN(6)), weight: 1 + rng.IntN(1000), id: fmt.Sprint(client, "-", i)}
+				in := linearInput{op: "edit", node: fmt.Sprint("n", rng.IntN(6)), weight: 1 + rng.IntN(1000), id: fmt.Sprint(client, "-", i)}
 				switch rng.IntN(4) {
 				case 0:
 					in.op, in.id = "read", ""
@@ -151,18 +152,18 @@
 				if in.op == "read" {
 					continue
 				}
-				if !out.taken {
-					clashes[client]++
+				if !out.accepted {
+					conflicts[client]++
 					continue
 				}
 				seen = out.revision
 				switch rng.IntN(4) {
 				case 0:
-					again[client]++
+					resent[client]++
 					do(client, in, rng)
 				case 1:
-					in.op, in.undoes, in.id = "undo", out.revision, in.id+"u"
-					if do(client, in, rng).taken {
+					in.op, in.undoOf, in.id = "undo", out.revision, in.id+"u"
+					if do(client, in, rng).accepted {
 						undone[client]++
 					}
 				}
@@ -170,13 +171,13 @@
 		})
 	}
 	wg.Wait()
-	t.Logf("%d calls, revision %d; refused %v, sent again %v, undone %v", len(history), b.Revision(), clashes, again, undone)
+	t.Logf("%d calls, revision %d; per client: refused %v, sent again %v, undone %v", len(history), b.Revision(), conflicts, resent, undone)
 	if res := porcupine.CheckOperationsTimeout(linearModel, history, time.Minute); res != porcupine.Ok {
-		t.Errorf("the answers have no order: %s", res)
+		t.Errorf("the answers are not linearizable: %s", res)
 	}
-	// The checker can say no.
-	last := porcupine.Operation{Input: linearIn{op: "read", node: "n0"}, Output: linearOut{weight: -1}, Call: tick(), Return: tick()}
+	// The checker must reject a wrong answer.
+	last := porcupine.Operation{Input: linearInput{op: "read", node: "n0"}, Output: linearOutput{weight: -1}, Call: tick(), Return: tick()}
 	if res := porcupine.CheckOperationsTimeout(linearModel, append(history, last), time.Minute); res != porcupine.Illegal {
-		t.Errorf("a weight that nobody set was found to be %s", res)
+		t.Errorf("a read of a weight that nobody set: checker returned %s", res)
 	}
 }
--- a/internal/control/op.go
+++ b/internal/control/op.go
@@ -10,93 +10,93 @@
 	"strings"
 )
 
-// Op is what an edit does: Drain, Restore, Weight, Cap, Note, Pool, Unpool, or Several of them. Its JSON is an object
-// with a "kind" in lower case.
+// Op is the operation of an edit: Drain, Restore, Weight, Cap, Note, Pool, Unpool, or Several of them. Its JSON is an
+// object with a "kind" in lower case.
 type Op interface {
 	Kind() string
 	String() string
 	check() error
-	parts() []part
-	empty() bool // says nothing: the roster's or the settings' word counts
+	keyOps() []keyOp
+	resets() bool // returns its key to the roster or the settings
 }
 
-// Key is a thing that an edit writes: a word for what it is, a space, its name.
+// Key identifies a setting that an edit writes: its type, a space, and a name.
 type Key string
 
 const (
-	thingDrain  = "drain"
-	thingWeight = "weight"
-	thingCap    = "cap"
-	thingNote   = "note"
-	thingPool   = "pool"
+	keyTypeDrain  = "drain"
+	keyTypeWeight = "weight"
+	keyTypeCap    = "cap"
+	keyTypeNote   = "note"
+	keyTypePool   = "pool"
 )
 
-// Parts gives what sort of thing it is (drain, weight, cap, note, pool) and its name.
-func (k Key) Parts() (thing, name string) {
-	thing, name, _ = strings.Cut(string(k), " ")
-	return thing, name
+// Parts returns the type of the key (drain, weight, cap, note, pool) and its name.
+func (k Key) Parts() (keyType, name string) {
+	keyType, name, _ = strings.Cut(string(k), " ")
+	return keyType, name
 }
 
-// part is what an edit says of one key.
-type part struct {
+// keyOp is the operation of an edit on one key.
+type keyOp struct {
 	key Key
 	op  Op
 }
 
-// parts gives those of an edit in the order of their keys.
-func parts(o Op) []part {
-	ps := o.parts()
-	slices.SortFunc(ps, func(a, b part) int { return cmp.Compare(a.key, b.key) })
-	return ps
+// sortedKeyOps returns the operations per key of an edit, sorted by key.
+func sortedKeyOps(o Op) []keyOp {
+	ops := o.keyOps()
+	slices.SortFunc(ops, func(a, b keyOp) int { return cmp.Compare(a.key, b.key) })
+	return ops
 }
 
-// Drain has a node get no new calls.
+// Drain stops new calls to a node.
 type Drain struct {
 	Node string `json:"node"`
 }
 
-// Restore takes back the operators' drain. What the roster says of the node still counts.
+// Restore ends the operators' drain of a node. A drain by the roster still applies.
 type Restore struct {
 	Node string `json:"node"`
 }
 
-// Weight of a node among its pool's; 0: the roster's.
+// Weight sets the weight of a node within its pools; 0: the roster's.
 type Weight struct {
 	Node   string  `json:"node"`
 	Weight float64 `json:"weight"`
 }
 
-// Cap bounds the calls that are open at a pool; 0: none but the settings'.
+// Cap limits the open calls of a pool; 0: only the limit of the settings.
 type Cap struct {
 	Pool string `json:"pool"`
 	Open int    `json:"open"`
 }
 
-// Note is a text for the next shift, on anything; "": none.
+// Note attaches a text for the next shift to any subject; "" removes it.
 type Note struct {
 	Subject string `json:"subject"`
 	Text    string `json:"text"`
 }
 
-// Pool has a pool of these members, by the operators' word.
+// Pool defines a pool by its members.
 type Pool struct {
 	Name    string   `json:"name"`
 	Members []string `json:"members"`
 }
 
-// Unpool takes a pool away, and its cap with it.
+// Unpool removes a pool and its cap.
 type Unpool struct {
 	Name string `json:"name"`
 }
 
-// Several are made, refused and undone as one. No two may write the same key.
+// Several operations are made, refused and undone as one. No two may write the same key.
 type Several struct {
 	Ops []Op `json:"ops"`
 }
 
 const (
-	weightMost = 1000    // times the usual share; more is a slip of the hand
-	capMost    = 1 << 20 // descriptors no box here has
+	maxWeight = 1000    // times the default share; anything above is a typing error
+	maxCap    = 1 << 20 // more than the file descriptors of any box
 )
 
 func (Drain) Kind() string   { return "drain" }
@@ -123,56 +123,56 @@
 	return strings.Join(b, "; ")
 }
 
-func (Drain) empty() bool    { return false }
-func (Restore) empty() bool  { return true }
-func (o Weight) empty() bool { return o.Weight == 0 }
-func (o Cap) empty() bool    { return o.Open == 0 }
-func (o Note) empty() bool   { return o.Text == "" }
-func (Pool) empty() bool     { return false }
-func (Unpool) empty() bool   { return false }
-func (Several) empty() bool  { return false }
+func (Drain) resets() bool    { return false }
+func (Restore) resets() bool  { return true }
+func (o Weight) resets() bool { return o.Weight == 0 }
+func (o Cap) resets() bool    { return o.Open == 0 }
+func (o Note) resets() bool   { return o.Text == "" }
+func (Pool) resets() bool     { return false }
+func (Unpool) resets() bool   { return false }
+func (Several) resets() bool  { return false }
 
-func key(thing, name string) Key { return Key(thing + " " + name) }
+func newKey(keyType, name string) Key { return Key(keyType + " " + name) }
 
-func (o Drain) parts() []part   { return []part{{key(thingDrain, o.Node), o}} }
-func (o Restore) parts() []part { return []part{{key(thingDrain, o.Node), o}} }
-func (o Weight) parts() []part  { return []part{{key(thingWeight, o.Node), o}} }
-func (o Cap) parts() []part     { return []part{{key(thingCap, o.Pool), o}} }
-func (o Note) parts() []part    { return []part{{key(thingNote, o.Subject), o}} }
-func (o Pool) parts() []part    { return []part{{key(thingPool, o.Name), o}} }
-func (o Unpool) parts() []part {
-	return []part{{key(thingPool, o.Name), o}, {key(thingCap, o.Name), Cap{Pool: o.Name}}}
-}
-func (o Several) parts() (ps []part) {
+func (o Drain) keyOps() []keyOp   { return []keyOp{{newKey(keyTypeDrain, o.Node), o}} }
+func (o Restore) keyOps() []keyOp { return []keyOp{{newKey(keyTypeDrain, o.Node), o}} }
+func (o Weight) keyOps() []keyOp  { return []keyOp{{newKey(keyTypeWeight, o.Node), o}} }
+func (o Cap) keyOps() []keyOp     { return []keyOp{{newKey(keyTypeCap, o.Pool), o}} }
+func (o Note) keyOps() []keyOp    { return []keyOp{{newKey(keyTypeNote, o.Subject), o}} }
+func (o Pool) keyOps() []keyOp    { return []keyOp{{newKey(keyTypePool, o.Name), o}} }
+func (o Unpool) keyOps() []keyOp {
+	return []keyOp{{newKey(keyTypePool, o.Name), o}, {newKey(keyTypeCap, o.Name), Cap{Pool: o.Name}}}
+}
+func (o Several) keyOps() (ops []keyOp) {
 	for _, op := range o.Ops {
-		ps = append(ps, op.parts()...)
+		ops = append(ops, op.keyOps()...)
 	}
-	return ps
+	return ops
 }
 
 func (o Drain) check() error   { return checkName("node", o.Node) }
 func (o Restore) check() error { return checkName("node", o.Node) }
 func (o Weight) check() error {
-	if !(o.Weight >= 0 && o.Weight <= weightMost) || o.Weight != 0 && o.Weight < 1.0/weightMost || math.IsNaN(o.Weight) {
-		return fmt.Errorf("weight: %g, where 0 or %g to %d is wanted", o.Weight, 1.0/weightMost, weightMost)
+	if !(o.Weight >= 0 && o.Weight <= maxWeight) || o.Weight != 0 && o.Weight < 1.0/maxWeight || math.IsNaN(o.Weight) {
+		return fmt.Errorf("weight: %g, where 0 or %g to %d is wanted", o.Weight, 1.0/maxWeight, maxWeight)
 	}
 	return checkName("node", o.Node)
 }
 func (o Cap) check() error {
-	if o.Open < 0 || o.Open > capMost {
-		return fmt.Errorf("open: %d, where 0 to %d is wanted", o.Open, capMost)
+	if o.Open < 0 || o.Open > maxCap {
+		return fmt.Errorf("open: %d, where 0 to %d is wanted", o.Open, maxCap)
 	}
 	return checkName("pool", o.Pool)
 }
 func (o Note) check() error {
-	if len(o.Text) > textMost || !printable(o.Text, true) {
-		return fmt.Errorf("text: %.40q, where up to %d bytes of printable text are wanted", o.Text, textMost)
+	if len(o.Text) > maxNoteLength || !printable(o.Text, true) {
+		return fmt.Errorf("text: %.40q, where up to %d bytes of printable text are wanted", o.Text, maxNoteLength)
 	}
 	return checkName("subject", o.Subject)
 }
 func (o Pool) check() error {
-	if len(o.Members) == 0 || len(o.Members) > opsMost {
-		return fmt.Errorf("members: %d, where 1 to %d are wanted", len(o.Members), opsMost)
+	if len(o.Members) == 0 || len(o.Members) > maxOps {
+		return fmt.Errorf("members: %d, where 1 to %d are wanted", len(o.Members), maxOps)
 	}
 	seen := map[string]bool{}
 	for i, m := range o.Members {
@@ -188,8 +188,8 @@
 }
 func (o Unpool) check() error { return checkName("name", o.Name) }
 func (o Several) check() error {
-	if len(o.Ops) == 0 || len(o.Ops) > opsMost {
-		return fmt.Errorf("ops: %d, where 1 to %d are wanted", len(o.Ops), opsMost)
+	if len(o.Ops) == 0 || len(o.Ops) > maxOps {
+		return fmt.Errorf("ops: %d, where 1 to %d are wanted", len(o.Ops), maxOps)
 	}
 	seen := map[Key]bool{}
 	for i, op := range o.Ops {
@@ -199,7 +199,7 @@
 		if err := op.check(); err != nil {
 			return fmt.Errorf("ops[%d].%w", i, err)
 		}
-		for _, p := range op.parts() {
+		for _, p := range op.keyOps() {
 			if seen[p.key] {
 				return fmt.Errorf("ops[%d]: %q is written twice", i, p.key)
 			}
@@ -209,42 +209,66 @@
 	return nil
 }
 
-// tagged puts the kind before an object's keys.
-func tagged(kind string, plain any) ([]byte, error) {
-	b, err := json.Marshal(plain)
+// marshalWithKind encodes fields as an object whose first key is the kind.
+func marshalWithKind(kind string, fields any) ([]byte, error) {
+	b, err := json.Marshal(fields)
 	if err != nil {
 		return nil, err
 	}
 	return append([]byte(`{"kind":"`+kind+`",`), b[1:]...), nil
 }
 
-func (o Drain) MarshalJSON() ([]byte, error)   { type plain Drain; return tagged(o.Kind(), plain(o)) }
-func (o Restore) MarshalJSON() ([]byte, error) { type plain Restore; return tagged(o.Kind(), plain(o)) }
-func (o Weight) MarshalJSON() ([]byte, error)  { type plain Weight; return tagged(o.Kind(), plain(o)) }
-func (o Cap) MarshalJSON() ([]byte, error)     { type plain Cap; return tagged(o.Kind(), plain(o)) }
-func (o Note) MarshalJSON() ([]byte, error)    { type plain Note; return tagged(o.Kind(), plain(o)) }
-func (o Pool) MarshalJSON() ([]byte, error)    { type plain Pool; return tagged(o.Kind(), plain(o)) }
-func (o Unpool) MarshalJSON() ([]byte, error)  { type plain Unpool; return tagged(o.Kind(), plain(o)) }
-func (o Several) MarshalJSON() ([]byte, error) { type plain Several; return tagged(o.Kind(), plain(o)) }
+func (o Drain) MarshalJSON() ([]byte, error) {
+	type plain Drain
+	return marshalWithKind(o.Kind(), plain(o))
+}
+func (o Restore) MarshalJSON() ([]byte, error) {
+	type plain Restore
+	return marshalWithKind(o.Kind(), plain(o))
+}
+func (o Weight) MarshalJSON() ([]byte, error) {
+	type plain Weight
+	return marshalWithKind(o.Kind(), plain(o))
+}
+func (o Cap) MarshalJSON() ([]byte, error) {
+	type plain Cap
+	return marshalWithKind(o.Kind(), plain(o))
+}
+func (o Note) MarshalJSON() ([]byte, error) {
+	type plain Note
+	return marshalWithKind(o.Kind(), plain(o))
+}
+func (o Pool) MarshalJSON() ([]byte, error) {
+	type plain Pool
+	return marshalWithKind(o.Kind(), plain(o))
+}
+func (o Unpool) MarshalJSON() ([]byte, error) {
+	type plain Unpool
+	return marshalWithKind(o.Kind(), plain(o))
+}
+func (o Several) MarshalJSON() ([]byte, error) {
+	type plain Several
+	return marshalWithKind(o.Kind(), plain(o))
+}
 
-// Kinds of operations, in the order in which a help text has them.
+// Kinds lists the kinds of operations in the order of the help text.
 var Kinds = []string{"drain", "restore", "weight", "cap", "note", "pool", "unpool", "several"}
 
-// plainOp has every key of every kind.
-type plainOp struct {
-	Kind    string    `json:"kind"`
-	Node    *string   `json:"node"`
-	Weight  *float64  `json:"weight"`
-	Pool    *string   `json:"pool"`
-	Open    *int      `json:"open"`
-	Subject *string   `json:"subject"`
-	Text    *string   `json:"text"`
-	Name    *string   `json:"name"`
-	Members []string  `json:"members"`
-	Ops     []plainOp `json:"ops"`
+// opJSON is the JSON form of an Op, with the keys of every kind.
+type opJSON struct {
+	Kind    string   `json:"kind"`
+	Node    *string  `json:"node"`
+	Weight  *float64 `json:"weight"`
+	Pool    *string  `json:"pool"`
+	Open    *int     `json:"open"`
+	Subject *string  `json:"subject"`
+	Text    *string  `json:"text"`
+	Name    *string  `json:"name"`
+	Members []string `json:"members"`
+	Ops     []opJSON `json:"ops"`
 }
 
-// take gives a key's value and clears it; what is left after all are taken has no place there.
+// take returns the value of a key and clears it. Keys left over do not belong to the kind.
 func take[T any](p **T) (v T) {
 	if *p != nil {
 		v = **p
@@ -253,16 +277,16 @@
 	return v
 }
 
-// DecodeOp reads an operation by its kind. It takes no key that the kind has not: an edit is made whole or not at all.
+// DecodeOp decodes an operation. Keys that its kind does not have are errors, so that no part of an edit is ignored.
 func DecodeOp(b []byte) (Op, error) {
-	var p plainOp
-	if err := strictly(b, &p); err != nil {
+	var p opJSON
+	if err := decodeStrict(b, &p); err != nil {
 		return nil, err
 	}
 	return p.op()
 }
 
-func (p plainOp) op() (o Op, err error) {
+func (p opJSON) op() (o Op, err error) {
 	switch p.Kind {
 	case "drain":
 		o = Drain{take(&p.Node)}
--- a/internal/control/record.go
+++ b/internal/control/record.go
@@ -5,18 +5,18 @@
 	"time"
 )
 
-// Kind of a record.
+// Kind is the kind of a record.
 type Kind string
 
 const (
 	Edited    Kind = "edit"
-	Undone    Kind = "undo"    // Of is the revision that it takes back
-	Confirmed Kind = "confirm" // Of is the edit that stays
-	Ended     Kind = "end"     // Of is the edit that ran out
-	Clock     Kind = "clock"   // the wall clock jumped, or the machine started anew, while edits wait for their end
+	Undone    Kind = "undo"    // Of is the revision that it undoes
+	Confirmed Kind = "confirm" // Of is the edit whose trial is confirmed
+	Ended     Kind = "end"     // Of is the edit that expired
+	Clock     Kind = "clock"   // the wall clock jumped, or the machine rebooted, while edits wait to expire
 )
 
-// Record is one revision, as it is made durable. None is written to once it is made.
+// Record is one revision as it is stored. It is immutable.
 type Record struct {
 	Revision uint64 `json:"revision"`
 	Kind     Kind   `json:"kind"`
@@ -25,11 +25,11 @@
 	Of       uint64 `json:"of,omitempty"`
 	Edit     *Edit  `json:"edit,omitempty"`
 	Stamp
-	Sets    []Set    `json:"sets,omitempty"`    // in the order of their keys
-	Empties []string `json:"empties,omitempty"` // pools that lost their last ready node by it
+	Sets    []Set    `json:"sets,omitempty"`    // sorted by key
+	Empties []string `json:"empties,omitempty"` // pools that it left without a ready node
 }
 
-// Set is the move of a key from one layer to another: revisions of edits, or 0 for the roster's or the settings' word.
+// Set moves a key from one layer to another: revisions of edits, or 0 for the roster or the settings.
 type Set struct {
 	Key Key    `json:"key"`
 	Was uint64 `json:"was"`
@@ -57,25 +57,25 @@
 	return fmt.Sprintf("%d %s: %s of %d", r.Revision, by, r.Kind, r.Of)
 }
 
-// Record gives a revision, if the history still has it.
+// Record returns the record of a revision, if the history still has it.
 func (s *State) Record(revision uint64) (Record, bool) {
-	if i := s.place(revision); i < len(s.history) && s.history[i].Revision == revision {
+	if i := s.historyIndex(revision); i < len(s.history) && s.history[i].Revision == revision {
 		return *s.history[i], true
 	}
 	return Record{}, false
 }
 
-// place of the first record of that revision or a later one. Revisions have no gaps.
-func (s *State) place(revision uint64) int {
+// historyIndex returns the index of the first record of that revision or a later one. Revisions have no gaps.
+func (s *State) historyIndex(revision uint64) int {
 	if len(s.history) == 0 || revision <= s.history[0].Revision {
 		return 0
 	}
 	return int(min(revision-s.history[0].Revision, uint64(len(s.history))))
 }
 
-// History gives the records from a revision on, the first first.
+// History returns the records from a revision on, oldest first.
 func (s *State) History(from uint64) []Record {
-	rest := s.history[s.place(from):]
+	rest := s.history[s.historyIndex(from):]
 	out := make([]Record, len(rest))
 	for i, r := range rest {
 		out[i] = *r
@@ -83,9 +83,9 @@
 	return out
 }
 
-// made is what an id has brought about.
-func (s *State) made(id string) (Record, bool) {
-	at, ok := s.ids[id]
+// recordByID returns the committed record of an id.
+func (s *State) recordByID(id string) (Record, bool) {
+	at, ok := s.revisionByID[id]
 	if !ok {
 		return Record{}, false
 	}
@@ -95,7 +95,7 @@
 	return s.Record(at)
 }
 
-// next is the record that would follow.
-func (s *State) next(now Now, kind Kind, id, by string, of uint64) Record {
+// nextRecord returns a record of the next revision, without keys.
+func (s *State) nextRecord(now Now, kind Kind, id, by string, of uint64) Record {
 	return Record{Revision: s.revision + 1, Kind: kind, ID: id, By: by, Of: of, Stamp: s.stamp(now)}
 }
--- a/internal/control/snapshot.go
+++ b/internal/control/snapshot.go
@@ -9,34 +9,37 @@
 	"slices"
 )
 
-// Schema is the version of the snapshot's form: 1 had the whole history; 2 begins at a floor, and has what was in force.
+// Schema is the version of the snapshot format. Version 1 had the whole history; version 2 begins at a floor and has what
+// was in force there.
 const Schema = 2
 
-// snapshot is the JSON of a state: that at the floor, and the records since.
+// snapshot is the JSON form of a State: the state at the floor, and the records since.
 type snapshot struct {
-	Schema  int       `json:"schema"`
-	Floor   uint64    `json:"floor"`
-	At      Stamp     `json:"at"`
-	Edits   []*Record `json:"edits"` // up to the floor, those that something may still go back to
-	Stays   []stay    `json:"stays"` // trials among them that were confirmed
-	Force   []force   `json:"in_force"`
-	Records []*Record `json:"records"`
+	Schema        int            `json:"schema"`
+	Floor         uint64         `json:"floor"`
+	At            Stamp          `json:"at"`
+	Edits         []*Record      `json:"edits"` // edits up to the floor that a key may still return to
+	Confirmations []confirmation `json:"stays"` // those of Edits that were confirmed up to the floor
+	InForce       []inForceEntry `json:"in_force"`
+	Records       []*Record      `json:"records"`
 }
 
-type stay struct {
+// confirmation is a confirmed trial.
+type confirmation struct {
 	Revision uint64 `json:"revision"`
-	By       uint64 `json:"by"` // the revision that confirmed it
+	By       uint64 `json:"by"` // revision of the confirmation
 }
 
-type force struct {
+// inForceEntry is the layer in force at a key, and the revision that put it in force.
+type inForceEntry struct {
 	Key   Key    `json:"key"`
 	Layer uint64 `json:"layer"`
 	Since uint64 `json:"since"`
 }
 
-// older holds, for each earlier schema, what makes the next of it.
-var older = map[int]func(map[string]json.RawMessage){
-	1: func(snap map[string]json.RawMessage) { // the whole history: nothing lies before it
+// migrations holds, for each earlier schema, the conversion to the next one.
+var migrations = map[int]func(map[string]json.RawMessage){
+	1: func(snap map[string]json.RawMessage) { // has the whole history, so that the floor is 0
 		for k, v := range map[string]string{"schema": "2", "floor": "0", "at": `{"wall":"0001-01-01T00:00:00Z"}`,
 			"edits": "[]", "stays": "[]", "in_force": "[]"} {
 			snap[k] = json.RawMessage(v)
@@ -44,60 +47,60 @@
 	},
 }
 
-// Newer refuses a snapshot of a later version: what this one does not know of would be lost.
-type Newer struct{ Schema int }
+// NewerSchemaError is the error for a snapshot of a later schema: reading it would lose what this version does not know.
+type NewerSchemaError struct{ Schema int }
 
-func (n *Newer) Error() string {
+func (n *NewerSchemaError) Error() string {
 	return fmt.Sprintf("control: snapshot of schema %d, written by a newer version: this one reads up to %d", n.Schema, Schema)
 }
 
-// Snapshot is the whole state. The roster's word is no part of it.
+// Snapshot encodes the whole state, except the states of nodes given to Hear.
 func (s *State) Snapshot() ([]byte, error) {
-	snap := snapshot{Schema: Schema, Floor: s.floor, At: s.base, Records: s.history}
+	snap := snapshot{Schema: Schema, Floor: s.floor, At: s.floorStamp, Records: s.history}
 	for _, at := range slices.Sorted(maps.Keys(s.layers)) {
 		l := s.layers[at]
 		if at <= s.floor {
 			snap.Edits = append(snap.Edits, l.Record)
-			if 0 < l.confirmed && l.confirmed <= s.floor {
-				snap.Stays = append(snap.Stays, stay{at, l.confirmed})
+			if 0 < l.confirmedBy && l.confirmedBy <= s.floor {
+				snap.Confirmations = append(snap.Confirmations, confirmation{at, l.confirmedBy})
 			}
 		}
 	}
-	keys := maps.Clone(s.keys)
+	keys := maps.Clone(s.slots)
 	for _, r := range slices.Backward(s.history) {
 		for _, set := range r.Sets {
-			keys[set.Key] = slot{set.Was, set.Was} // since when is overwritten by the record again
+			keys[set.Key] = slot{set.Was, set.Was} // replaying the record sets the revision again
 		}
 	}
 	for k, at := range keys {
 		if at.layer != 0 {
-			snap.Force = append(snap.Force, force{k, at.layer, at.revision})
+			snap.InForce = append(snap.InForce, inForceEntry{k, at.layer, at.revision})
 		}
 	}
-	slices.SortFunc(snap.Force, func(a, b force) int { return cmp.Compare(a.Key, b.Key) })
+	slices.SortFunc(snap.InForce, func(a, b inForceEntry) int { return cmp.Compare(a.Key, b.Key) })
 	return json.Marshal(snap)
 }
 
-// schemaOf reads the key that every schema has first, and not what it does not know.
+// schemaOf reads the schema, the first key of every version, without parsing the rest.
 func schemaOf(b []byte) (schema int, err error) {
 	d := json.NewDecoder(bytes.NewReader(b))
 	for _, want := range []json.Token{json.Delim('{'), "schema"} {
 		if got, err := d.Token(); err != nil || got != want {
-			return 0, fmt.Errorf("%v, where %v is wanted first (%v)", got, want, err)
+			return 0, fmt.Errorf("got %v, expected %v first (%v)", got, want, err)
 		}
 	}
 	return schema, d.Decode(&schema)
 }
 
-// FromSnapshot makes a state of a snapshot, of this schema or an earlier one. What does not fit is an error with its
-// place, and no state.
+// FromSnapshot decodes a snapshot of this schema or an earlier one. An inconsistent snapshot is an error that names the
+// entry.
 func FromSnapshot(b []byte) (*State, error) {
 	schema, err := schemaOf(b)
 	if err != nil {
 		return nil, fmt.Errorf("control: snapshot: schema: %w", err)
 	}
 	if schema > Schema {
-		return nil, &Newer{schema}
+		return nil, &NewerSchemaError{schema}
 	}
 	if schema < Schema {
 		var raw map[string]json.RawMessage
@@ -105,9 +108,9 @@
 			return nil, fmt.Errorf("control: snapshot: %w", err)
 		}
 		for ; schema < Schema; schema++ {
-			next, ok := older[schema]
+			next, ok := migrations[schema]
 			if !ok {
-				return nil, fmt.Errorf("control: snapshot: schema: %d, where 1 to %d is wanted", schema, Schema)
+				return nil, fmt.Errorf("control: snapshot: schema: %d, expected 1 to %d", schema, Schema)
 			}
 			next(raw)
 		}
@@ -116,37 +119,37 @@
 		}
 	}
 	var snap snapshot
-	if err = strictly(b, &snap); err != nil {
+	if err = decodeStrict(b, &snap); err != nil {
 		return nil, fmt.Errorf("control: snapshot: %w", err)
 	}
 	s := New()
-	s.revision, s.floor, s.last, s.base = snap.Floor, snap.Floor, snap.At, snap.At
+	s.revision, s.floor, s.lastStamp, s.floorStamp = snap.Floor, snap.Floor, snap.At, snap.At
 	for i, r := range snap.Edits {
 		if r == nil || r.Kind != Edited || r.Edit == nil || r.Revision > s.floor || s.layers[r.Revision] != nil {
-			return nil, fmt.Errorf("control: snapshot: edits[%d]: no edit of its own up to %d", i, s.floor)
+			return nil, fmt.Errorf("control: snapshot: edits[%d]: missing, not an edit, duplicate, or after the floor %d", i, s.floor)
 		}
 		l := &layer{}
-		if err := l.reads(r); err != nil {
+		if err := l.setRecord(r); err != nil {
 			return nil, fmt.Errorf("control: snapshot: edits[%d]: %w", i, err)
 		}
-		s.layers[r.Revision], s.ids[r.ID] = l, r.Revision
+		s.layers[r.Revision], s.revisionByID[r.ID] = l, r.Revision
 	}
-	for i, c := range snap.Stays {
+	for i, c := range snap.Confirmations {
 		l := s.layers[c.Revision]
 		if l == nil || c.By <= c.Revision || c.By > s.floor {
-			return nil, fmt.Errorf("control: snapshot: stays[%d]: %d is no edit, or %d came not after it", i, c.Revision, c.By)
+			return nil, fmt.Errorf("control: snapshot: stays[%d]: %d is not an edit, or its confirmation %d is out of range", i, c.Revision, c.By)
 		}
-		l.confirmed = c.By
+		l.confirmedBy = c.By
 	}
-	for i, f := range snap.Force {
+	for i, f := range snap.InForce {
 		l := s.layers[f.Layer]
-		if l == nil || f.Since > s.floor || s.keys[f.Key].layer != 0 {
-			return nil, fmt.Errorf("control: snapshot: in_force[%d]: %q: %d is no edit, or twice", i, f.Key, f.Layer)
+		if l == nil || f.Since > s.floor || s.slots[f.Key].layer != 0 {
+			return nil, fmt.Errorf("control: snapshot: in_force[%d]: %q: %d is not an edit, is in force since after the floor, or the key is duplicate", i, f.Key, f.Layer)
 		}
 		if _, ok := l.find(f.Key); !ok {
-			return nil, fmt.Errorf("control: snapshot: in_force[%d]: %d says nothing of %q", i, f.Layer, f.Key)
+			return nil, fmt.Errorf("control: snapshot: in_force[%d]: edit %d does not write %q", i, f.Layer, f.Key)
 		}
-		s.put(Set{Key: f.Key, Now: f.Layer}, f.Since)
+		s.apply(Set{Key: f.Key, Now: f.Layer}, f.Since)
 	}
 	for i, r := range snap.Records {
 		if r == nil {
--- a/internal/control/trim.go
+++ b/internal/control/trim.go
@@ -2,52 +2,52 @@
 
 import "slices"
 
-// Trim forgets all of the history but its latest records. What is in force stays, and what of it ends by itself. Of the
-// ids, those of the edits stay that are in force or lie below; a forgotten one could be made again, so that keep belongs
-// far above what a client sends again. The work is that of all that is held.
+// Trim removes all records of the history but the latest keep. Edits in force stay, with their deadlines. Ids stay for
+// edits that are in force or below one; an edit with a removed id could be made a second time, so keep must be far above
+// the number of records for which a client may retry. The cost is linear in the whole state.
 func (s *State) Trim(keep int) {
 	cut := len(s.history) - max(keep, 0)
 	if cut <= 0 {
 		return
 	}
-	s.floor, s.base = s.history[cut-1].Revision, s.history[cut-1].Stamp
+	s.floor, s.floorStamp = s.history[cut-1].Revision, s.history[cut-1].Stamp
 	s.history = slices.Clone(s.history[cut:])
 
-	// Layers that have run out are passed over for good: a chain of timed edits on one key does not grow for ever.
+	// Unlink expired layers, so that a chain of timed edits on one key does not grow without bound.
 	for at, l := range s.layers {
 		if at <= s.floor {
 			r := *l.Record
 			r.Sets = slices.Clone(r.Sets)
 			for i := range r.Sets {
-				r.Sets[i].Was = s.alive(r.Sets[i].Key, r.Sets[i].Was, s.last.Box)
+				r.Sets[i].Was = s.unexpiredLayer(r.Sets[i].Key, r.Sets[i].Was, s.lastStamp.Box)
 			}
 			l.Record = &r
 		}
 	}
 
-	// What a layer lies on matters while it may run out, and what a record names while it may be undone.
+	// The layer below is needed while the layer on top may expire, and the layers of a record while it can be undone.
 	needed := map[uint64]bool{}
-	var need func(at uint64)
-	need = func(at uint64) {
+	var markNeeded func(at uint64)
+	markNeeded = func(at uint64) {
 		for l := s.layers[at]; l != nil && !needed[at]; l = s.layers[at] {
 			needed[at] = true
-			if _, ok := l.ends(); !ok && l.Edit.Trial == 0 {
+			if _, ok := l.deadline(); !ok && l.Edit.Trial == 0 {
 				return
 			}
 			for _, set := range l.Sets[1:] {
-				need(set.Was)
+				markNeeded(set.Was)
 			}
 			at = l.Sets[0].Was
 		}
 	}
-	for _, at := range s.keys {
-		need(at.layer)
+	for _, at := range s.slots {
+		markNeeded(at.layer)
 	}
 	for _, r := range s.history {
-		need(r.Of)
+		markNeeded(r.Of)
 		for _, set := range r.Sets {
-			need(set.Was)
-			need(set.Now)
+			markNeeded(set.Was)
+			markNeeded(set.Now)
 		}
 	}
 	for at := range s.layers {
@@ -55,14 +55,14 @@
 			delete(s.layers, at)
 		}
 	}
-	for id, at := range s.ids {
+	for id, at := range s.revisionByID {
 		if at <= s.floor && !needed[at] {
-			delete(s.ids, id)
+			delete(s.revisionByID, id)
 		}
 	}
-	for k, at := range s.keys {
+	for k, at := range s.slots {
 		if at.revision <= s.floor && at.layer == 0 {
-			delete(s.keys, k)
+			delete(s.slots, k)
 		}
 	}
 }
--- a/internal/control/want.go
+++ b/internal/control/want.go
@@ -8,26 +8,26 @@
 	"time"
 )
 
-// Want is what operators say of one key: whose word it is, since when and until when.
+// Want is the operators' setting of one key: its author, and the time from and until which it applies.
 type Want struct {
 	Key      Key
-	What     Op // never Restore, Several, or one that takes its own word back
+	What     Op // never Restore, Several, or an operation that resets its key
 	By       string
 	At       time.Time
 	Revision uint64    // of the edit
-	Since    uint64    // the revision that brought it into force: the edit's, or that of an undo or an end
-	ID       string    // of the edit: a trial is confirmed by it
-	Trial    bool      // it goes back at Until unless confirmed
-	Until    time.Time // zero: it stays. By the wall clock as it was at the latest record
+	Since    uint64    // revision that put it in force: of the edit, or of an undo or an expiry
+	ID       string    // of the edit; Confirm takes it
+	Trial    bool      // reverted at Until unless confirmed
+	Until    time.Time // zero: no deadline. By the wall clock as of the latest record
 }
 
-// Wants is all that operators want, in the order of the keys.
+// Wants is the operators' settings at a revision, sorted by key.
 type Wants struct {
 	Revision uint64 `json:"revision"`
 	All      []Want `json:"wants"`
 }
 
-// Find gives the word on a key.
+// Find returns the setting of a key.
 func (w Wants) Find(k Key) (Want, bool) {
 	i, ok := slices.BinarySearchFunc(w.All, k, func(w Want, k Key) int { return cmp.Compare(w.Key, k) })
 	if !ok {
@@ -36,7 +36,8 @@
 	return w.All[i], true
 }
 
-type plainWant struct {
+// wantJSON is the JSON form of a Want.
+type wantJSON struct {
 	Key      Key             `json:"key"`
 	What     json.RawMessage `json:"what"`
 	By       string          `json:"by"`
@@ -53,11 +54,11 @@
 	if err != nil {
 		return nil, err
 	}
-	return json.Marshal(plainWant{w.Key, what, w.By, w.At, w.Revision, w.Since, w.ID, w.Trial, w.Until})
+	return json.Marshal(wantJSON{w.Key, what, w.By, w.At, w.Revision, w.Since, w.ID, w.Trial, w.Until})
 }
 
 func (w *Want) UnmarshalJSON(b []byte) error {
-	var p plainWant
+	var p wantJSON
 	if err := json.Unmarshal(b, &p); err != nil {
 		return err
 	}
@@ -66,68 +67,68 @@
 	return err
 }
 
-// want is the word on a key that is in force.
-func (s *State) want(k Key) (Want, bool) { return s.wantAt(k, s.keys[k]) }
+// wantFor returns the setting in force at a key.
+func (s *State) wantFor(k Key) (Want, bool) { return s.wantInSlot(k, s.slots[k]) }
 
-func (s *State) wantAt(k Key, at slot) (Want, bool) {
-	op := s.word(k, at.layer)
+func (s *State) wantInSlot(k Key, at slot) (Want, bool) {
+	op := s.opAt(k, at.layer)
 	if op == nil {
 		return Want{}, false
 	}
 	l := s.layers[at.layer]
 	w := Want{Key: k, What: op, By: l.By, At: l.Wall, Revision: l.Revision, Since: at.revision, ID: l.ID}
-	if end, ok := l.ends(); ok {
-		w.Until = s.last.Wall.Add(end - s.last.Box)
-		w.Trial = l.Edit.Trial > 0 && l.confirmed == 0
+	if end, ok := l.deadline(); ok {
+		w.Until = s.lastStamp.Wall.Add(end - s.lastStamp.Box)
+		w.Trial = l.Edit.Trial > 0 && l.confirmedBy == 0
 	}
 	return w, true
 }
 
-// Want is all that operators want now.
-func (s *State) Want() Wants { return s.wants(s.revision, s.keys) }
+// Want returns the operators' settings in force.
+func (s *State) Want() Wants { return s.wantsOf(s.revision, s.slots) }
 
-func (s *State) wants(revision uint64, keys map[Key]slot) Wants {
+func (s *State) wantsOf(revision uint64, keys map[Key]slot) Wants {
 	w := Wants{Revision: revision, All: []Want{}}
 	for k, at := range keys {
-		if one, ok := s.wantAt(k, at); ok {
-			w.All = append(w.All, one)
+		if want, ok := s.wantInSlot(k, at); ok {
+			w.All = append(w.All, want)
 		}
 	}
 	slices.SortFunc(w.All, func(a, b Want) int { return cmp.Compare(a.Key, b.Key) })
 	return w
 }
 
-// At is what they wanted at an earlier revision. Whether a trial was confirmed, and Until, are as of now. The work is
-// that of the records since.
+// At returns the operators' settings at an earlier revision. Want.Trial and Want.Until are as of now, and Want.Since is 0
+// for keys written since then. The cost is linear in the records since then and the keys.
 func (s *State) At(revision uint64) (Wants, error) {
-	if revision > s.revision || s.place(revision+1) == 0 && revision+1 != s.first() {
-		return Wants{}, refuse(Unknown, "revision %d is not in the history, which has %d to %d", revision, s.first(), s.revision)
+	if revision > s.revision || s.historyIndex(revision+1) == 0 && revision+1 != s.firstRevision() {
+		return Wants{}, newRefusal(Unknown, "revision %d is not in the history, which has %d to %d", revision, s.firstRevision(), s.revision)
 	}
-	keys := make(map[Key]slot, len(s.keys))
-	for k, at := range s.keys {
+	keys := make(map[Key]slot, len(s.slots))
+	for k, at := range s.slots {
 		keys[k] = at
 	}
-	for i := len(s.history) - 1; i >= s.place(revision+1); i-- {
+	for i := len(s.history) - 1; i >= s.historyIndex(revision+1); i-- {
 		for _, set := range s.history[i].Sets {
 			keys[set.Key] = slot{set.Was, 0}
 		}
 	}
-	return s.wants(revision, keys), nil
+	return s.wantsOf(revision, keys), nil
 }
 
-// first revision of the history, or the next one if it is empty.
-func (s *State) first() uint64 { return s.revision + 1 - uint64(len(s.history)) }
+// firstRevision returns the first revision of the history, or the next revision if the history is empty.
+func (s *State) firstRevision() uint64 { return s.revision + 1 - uint64(len(s.history)) }
 
-// Change is all that operators say of one node, or of one pool, for the fleet to go by from now on.
+// Change is the operators' complete settings of one node or one pool, to be applied to the fleet.
 type Change struct {
 	Node    string
 	Drained bool
 	Weight  float64 // 0: the roster's
 
 	Pool    string
-	Cap     int      // 0: the settings'
-	Members []string // nil: as the settings have it
-	Gone    bool     // the pool is taken away
+	Cap     int      // 0: as in the settings
+	Members []string // nil: as in the settings
+	Gone    bool     // the pool is removed
 }
 
 func (c Change) String() string {
@@ -137,7 +138,7 @@
 	return fmt.Sprintf("pool %s cap=%d members=%v gone=%t", c.Pool, c.Cap, c.Members, c.Gone)
 }
 
-// Changes is all that operators say of the fleet, for a start.
+// Changes returns the operators' settings of the whole fleet, to apply at start.
 func (s *State) Changes() []Change {
 	w := s.Want()
 	sets := make([]Set, len(w.All))
@@ -151,29 +152,29 @@
 	var out []Change
 	seen := map[[2]string]bool{}
 	for _, set := range sets {
-		thing, name := set.Key.Parts()
+		keyType, name := set.Key.Parts()
 		c := Change{Node: name}
-		switch thing {
-		case thingNote:
+		switch keyType {
+		case keyTypeNote:
 			continue
-		case thingPool, thingCap:
+		case keyTypePool, keyTypeCap:
 			c = Change{Pool: name}
 		}
 		if seen[[2]string{c.Node, c.Pool}] {
 			continue
 		}
 		seen[[2]string{c.Node, c.Pool}] = true
-		word := func(thing string) Op { k := key(thing, name); return s.word(k, s.keys[k].layer) }
+		opFor := func(keyType string) Op { k := newKey(keyType, name); return s.opAt(k, s.slots[k].layer) }
 		if c.Node != "" {
-			c.Drained = word(thingDrain) != nil
-			if w, ok := word(thingWeight).(Weight); ok {
+			c.Drained = opFor(keyTypeDrain) != nil
+			if w, ok := opFor(keyTypeWeight).(Weight); ok {
 				c.Weight = w.Weight
 			}
 		} else {
-			if w, ok := word(thingCap).(Cap); ok {
+			if w, ok := opFor(keyTypeCap).(Cap); ok {
 				c.Cap = w.Open
 			}
-			switch p := word(thingPool).(type) {
+			switch p := opFor(keyTypePool).(type) {
 			case Pool:
 				c.Members = p.Members
 			case Unpool:
