--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -1,7 +1,6 @@
-// Package config owns what a balancer is told before it works: the settings, the environment, the
-// configuration file, the form of list entries, and the checks and defaults of all of them. It is the only
-// place where these are read, for the balancer and for the simulator's adapter alike. It must never take a
-// decision, keep state or open a socket.
+// Package config reads, checks and completes the configuration of a balancer: the platform's configuration file, the
+// environment, the settings file, and the entries of server lists. The balancer and the simulator's adapter both read
+// their configuration through this package only. It makes no routing decisions, keeps no state and opens no sockets.
 package config
 
 import (
@@ -17,7 +16,7 @@
 	"pewterrudder/brain"
 )
 
-// Settings mirrors the settings as they are told. Unknown keys are ignored.
+// Settings mirrors the JSON settings object. Unknown keys are ignored.
 type Settings struct {
 	Balancers int    `json:"balancers"`
 	Zone      string `json:"zone"`
@@ -79,27 +78,28 @@
 }
 
 const (
-	attemptsMost   = 100       // further ones can only be a slip
-	deadlineMostMs = 3_600_000 // an hour: nobody waits longer
+	maxAttemptsLimit = 100       // a larger number can only be a typing error
+	maxDeadlineMs    = 3_600_000 // one hour: no client waits longer
 )
 
-// required names the settings without which no node can decide.
-var required = []string{"balancers", "categories", "discovery", "limits", "rules", "stats", "weights", "zone"}
+// requiredKeys are the settings without which no balancer can make decisions.
+var requiredKeys = []string{"balancers", "categories", "discovery", "limits", "rules", "stats", "weights", "zone"}
 
 var (
-	repeats = map[string]brain.Repeat{"safe": brain.Safe, "keyed": brain.Keyed, "unsafe": brain.Unsafe}
-	scopes  = map[string]brain.Scope{"": brain.ScopeAll, "all": brain.ScopeAll, "zone": brain.ScopeZone,
+	semanticsByName = map[string]brain.Repeat{"safe": brain.Safe, "keyed": brain.Keyed, "unsafe": brain.Unsafe}
+	scopesByName    = map[string]brain.Scope{"": brain.ScopeAll, "all": brain.ScopeAll, "zone": brain.ScopeZone,
 		"cell": brain.ScopeCell}
-	modes = map[string]brain.ReportMode{"off": brain.ReportsOff, "inline": brain.ReportsInline,
+	reportModesByName = map[string]brain.ReportMode{"off": brain.ReportsOff, "inline": brain.ReportsInline,
 		"on_probe": brain.ReportsOnProbe}
-	weights = map[string]brain.WeightKind{"off": brain.WeightOff, "nominal": brain.WeightNominal,
+	weightKindsByName = map[string]brain.WeightKind{"off": brain.WeightOff, "nominal": brain.WeightNominal,
 		"rough": brain.WeightRough, "live": brain.WeightLive}
-	columns = map[string]brain.Column{"outstanding": brain.ColInFlight, "backlog": brain.ColQueue,
+	columnsByName = map[string]brain.Column{"outstanding": brain.ColInFlight, "backlog": brain.ColQueue,
 		"utilization": brain.ColUtilization, "recent_ms": brain.ColLatency, "throughput": brain.ColRate,
 		"errors_per_s": brain.ColErrors}
 )
 
-func word[T any](table map[string]T, key, value string) (T, error) {
+// lookup returns the value that table holds for a setting, or an error that names the key.
+func lookup[T any](table map[string]T, key, value string) (T, error) {
 	v, ok := table[value]
 	if !ok {
 		return v, fmt.Errorf("conf: %s: unknown value %q", key, value)
@@ -107,13 +107,13 @@
 	return v, nil
 }
 
-// ParseSettings reads the settings object; an error names the key at fault.
+// ParseSettings decodes the settings object. An error names the key at fault.
 func ParseSettings(raw []byte) (*Settings, error) {
 	var keys map[string]json.RawMessage
 	if err := json.Unmarshal(raw, &keys); err != nil {
 		return nil, fmt.Errorf("conf: %w", err)
 	}
-	for _, k := range required {
+	for _, k := range requiredKeys {
 		if _, ok := keys[k]; !ok {
 			return nil, fmt.Errorf("conf: %s is missing", k)
 		}
@@ -125,43 +125,44 @@
 	return c, nil
 }
 
-// check finds figures that no node can work with. The decisions check theirs too, but under other names.
+// check reports values that no balancer can work with. Package brain checks its own settings too, but under other
+// names.
 func (c *Settings) check() error {
-	bad := func(key string, v any) error { return fmt.Errorf("conf: %s: %v is out of range", key, v) }
+	outOfRange := func(key string, v any) error { return fmt.Errorf("conf: %s: %v is out of range", key, v) }
 	switch l, r := &c.Limits, &c.Rules; {
 	case c.Balancers < 1:
-		return bad("balancers", c.Balancers)
+		return outOfRange("balancers", c.Balancers)
 	case len(c.Categories) == 0:
 		return errors.New("conf: categories is empty")
-	case l.MaxAttempts < 1 || l.MaxAttempts > attemptsMost:
-		return bad("limits.max_attempts", l.MaxAttempts)
+	case l.MaxAttempts < 1 || l.MaxAttempts > maxAttemptsLimit:
+		return outOfRange("limits.max_attempts", l.MaxAttempts)
 	case r.ColdMs > 0 && (r.ColdFrom <= 0 || r.ColdFrom > 1):
-		return bad("rules.cold_from", r.ColdFrom)
+		return outOfRange("rules.cold_from", r.ColdFrom)
 	case r.ColdMs > 0 && r.OverloadFactor <= 0:
-		return bad("rules.overload_factor", r.OverloadFactor)
+		return outOfRange("rules.overload_factor", r.OverloadFactor)
 	}
-	named := map[string]bool{}
+	seen := map[string]bool{}
 	for i := range c.Categories {
 		k := &c.Categories[i]
-		at := "categories[" + strconv.Itoa(i) + "]."
+		keyPath := "categories[" + strconv.Itoa(i) + "]."
 		switch {
 		case k.Name == "":
-			return errors.New("conf: " + at + "name is missing")
+			return errors.New("conf: " + keyPath + "name is missing")
 		case k.AimMs <= 0:
-			return bad(at+"aim_ms", k.AimMs)
-		case named[k.Name]:
-			return errors.New("conf: " + at + "name: there are two of the name " + k.Name)
-		case k.DeadlineMs <= 0 || k.DeadlineMs > deadlineMostMs:
-			return bad(at+"deadline_ms", k.DeadlineMs)
+			return outOfRange(keyPath+"aim_ms", k.AimMs)
+		case seen[k.Name]:
+			return errors.New("conf: " + keyPath + "name: duplicate category name " + k.Name)
+		case k.DeadlineMs <= 0 || k.DeadlineMs > maxDeadlineMs:
+			return outOfRange(keyPath+"deadline_ms", k.DeadlineMs)
 		case k.Semantics == "keyed" && k.WindowMs <= 0:
-			return bad(at+"window_ms", k.WindowMs)
+			return outOfRange(keyPath+"window_ms", k.WindowMs)
 		}
-		named[k.Name] = true
+		seen[k.Name] = true
 	}
 	return nil
 }
 
-// Places maps the names of classes to their places in the settings.
+// Places maps the name of each class to its index in Categories.
 func (c *Settings) Places() map[string]int {
 	classes := map[string]int{}
 	for i := range c.Categories {
@@ -170,10 +171,10 @@
 	return classes
 }
 
-// FromMs turns milliseconds as they are told into a duration.
+// FromMs converts milliseconds to a duration.
 func FromMs(ms float64) time.Duration { return time.Duration(math.Round(ms * 1e6)) }
 
-// Brain checks the words of the settings and gives them the form the decisions take.
+// Brain checks the settings and converts them to the form that package brain takes.
 func (c *Settings) Brain() (brain.Settings, error) {
 	var err error
 	ms := FromMs
@@ -196,23 +197,23 @@
 	if err = c.check(); err != nil {
 		return s, err
 	}
-	if s.Reports, err = word(modes, "stats.how", c.Stats.How); err != nil {
+	if s.Reports, err = lookup(reportModesByName, "stats.how", c.Stats.How); err != nil {
 		return s, err
 	}
-	if s.Weights, err = word(weights, "weights", c.Weights); err != nil {
+	if s.Weights, err = lookup(weightKindsByName, "weights", c.Weights); err != nil {
 		return s, err
 	}
 	for _, name := range c.Stats.Columns {
-		s.Columns = append(s.Columns, columns[name]) // a column not known stays ColUnknown
+		s.Columns = append(s.Columns, columnsByName[name]) // an unknown column becomes ColUnknown
 	}
 	for i := range c.Categories {
 		k := &c.Categories[i]
 		class := brain.Class{Name: k.Name, Window: ms(k.WindowMs), Aim: ms(k.AimMs), Deadline: ms(k.DeadlineMs),
 			Worth: k.Importance, Late: k.LateShare, Stream: k.Stream}
-		if class.Repeat, err = word(repeats, "categories.semantics", k.Semantics); err != nil {
+		if class.Repeat, err = lookup(semanticsByName, "categories.semantics", k.Semantics); err != nil {
 			return s, err
 		}
-		if class.Scope, err = word(scopes, "categories.dedup_scope", k.DedupScope); err != nil {
+		if class.Scope, err = lookup(scopesByName, "categories.dedup_scope", k.DedupScope); err != nil {
 			return s, err
 		}
 		s.Classes = append(s.Classes, class)
@@ -220,8 +221,8 @@
 	return s, nil
 }
 
-// Entry is one line of the list of servers. The simulator's wire and discovery name its fields differently;
-// both decode into a struct of this shape, with tags of their own, and convert.
+// Entry is one entry of a server list. The simulator's protocol and discovery name its fields differently: each decodes
+// into a struct of the same fields with its own tags and converts it to Entry.
 type Entry struct {
 	Server  string
 	Address string
@@ -229,12 +230,12 @@
 	Kind    string
 	Cell    int
 	Weight  float64
-	Started float64 // ms on the teller's clock; 0: long ago
+	Started float64 // ms on the sender's clock; 0: long ago
 	State   string
 }
 
-// Member gives an entry the form the decisions take. started maps the teller's clock on the node's; it is
-// not asked for 0, which stays "long ago".
+// Member converts an entry to the form that package brain takes. started maps a time on the sender's clock to the
+// balancer's; it is not called for 0, which means "long ago".
 func (e Entry) Member(started func(ms float64) time.Duration) (brain.Member, error) {
 	m := brain.Member{Server: e.Server, Zone: e.Zone, Kind: e.Kind, Cell: e.Cell, Weight: e.Weight}
 	switch e.State {
@@ -244,71 +245,73 @@
 	case "Gone":
 		m.State = brain.Gone
 	default:
-		return m, fmt.Errorf("unknown readiness %q", e.State)
+		return m, fmt.Errorf("unknown state %q", e.State)
 	}
 	if e.Server == "" {
 		return m, errors.New("server is missing")
 	}
 	if e.Started != 0 {
 		if m.Started = started(e.Started); m.Started == 0 {
-			m.Started = 1 // the very start of the clock is not "long ago"
+			m.Started = 1 // 0 would mean "long ago"
 		}
 	}
 	return m, nil
 }
 
-// Limits of the machine. A balancer over them is killed, so everything it opens is counted against them.
+// Limits are the resource limits of the machine. A balancer that exceeds them is killed, so every descriptor that it
+// opens is counted against them.
 type Limits struct {
 	Cores    float64 `json:"cores"`
 	MemoryMB int     `json:"memory_mb"`
 	Sockets  int     `json:"sockets"`
 
-	apart int // sockets for the second address
+	controlReserve int // descriptors reserved for the control address
 }
 
-// Defaults for limits that the file leaves out: the smallest machine that the platform hands out.
+// Defaults for limits that the file leaves out: those of the smallest machine that the platform provides.
 const (
 	defaultMemoryMB = 192
 	defaultSockets  = 1024
-	// reservedSockets stay free of clients and delegations: the standard streams, the listener, the poller,
-	// the watch and its successor, and a few for what the runtime opens.
+	// reservedSockets are not available to clients and delegations: standard streams, the listener, the poller,
+	// the discovery watch and its replacement, and a few for what the runtime opens.
 	reservedSockets = 24
-	leastSockets    = 2 * reservedSockets
-	// controlSockets are kept for the second address, where there is one: its callers, its listener and what it looks at.
+	minSockets      = 2 * reservedSockets
+	// controlSockets are reserved when there is a control address: its clients, its listener and what it
+	// opens to answer them.
 	controlSockets = 20
 )
 
-// Config is all that one balancer is told.
+// Config is the whole configuration of one balancer.
 type Config struct {
 	Name      string          `json:"name"`
 	Listen    string          `json:"listen"`
 	Discovery string          `json:"discovery"`
-	Control   string          `json:"control"` // where operators ask; none: nobody does
+	Control   string          `json:"control"` // address for operators; empty: none
 	Seed      string          `json:"seed"`
 	Limits    Limits          `json:"limits"`
-	Known     json.RawMessage `json:"known"`    // a list in discovery's form
+	Known     json.RawMessage `json:"known"`    // a server list in discovery's format
 	Raw       json.RawMessage `json:"settings"` // see Settings
 
-	text     []byte         // of the file, without the tenants where those were read apart from it
-	apart    bool           // they were
-	Settings *Settings      `json:"-"`
-	Tenants  Tenants        `json:"-"` // of the settings, which have none themselves: they may be most of all that is told
-	Service  Service        `json:"-"` // of the settings file
-	Brain    brain.Settings `json:"-"`
-	Prng     uint64         `json:"-"`
+	text             []byte         // of the file, without the tenants if tenantsExtracted
+	tenantsExtracted bool           // Tenants was decoded separately from text
+	Settings         *Settings      `json:"-"`
+	Tenants          Tenants        `json:"-"` // of the settings; moved here, so that Settings.Tenants is empty
+	Service          Service        `json:"-"` // from the settings file
+	Brain            brain.Settings `json:"-"`
+	Prng             uint64         `json:"-"`
 }
 
-// Load reads the file that RELAY_CONFIG names; the other RELAY_ variables fill in what the file leaves out.
-// An error names the key at fault.
+// Load reads the file that RELAY_CONFIG names. RELAY_NAME, RELAY_LISTEN, RELAY_DISCOVERY and RELAY_CONTROL fill in keys
+// that the file leaves out. An error names the key at fault.
 func Load(env func(string) string) (*Config, error) {
 	path := env("RELAY_CONFIG")
 	if path == "" {
 		return nil, errors.New("RELAY_CONFIG is not set")
 	}
 	c := new(Config)
-	var list Tenants
-	var fault, err error
-	if c.text, list, c.apart, fault, err = readApart(path); err != nil {
+	var tenants Tenants
+	var invalid, err error
+	if c.text, tenants, c.tenantsExtracted, invalid, err = readExtractingTenants(path); err != nil {
 		return nil, fmt.Errorf("RELAY_CONFIG: %w", err)
 	}
 	if err := json.Unmarshal(c.text, c); err != nil {
@@ -328,17 +331,17 @@
 	if err := c.check(); err != nil {
 		return c, err
 	}
-	if fault != nil {
-		return c, fmt.Errorf("settings: conf: %w", fault)
+	if invalid != nil {
+		return c, fmt.Errorf("settings: conf: %w", invalid)
 	}
-	if c.Tenants, c.Settings.Tenants = c.Settings.Tenants, (Tenants{}); c.apart {
-		c.Tenants = list
+	if c.Tenants, c.Settings.Tenants = c.Settings.Tenants, (Tenants{}); c.tenantsExtracted {
+		c.Tenants = tenants
 	}
 	return c, nil
 }
 
-// Fixed names the keys that differ in a configuration read later and are not taken up while the program runs.
-// The seed and the known list are the next start's and no fault there.
+// Fixed returns the keys that differ in next and only take effect after a restart. The seed and the known list are read
+// at startup only, so they may differ.
 func (c *Config) Fixed(next *Config) (keys []string) {
 	for _, k := range []struct {
 		name string
@@ -381,10 +384,10 @@
 		return fmt.Errorf("limits.memory_mb: %d is negative", c.Limits.MemoryMB)
 	}
 	if c.Control != "" {
-		c.Limits.apart = controlSockets
+		c.Limits.controlReserve = controlSockets
 	}
-	if c.Limits.Sockets < leastSockets {
-		return fmt.Errorf("limits.sockets: %d is under the %d needed", c.Limits.Sockets, leastSockets)
+	if c.Limits.Sockets < minSockets {
+		return fmt.Errorf("limits.sockets: %d is below the minimum of %d", c.Limits.Sockets, minSockets)
 	}
 	if len(c.Raw) == 0 {
 		return errors.New("settings is missing")
@@ -414,10 +417,10 @@
 	return nil
 }
 
-// Budget splits the descriptors over the clients' connections and those to app nodes. Of the former, kept may stay
-// open between calls: the front opens no more than a third of our descriptors for requests, and clients that keep
-// connections that they do not use must not keep out those that ask.
+// Budget splits the descriptors between client connections and connections to app nodes (delegations). kept is the
+// number of client connections that may stay open between requests: the front end opens at most a third of the
+// descriptors for requests, and idle client connections must not keep out clients that send requests.
 func (l Limits) Budget() (clients, kept, delegations int) {
-	free := l.Sockets - reservedSockets - l.apart
+	free := l.Sockets - reservedSockets - l.controlReserve
 	return free - free/3, l.Sockets / 4, free / 3
 }
--- a/internal/config/entries_test.go
+++ b/internal/config/entries_test.go
@@ -6,7 +6,7 @@
 	"testing"
 )
 
-func TestEntriesAreTheObjectsOfTheLists(t *testing.T) {
+func TestDecodeEntries(t *testing.T) {
 	r, err := DecodeRoute([]byte(` {"name": "a", "host": "x", "split": [{"pool": "p", "weight": 2}]} `), "a")
 	if want := (Route{Name: "a", Host: "x", Split: []Share{{"p", 2}}}); err != nil || !reflect.DeepEqual(r, want) {
 		t.Errorf("%+v %v", r, err)
@@ -20,15 +20,15 @@
 	}
 }
 
-func TestAFaultOfAnEntryIsNamed(t *testing.T) {
+func TestDecodeEntryErrors(t *testing.T) {
 	for text, want := range map[string]string{
-		``:                    "is no object",
-		`null`:                "is no object",
-		`[{}]`:                "is no object",
+		``:                    "not a JSON object",
+		`null`:                "not a JSON object",
+		`[{}]`:                "not a JSON object",
 		`{`:                   "unexpected EOF",
-		`{} {}`:               "there is more",
-		`{} x`:                "there is more",
-		`{"name": "another"}`: `name: "another" is not that of the key`,
+		`{} {}`:               "unexpected data",
+		`{} x`:                "unexpected data",
+		`{"name": "another"}`: `name: "another" differs from the name in the key`,
 		`{"colour": 1}`:       `unknown field "colour"`,
 	} {
 		for kind, decode := range map[string]func() error{
@@ -42,12 +42,12 @@
 		}
 	}
 	if _, err := DecodePool([]byte(`{"max_open": -1}`), "a"); err == nil {
-		t.Error("a pool is not checked")
+		t.Error("DecodePool accepted a negative max_open")
 	}
 	if _, _, err := DecodeTenant([]byte(`{"quota_per_s": -1}`), "a"); err == nil {
-		t.Error("a quota is not checked")
+		t.Error("DecodeTenant accepted a negative quota")
 	}
 	if _, _, err := DecodeTenant([]byte(`{"share": -1}`), "a"); err == nil {
-		t.Error("a share is not checked")
+		t.Error("DecodeTenant accepted a negative share")
 	}
 }
--- a/internal/config/peers.go
+++ b/internal/config/peers.go
@@ -5,23 +5,23 @@
 	"net"
 )
 
-// Peers has balancers hear of each other. Without an address nobody is heard, and no socket opens. The program of the platform has
-// none: it is built without them.
+// Peers configures how balancers learn of each other. Without an address no peers are known and no socket is opened.
+// The program that runs on the platform is built without peers.
 type Peers struct {
-	Address string         `json:"address"` // IP and port, of packets and of streams, at which the others find us
-	Site    string         `json:"site"`    // of another site's fleet nothing is read
-	Seeds   []string       `json:"seeds"`   // addresses of some others, who know the rest
-	Keys    []string       `json:"keys"`    // in base64; the first is sent with, all are read
-	Least   float64        `json:"least"`   // of balancers in the settings: fewer are never believed
-	Most    float64        `json:"most"`    // times that: more are never believed
-	Subset  int            `json:"subset"`  // app nodes that each balancer uses, on average; 0: all
-	Via     map[string]Via `json:"via"`     // where a peer is reached, if not at its address
+	Address string         `json:"address"` // IP and port, UDP and TCP, at which peers reach this balancer
+	Site    string         `json:"site"`    // messages from other sites are ignored
+	Seeds   []string       `json:"seeds"`   // addresses of a few peers, from which the others are learned
+	Keys    []string       `json:"keys"`    // in base64; the first is used to send, all are accepted
+	Least   float64        `json:"least"`   // lower bound of the balancer count, as a multiple of the count in the settings
+	Most    float64        `json:"most"`    // upper bound, likewise
+	Subset  int            `json:"subset"`  // mean number of app nodes that each balancer uses; 0: all
+	Via     map[string]Via `json:"via"`     // other addresses to reach peers at, by peer address
 }
 
-// subsetLeast leaves a choice among those that are well, with a few ejected.
-const subsetLeast = 6
+// minSubset leaves a choice of healthy app nodes when a few are ejected.
+const minSubset = 6
 
-// Via is another way to an address.
+// Via holds alternative addresses of a peer.
 type Via struct {
 	Packets string `json:"packets"`
 	Streams string `json:"streams"`
@@ -42,20 +42,20 @@
 	for key, at := range addresses {
 		host, _, err := net.SplitHostPort(at)
 		if err != nil || net.ParseIP(host) == nil {
-			return fmt.Errorf("%s: %q is no IP address and port", key, at)
+			return fmt.Errorf("%s: %q is not an IP address and port", key, at)
 		}
 	}
 	switch {
 	case len(p.Keys) == 0:
-		return fmt.Errorf("peers.keys: at least one is needed: anybody could speak else")
+		return fmt.Errorf("peers.keys: at least one is needed, or anybody could send messages")
 	case p.Site == "" || len(p.Site) > 64:
-		return fmt.Errorf("peers.site: a name of 1 to 64 bytes is wanted")
+		return fmt.Errorf("peers.site: must have 1 to 64 bytes")
 	case !(p.Least > 0 && p.Least <= 1):
-		return fmt.Errorf("peers.least: %v lies outside 0 to 1", p.Least)
-	case p.Subset != 0 && (p.Subset < subsetLeast || p.Subset > 10_000):
-		return fmt.Errorf("peers.subset: %d lies outside %d to 10000, and is not 0", p.Subset, subsetLeast)
+		return fmt.Errorf("peers.least: %v is outside (0, 1]", p.Least)
+	case p.Subset != 0 && (p.Subset < minSubset || p.Subset > 10_000):
+		return fmt.Errorf("peers.subset: %d is neither 0 nor within %d to 10000", p.Subset, minSubset)
 	case !(p.Most >= 1 && p.Most <= 100):
-		return fmt.Errorf("peers.most: %v lies outside 1 to 100", p.Most)
+		return fmt.Errorf("peers.most: %v is outside 1 to 100", p.Most)
 	}
 	return nil
 }
--- a/internal/config/reload.go
+++ b/internal/config/reload.go
@@ -7,103 +7,105 @@
 	"slices"
 )
 
-// Reload reads the configuration again, as Load does, for a program that runs by this one. Nothing is taken of a file that
-// lacks a key which the one in force has: it was cut off, or written by a slip. In a list of objects the keys that all of
-// them have are those that each has to have.
+// Reload reads the configuration again, as Load does, while the program runs with c. It rejects a file that lacks a key
+// which c has, since such a file was truncated or the key was left out by mistake. In a list of objects, each object
+// must have the keys that all objects of the list in c have.
 func (c *Config) Reload(env func(string) string) (*Config, error) {
 	next, err := Load(env)
 	if err != nil {
 		return nil, err
 	}
-	var had, has any
-	if err := json.Unmarshal(c.text, &had); err != nil {
-		return nil, fmt.Errorf("the configuration in force: %w", err)
+	var current, updated any
+	if err := json.Unmarshal(c.text, &current); err != nil {
+		return nil, fmt.Errorf("the current configuration: %w", err)
 	}
-	if err := json.Unmarshal(next.text, &has); err != nil {
+	if err := json.Unmarshal(next.text, &updated); err != nil {
 		return nil, fmt.Errorf("RELAY_CONFIG: %w", err)
 	}
-	c.graft(had)
-	next.graft(has)
-	if key := lacks("", had, has); key != "" {
+	c.insertTenants(current)
+	next.insertTenants(updated)
+	if key := missingKey("", current, updated); key != "" {
 		return nil, fmt.Errorf("%s is missing", key)
 	}
 	return next, nil
 }
 
-// graft puts the tenants where the text has none.
-func (c *Config) graft(text any) {
-	if c.apart && c.Tenants.told {
+// insertTenants puts the tenants into a decoded text from which they were extracted.
+func (c *Config) insertTenants(text any) {
+	if c.tenantsExtracted && c.Tenants.present {
 		text.(map[string]any)["settings"].(map[string]any)["tenants"] = &c.Tenants
 	}
 }
 
-// Keep takes over what is in force of a configuration that was read again.
+// Keep replaces the reloadable parts of c by those of next.
 func (c *Config) Keep(next *Config) {
-	c.text, c.apart, c.Discovery, c.Raw, c.Settings, c.Brain = next.text, next.apart, next.Discovery, next.Raw, next.Settings, next.Brain
-	next.Tenants.release() // they are in the table
+	c.text, c.tenantsExtracted, c.Discovery, c.Raw, c.Settings, c.Brain = next.text, next.tenantsExtracted, next.Discovery, next.Raw, next.Settings, next.Brain
+	next.Tenants.release() // the table holds them by now
 	c.Tenants = next.Tenants
 }
 
-// free are the keys that may come and go: a list in hand is for a start, and a seed is new with each.
-var free = []string{"known", "seed"}
+// optionalKeys may be missing after a reload: both are used at startup only, and the seed changes with every start.
+var optionalKeys = []string{"known", "seed"}
 
-// lacks names a key that one value has and the other has not; "": none.
-func lacks(at string, had, has any) string {
-	switch had := had.(type) {
+// missingKey returns the path of a key that current has and updated lacks, or "".
+func missingKey(parent string, current, updated any) string {
+	switch current := current.(type) {
 	case map[string]any:
-		has, ok := has.(map[string]any)
+		updated, ok := updated.(map[string]any)
 		if !ok {
-			return at
+			return parent
 		}
-		for _, key := range slices.Sorted(maps.Keys(had)) {
+		for _, key := range slices.Sorted(maps.Keys(current)) {
 			path := key
-			if at != "" {
-				path = at + "." + key
+			if parent != "" {
+				path = parent + "." + key
 			}
-			v, ok := has[key]
-			if at == "" && slices.Contains(free, key) {
+			v, ok := updated[key]
+			if parent == "" && slices.Contains(optionalKeys, key) {
 				continue
 			}
 			if !ok {
 				return path
 			}
-			if missing := lacks(path, had[key], v); missing != "" {
+			if missing := missingKey(path, current[key], v); missing != "" {
 				return missing
 			}
 		}
 	case []any:
-		return lacksOfAll(at, shared(had), has)
+		return missingListKey(parent, commonKeys(current), updated)
 	case *Tenants:
-		return lacksOfAll(at, had.keys, has)
+		return missingListKey(parent, current.commonKeys, updated)
 	}
 	return ""
 }
 
-// lacksOfAll names a key of those given that an object of a list has not; nil: they need be no objects.
-func lacksOfAll(at string, keys []string, has any) string {
-	switch list := has.(type) {
+// missingListKey returns the path of the first of the keys that an object of a list lacks, or "". If keys is nil, the
+// elements need not be objects.
+func missingListKey(parent string, keys []string, updated any) string {
+	switch list := updated.(type) {
 	case []any:
 		for i, v := range list {
 			o, ok := v.(map[string]any)
 			if keys != nil && !ok {
-				return fmt.Sprintf("%s[%d]", at, i)
+				return fmt.Sprintf("%s[%d]", parent, i)
 			}
 			for _, key := range keys {
 				if _, ok := o[key]; !ok {
-					return fmt.Sprintf("%s[%d].%s", at, i, key)
+					return fmt.Sprintf("%s[%d].%s", parent, i, key)
 				}
 			}
 		}
 	case *Tenants:
-		return list.lacks(at, keys)
+		return list.missingKey(parent, keys)
 	default:
-		return at
+		return parent
 	}
 	return ""
 }
 
-// shared are the keys that all objects of a list have, in order; nil: they are no objects.
-func shared(list []any) []string {
+// commonKeys returns, in order, the keys that all objects of a list have, or nil if the list is empty or has other
+// elements.
+func commonKeys(list []any) []string {
 	var common map[string]any
 	for i, v := range list {
 		o, ok := v.(map[string]any)
@@ -120,5 +122,5 @@
 	}
 	keys := slices.AppendSeq([]string{}, maps.Keys(common))
 	slices.Sort(keys)
-	return keys // what they hold is for the checks
+	return keys // check validates the values
 }
--- a/internal/config/reload_test.go
+++ b/internal/config/reload_test.go
@@ -11,7 +11,7 @@
 	"testing"
 )
 
-const inForce = `{"name":"n3","listen":"127.0.0.1:5000","discovery":"127.0.0.1:8500","seed":"8c1f",
+const currentConfig = `{"name":"n3","listen":"127.0.0.1:5000","discovery":"127.0.0.1:8500","seed":"8c1f",
 "limits":{"cores":0.5,"memory_mb":64,"sockets":384},
 "settings":{"balancers":2,"zone":"a","discovery":"ask","weights":"off",
 "categories":[{"name":"lookup","semantics":"safe","aim_ms":150,"deadline_ms":600,"importance":1},
@@ -19,8 +19,8 @@
 "limits":{"max_attempts":4,"connect_timeout_ms":75,"idle_close_ms":60000},
 "rules":{"ask_every_ms":10000,"drain_grace_ms":2000},"stats":{"how":"inline","columns":["utilization","backlog"]}}}`
 
-// reloading loads a configuration and gives what reads another in its place.
-func reloading(t *testing.T) (c *Config, reload func(text string) (*Config, error)) {
+// newReloader loads currentConfig and returns a function that writes another text to the file and reloads it.
+func newReloader(t *testing.T) (c *Config, reload func(text string) (*Config, error)) {
 	t.Helper()
 	path := filepath.Join(t.TempDir(), "config.json")
 	env := func(name string) string { return map[string]string{"RELAY_CONFIG": path}[name] }
@@ -29,7 +29,7 @@
 			t.Fatal(err)
 		}
 	}
-	write(inForce)
+	write(currentConfig)
 	c, err := Load(env)
 	if err != nil {
 		t.Fatal(err)
@@ -40,12 +40,12 @@
 	}
 }
 
-func TestAFileThatCannotBeTakenUpIsNamed(t *testing.T) {
-	_, reload := reloading(t)
-	for _, c := range []struct{ from, to, says string }{
-		{inForce, "", "unexpected end"},
-		{inForce, "{}", "listen"},
-		{inForce, "null", "listen"},
+func TestReloadErrorNamesKey(t *testing.T) {
+	_, reload := newReloader(t)
+	for _, c := range []struct{ from, to, want string }{
+		{currentConfig, "", "unexpected end"},
+		{currentConfig, "{}", "listen"},
+		{currentConfig, "null", "listen"},
 		{`"discovery":"127.0.0.1:8500",`, "", "discovery"},
 		{`"name":"n3",`, "", "name"},
 		{`"zone":"a",`, "", "zone"},
@@ -64,63 +64,63 @@
 		{`"name":"booking"`, `"name":"lookup"`, "categories[1].name"},
 		{`"semantics":"safe"`, `"semantics":"sound"`, "semantics"},
 	} {
-		if next, err := reload(strings.Replace(inForce, c.from, c.to, 1)); err == nil || !strings.Contains(err.Error(), c.says) {
+		if next, err := reload(strings.Replace(currentConfig, c.from, c.to, 1)); err == nil || !strings.Contains(err.Error(), c.want) {
 			t.Errorf("%q for %q: %v, %+v", c.to, c.from, err, next)
 		}
 	}
-	good := strings.Replace(inForce, `"name":"lookup"`, `"name":"search"`, 1)
+	good := strings.Replace(currentConfig, `"name":"lookup"`, `"name":"search"`, 1)
 	next, err := reload(strings.Replace(good, `"max_attempts":4`, `"max_attempts":2`, 1))
 	if err != nil || next.Brain.Classes[0].Name != "search" || next.Brain.MaxAttempts != 2 {
 		t.Errorf("%+v %v", next, err)
 	}
 }
 
-// A thousand random damages: a file that is cut off anywhere, has lost a key, or has a piece written over is turned down, or
-// says something else that is whole and sound. What is in force never changes.
-func TestAThousandDamages(t *testing.T) {
-	c, reload := reloading(t)
+// Reloads a file 1000 times after random damage: truncated, without a key, or partly overwritten. Reload must reject
+// the file or return a valid configuration, and the current configuration must never change.
+func TestReloadRejectsCorruptFiles(t *testing.T) {
+	c, reload := newReloader(t)
 	before, _ := json.Marshal(c)
 	rng := rand.New(rand.NewPCG(7, 7))
-	cut, lost, over := 0, 0, 0
+	truncated, withoutKey, overwritten := 0, 0, 0
 	for i := range 1000 {
 		var text string
 		switch i % 3 {
 		case 0:
-			text = inForce[:rng.IntN(len(inForce)-1)]
-			cut++
+			text = currentConfig[:rng.IntN(len(currentConfig)-1)]
+			truncated++
 		case 1:
 			var all map[string]any
-			json.Unmarshal([]byte(inForce), &all)
-			drop(rng, all)
+			json.Unmarshal([]byte(currentConfig), &all)
+			deleteRandomKey(rng, all)
 			raw, _ := json.Marshal(all)
 			text = string(raw)
-			lost++
+			withoutKey++
 		default:
-			b := []byte(inForce)
+			b := []byte(currentConfig)
 			at := rng.IntN(len(b))
 			n := 1 + rng.IntN(min(8, len(b)-at))
 			copy(b[at:at+n], bytes.Repeat([]byte{`{}[]",:0-x`[rng.IntN(10)]}, n))
 			text = string(b)
-			over++
+			overwritten++
 		}
 		next, err := reload(text)
 		switch {
 		case i%3 < 2 && err == nil:
-			t.Fatalf("taken: %s", text)
+			t.Fatalf("accepted: %s", text)
 		case err == nil && next.check() != nil:
-			t.Fatalf("taken and unsound: %s", text)
+			t.Fatalf("accepted, though invalid: %s", text)
 		}
 		if after, _ := json.Marshal(c); !bytes.Equal(before, after) || !reflect.DeepEqual(c.Settings.Limits.MaxAttempts, 4) {
-			t.Fatalf("what is in force has changed after %s", text)
+			t.Fatalf("the current configuration has changed after %s", text)
 		}
 	}
-	if cut+lost+over != 1000 || lost < 300 {
-		t.Errorf("%d cut, %d without a key, %d written over", cut, lost, over)
+	if truncated+withoutKey+overwritten != 1000 || withoutKey < 300 {
+		t.Errorf("%d truncated, %d without a key, %d overwritten", truncated, withoutKey, overwritten)
 	}
 }
 
-// drop takes a key out of an object somewhere, but for those that may come and go.
-func drop(rng *rand.Rand, all map[string]any) {
+// deleteRandomKey removes a random key at any depth, but not an optional one.
+func deleteRandomKey(rng *rand.Rand, all map[string]any) {
 	for {
 		at, path := all, ""
 		for {
@@ -128,7 +128,7 @@
 			for k := range at {
 				keys = append(keys, k)
 			}
-			// a map's order is no draw
+			// sorted, since the seed does not determine the order of a map
 			for i := range keys {
 				for j := range i {
 					if keys[j] > keys[i] {
--- a/internal/config/roster_test.go
+++ b/internal/config/roster_test.go
@@ -19,8 +19,8 @@
 	return &s.Roster, err
 }
 
-// Without a word on rosters the program does what it did.
-func TestDiscoveryAloneIsTheDefault(t *testing.T) {
+// Without roster settings, discovery is the only source and is trusted unconditionally.
+func TestRosterDefaultsToDiscovery(t *testing.T) {
 	for _, text := range []string{`{}`, `{"flow": {"wait_ms": 1}, "roster": {}}`, `{"roster": {"sources": [{"kind": "discovery"}]}}`} {
 		r, err := loadRoster(t, text)
 		if err != nil || !r.DiscoveryAlone() || r.Sources[0].Stale() != 6*time.Second || r.Rules().SuspectFails != 0 {
@@ -32,8 +32,8 @@
 	}
 }
 
-// A list of sources takes the place of the default's, and nothing of that shows through.
-func TestSourcesAreTakenUp(t *testing.T) {
+// A configured list of sources replaces the default one, and nothing of the default is merged into it.
+func TestRosterSources(t *testing.T) {
 	r, err := loadRoster(t, `{"roster": {"hold_ms": 30000, "loss": {"share": 0.5}, "sources": [
 		{"kind": "kv", "addresses": ["http://127.0.0.1:2379", "https://store"], "prefix": "/nodes/", "lost_ms": 0}, // never
 		{"kind": "eureka", "name": "shops", "role": "joined", "addresses": ["http://127.0.0.1:8761/eureka"], "apps": ["SHOP"]},
@@ -54,7 +54,7 @@
 	}
 }
 
-func TestAFaultInTheRosterIsNamed(t *testing.T) {
+func TestRosterErrorNamesKey(t *testing.T) {
 	kv := `"kind": "kv", "addresses": ["http://a:1"], "prefix": "/n/"`
 	source := func(text string) string { return `{"roster": {"hold_ms": 1000, "sources": [{` + text + `}]}}` }
 	for text, want := range map[string]string{
@@ -85,7 +85,7 @@
 		`{"roster": {"suspects": {"trial_ms": 1}}}`:                             "roster.suspects.trial_ms",
 	} {
 		if _, err := loadRoster(t, text); err == nil || !strings.Contains(err.Error(), want) {
-			t.Errorf("%s: %v, want one naming %s", text, err, want)
+			t.Errorf("%s: %v, want it to contain %s", text, err, want)
 		}
 	}
 }
--- a/internal/config/routes.go
+++ b/internal/config/routes.go
@@ -11,34 +11,34 @@
 	"pewterrudder/internal/selector"
 )
 
-// Route sends the calls that it matches to a pool, or splits them. Keys that are left out match everything. Which of
-// several goes first is internal/routes' to say; the order in the file has no meaning.
+// Route sends the requests that it matches to a pool, or splits them over several. Keys that are left out match
+// everything. internal/routes decides which of several matching routes wins; the order in the file has no meaning.
 type Route struct {
 	Name    string   `json:"name"`
-	Host    string   `json:"host"` // one host, or *.domain for one label before it
-	Path    string   `json:"path"` // whole segments from the first on
+	Host    string   `json:"host"` // a host name, or *.domain for exactly one label before the domain
+	Path    string   `json:"path"` // prefix, in whole path segments
 	Methods []string `json:"methods"`
 	Class   string   `json:"class"`
-	Pool    string   `json:"pool"` // one pool, or a split
+	Pool    string   `json:"pool"` // set either Pool or Split
 	Split   []Share  `json:"split"`
 }
 
-// Share is a pool's part of a split, in relation to the others'. A pool with 0 stands by.
+// Share is the weight of a pool in a split, relative to the other weights. A pool of weight 0 is on standby.
 type Share struct {
 	Pool   string  `json:"pool"`
 	Weight float64 `json:"weight"`
 }
 
-// Pool is a group of app nodes that decides for itself.
+// Pool is a group of app nodes that is balanced on its own.
 type Pool struct {
 	Name    string  `json:"name"`
-	Default bool    `json:"default"` // takes the calls that no route matches
+	Default bool    `json:"default"` // receives the requests that no route matches
 	Members Members `json:"members"`
-	MaxOpen int     `json:"max_open"` // calls at a time; 0: as many as the machine's limits allow
+	MaxOpen int     `json:"max_open"` // concurrent requests; 0: as many as the limits of the machine allow
 }
 
-// Members picks app nodes by what the list says of them. Each key that is there must fit, by one of its entries; with
-// no key every app node is a member. Names may have one * that stands for any run of letters.
+// Members selects app nodes by their entries in the list. An app node must match every key that is set, each by one of
+// its values; without any key, all app nodes are members. A name may have one *, which matches any run of characters.
 type Members struct {
 	Zones []string `json:"zones"`
 	Kinds []string `json:"kinds"`
@@ -46,22 +46,22 @@
 	IDs   []string `json:"ids"`
 }
 
-// onlyPool names the pool of an installation that has set none.
-const onlyPool = "all"
+// implicitPoolName is the name of the pool that exists if none is configured.
+const implicitPoolName = "all"
 
-// mostPools is what the reducer takes: some times what one site is planned to have.
-const mostPools = 4096
+// maxPools is the limit of package reducer: several times the pools planned for one site.
+const maxPools = 4096
 
-// PoolsInForce are the pools in the order of their indices: those that are set, or one with every app node.
+// PoolsInForce returns the pools by index: the configured ones, or else a single pool of all app nodes.
 func (s *Service) PoolsInForce() []Pool {
 	if len(s.Pools) == 0 {
-		return []Pool{{Name: onlyPool, Default: true}}
+		return []Pool{{Name: implicitPoolName, Default: true}}
 	}
 	return s.Pools
 }
 
-// DefaultPool is the index of the pool for calls that no route matches. Where a route matches every call there need be
-// none: -1.
+// DefaultPool returns the index of the pool for requests that no route matches, or -1 if there is none because a route
+// matches every request.
 func (s *Service) DefaultPool() int {
 	pools := s.PoolsInForce()
 	if len(pools) == 1 {
@@ -70,8 +70,8 @@
 	return slices.IndexFunc(pools, func(p Pool) bool { return p.Default })
 }
 
-// Table compiles the routes, for the indices of PoolsInForce. classes are all that calls can have, or nil where they
-// are not known yet.
+// Table compiles the routes for the pool indices of PoolsInForce. classes are all classes that requests can have, or
+// nil if they are not known yet.
 func (s *Service) Table(classes []string) (*routes.Table, error) {
 	var names []string
 	for _, p := range s.PoolsInForce() {
@@ -87,12 +87,13 @@
 	return routes.Compile(rules, names, classes)
 }
 
-// Rule gives a route the form that is compiled, and checks no more than whether it says where it leads.
+// Rule converts a route to the form that package routes compiles. It only checks that the route has either a pool or a
+// split.
 func (r *Route) Rule() (routes.Rule, error) {
 	rule := routes.Rule{Name: r.Name, Host: r.Host, Prefix: r.Path, Methods: r.Methods, Class: r.Class}
 	switch {
 	case (r.Pool != "") == (r.Split != nil):
-		return rule, errors.New("either pool or split says where it leads")
+		return rule, errors.New("either pool or split must be set, and not both")
 	case r.Pool != "":
 		rule.To = []routes.Share{{Pool: r.Pool, Weight: 1}}
 	}
@@ -102,56 +103,56 @@
 	return rule, nil
 }
 
-// checkRoutes finds pools that cannot be, and those that no call comes to.
+// checkRoutes reports invalid pools and pools that no request can reach.
 func (s *Service) checkRoutes() error {
-	if len(s.Pools) > mostPools {
-		return fmt.Errorf("pools: %d are more than %d", len(s.Pools), mostPools)
+	if len(s.Pools) > maxPools {
+		return fmt.Errorf("pools: %d are more than %d", len(s.Pools), maxPools)
 	}
-	reached, places, fallback := map[string]bool{}, map[string]int{}, -1
+	reached, indices, defaultPool := map[string]bool{}, map[string]int{}, -1
 	for i := range s.Pools {
 		p := &s.Pools[i]
-		at := "pools[" + strconv.Itoa(i) + "]"
+		keyPath := "pools[" + strconv.Itoa(i) + "]"
 		if p.Name == "" {
-			return errors.New(at + ".name is missing")
+			return errors.New(keyPath + ".name is missing")
 		}
-		at += fmt.Sprintf(" %q", p.Name)
-		if other, ok := places[p.Name]; ok {
-			return fmt.Errorf("%s: pools[%d] has the same name", at, other)
+		keyPath += fmt.Sprintf(" %q", p.Name)
+		if other, ok := indices[p.Name]; ok {
+			return fmt.Errorf("%s: pools[%d] has the same name", keyPath, other)
 		}
-		places[p.Name] = i
+		indices[p.Name] = i
 		if err := p.check(); err != nil {
-			return fmt.Errorf("%s: %w", at, err)
+			return fmt.Errorf("%s: %w", keyPath, err)
 		}
 		if p.Default {
-			if fallback >= 0 {
-				return fmt.Errorf("%s: default: pools[%d] %q is the default already", at, fallback, s.Pools[fallback].Name)
+			if defaultPool >= 0 {
+				return fmt.Errorf("%s: default: pools[%d] %q is the default already", keyPath, defaultPool, s.Pools[defaultPool].Name)
 			}
-			fallback = i
+			defaultPool = i
 		}
 	}
 	if _, err := s.Table(nil); err != nil {
 		return err
 	}
-	all := -1
+	catchAll := -1
 	for i, r := range s.Routes {
 		reached[r.Pool] = true
 		for _, p := range r.Split {
-			reached[p.Pool] = true // with a weight of 0 too: it stands by
+			reached[p.Pool] = true // also with weight 0: the pool is on standby
 		}
 		if r.Host == "" && (r.Path == "" || r.Path == "/") && r.Methods == nil && r.Class == "" {
-			all = i
+			catchAll = i
 		}
 	}
 	switch {
-	case fallback >= 0 && all >= 0:
-		return fmt.Errorf("pools[%d] %q: default: routes[%d] %q matches every call, and none is left to a default",
-			fallback, s.Pools[fallback].Name, all, s.Routes[all].Name)
-	case fallback < 0 && all < 0 && len(s.Pools) > 1:
+	case defaultPool >= 0 && catchAll >= 0:
+		return fmt.Errorf("pools[%d] %q: default: routes[%d] %q matches every call, so a default would receive none",
+			defaultPool, s.Pools[defaultPool].Name, catchAll, s.Routes[catchAll].Name)
+	case defaultPool < 0 && catchAll < 0 && len(s.Pools) > 1:
 		return errors.New("pools: a call that no route matches has no pool: give one of them \"default\": true, " +
 			"or a route that matches every call")
 	}
 	for i, p := range s.Pools {
-		if !reached[p.Name] && i != fallback && (len(s.Pools) > 1 || all >= 0) {
+		if !reached[p.Name] && i != defaultPool && (len(s.Pools) > 1 || catchAll >= 0) {
 			return fmt.Errorf("pools[%d] %q: no route leads to it, and it is not the default", i, p.Name)
 		}
 	}
@@ -174,7 +175,7 @@
 		patterns []string
 	}{{"zones", m.Zones}, {"kinds", m.Kinds}, {"ids", m.IDs}} {
 		if k.patterns != nil && len(k.patterns) == 0 {
-			return fmt.Errorf("%s: an empty list fits no app node; without the key all fit", k.key)
+			return fmt.Errorf("%s: an empty list matches no app node; without the key all match", k.key)
 		}
 		for i, p := range k.patterns {
 			switch {
@@ -183,15 +184,15 @@
 			case strings.Count(p, "*") > 1:
 				return fmt.Errorf("%s[%d]: %q has more than one *", k.key, i, p)
 			case slices.Contains(k.patterns[:i], p):
-				return fmt.Errorf("%s[%d]: %q is there twice", k.key, i, p)
+				return fmt.Errorf("%s[%d]: %q is listed twice", k.key, i, p)
 			}
 		}
 	}
 	if m.Cells != nil && len(m.Cells) == 0 {
-		return errors.New("cells: an empty list fits no app node; without the key all fit")
+		return errors.New("cells: an empty list matches no app node; without the key all match")
 	}
 	return nil
 }
 
-// Selector gives them the form in which app nodes are compared with them.
+// Selector converts m to the form that is matched against app nodes.
 func (m *Members) Selector() selector.Selector { return selector.Selector(*m) }
--- a/internal/config/routes_test.go
+++ b/internal/config/routes_test.go
@@ -11,7 +11,7 @@
 	"pewterrudder/internal/routes"
 )
 
-func TestThePoolsExampleWorks(t *testing.T) {
+func TestPoolsExample(t *testing.T) {
 	s, err := LoadService("../../deploy/pools-example.json")
 	if err != nil {
 		t.Fatal(err)
@@ -25,20 +25,20 @@
 		{"a.yard.example", "/booking/7", "POST", "booking"}, {"office.yard.example", "/booking/7", "GET", "office"},
 		{"a.yard.example", "/bookings", "GET", "front"}, {"yard.example", "/booking", "POST", "front"},
 	} {
-		at := s.DefaultPool()
+		pool := s.DefaultPool()
 		if e := table.Match(c.host, c.path, c.method, "booking"); e != routes.None {
-			at = table.Pool(e, routes.Key("key", "", ""))
+			pool = table.Pool(e, routes.Key("key", "", ""))
 		}
-		if pools[at].Name != c.want {
-			t.Errorf("%+v goes to %s", c, pools[at].Name)
+		if pools[pool].Name != c.want {
+			t.Errorf("%+v goes to %s", c, pools[pool].Name)
 		}
 	}
-	met := map[string]int{}
+	hits := map[string]int{}
 	for i := range 1000 {
-		met[pools[table.Pool(table.Match("a.yard.example", "/booking", "GET", "lookup"), routes.Key("", fmt.Sprint(i), ""))].Name]++
+		hits[pools[table.Pool(table.Match("a.yard.example", "/booking", "GET", "lookup"), routes.Key("", fmt.Sprint(i), ""))].Name]++
 	}
-	if met["booking"]+met["canary"] != 1000 || met["canary"] < 20 || met["canary"] > 90 {
-		t.Errorf("%v of 1,000 keys, where the canary is due 5 %%", met)
+	if hits["booking"]+hits["canary"] != 1000 || hits["canary"] < 20 || hits["canary"] > 90 {
+		t.Errorf("%v of 1,000 keys, want 5 %% for the canary", hits)
 	}
 	for m, want := range map[brain.Member]string{
 		{Server: "s-1", Kind: "m2", Zone: "ridge-dc"}:                 "front",
@@ -56,36 +56,36 @@
 			}
 		}
 		if got := strings.Join(in, " "); got != want {
-			t.Errorf("%+v is of %q, want %q", m, got, want)
+			t.Errorf("%+v is a member of %q, want %q", m, got, want)
 		}
 	}
 }
 
-func TestWithoutPoolsThereIsOneOfAll(t *testing.T) {
+func TestDefaultPool(t *testing.T) {
 	s := DefaultService()
 	pools := s.PoolsInForce()
 	if len(pools) != 1 || pools[0].Name != "all" || s.DefaultPool() != 0 || !pools[0].Members.Selector().Matches(&brain.Member{}) {
 		t.Errorf("%+v, default %d", pools, s.DefaultPool())
 	}
 	if err := s.read([]byte(`{"pools": [{"name": "a", "members": {"ids": ["ab*ba"]}}]}`)); err != nil || s.DefaultPool() != 0 {
-		t.Errorf("a pool that is alone is the default: %v", err)
+		t.Errorf("a single pool is not the default: %v", err)
 	}
 	if p := s.Pools[0].Members.Selector(); p.Matches(&brain.Member{Server: "aba"}) || !p.Matches(&brain.Member{Server: "abba"}) {
-		t.Error("the letters on both sides of a * are not the same ones")
+		t.Error("* does not keep its prefix and suffix apart")
 	}
 	if err := s.read([]byte(`{"routes": [{"pool": "a"}, {"class": "x", "pool": "b"}], "pools": [{"name": "a"}, {"name": "b"}]}`)); err != nil || s.DefaultPool() != -1 {
-		t.Errorf("a route for every call needs no default: %v", err)
+		t.Errorf("a route that matches every request still needs a default: %v", err)
 	}
 }
 
-// The classes are in the balancer's own file, and the two are checked together.
-func TestRoutesAreHeldAgainstTheClasses(t *testing.T) {
+// The classes are in the platform's configuration file and the routes in the settings file. Load checks both together.
+func TestRoutesAreCheckedAgainstClasses(t *testing.T) {
 	read := func(settings string) (*Config, error) {
 		dir := t.TempDir()
-		at := map[string]string{"RELAY_CONFIG": filepath.Join(dir, "config.json"), SettingsVariable: filepath.Join(dir, "settings.json")}
-		os.WriteFile(at["RELAY_CONFIG"], []byte(file), 0o600)
-		os.WriteFile(at[SettingsVariable], []byte(settings), 0o600)
-		return Load(func(name string) string { return at[name] })
+		paths := map[string]string{"RELAY_CONFIG": filepath.Join(dir, "config.json"), SettingsVariable: filepath.Join(dir, "settings.json")}
+		os.WriteFile(paths["RELAY_CONFIG"], []byte(validConfig), 0o600)
+		os.WriteFile(paths[SettingsVariable], []byte(settings), 0o600)
+		return Load(func(name string) string { return paths[name] })
 	}
 	one, err := read(`{"routes": [{"class": "lookup", "pool": "all"}]}`)
 	if err != nil {
@@ -93,9 +93,9 @@
 	}
 	same, _ := read(`{"routes": [{"class": "lookup", "pool": "all"},]}`)
 	other, _ := read(`{"routes": [{"class": "lookup", "path": "/a", "pool": "all"}]}`)
-	flows, _ := read(`{"routes": [{"class": "lookup", "pool": "all"}], "flow": {"wait_ms": 1}}`)
-	if one.Fixed(same) != nil || one.Fixed(other) != nil || len(one.Fixed(flows)) != 1 { // routes are taken up, flows take a restart
-		t.Errorf("differences: %v, %v, %v", one.Fixed(same), one.Fixed(other), one.Fixed(flows))
+	changedFlow, _ := read(`{"routes": [{"class": "lookup", "pool": "all"}], "flow": {"wait_ms": 1}}`)
+	if one.Fixed(same) != nil || one.Fixed(other) != nil || len(one.Fixed(changedFlow)) != 1 { // only the change of flow needs a restart
+		t.Errorf("differences: %v, %v, %v", one.Fixed(same), one.Fixed(other), one.Fixed(changedFlow))
 	}
 	for text, want := range map[string]string{
 		`{"routes": [{"class": "bulk", "pool": "all"}]}`:                    `settings file: routes[0]: class: "bulk" can never match: the classes are lookup`,
@@ -107,7 +107,7 @@
 	}
 }
 
-func TestAFaultInRoutesOrPoolsIsNamed(t *testing.T) {
+func TestRoutesAndPoolsErrorNamesKey(t *testing.T) {
 	many := `{"pools": [{"name": "p"}` + strings.Repeat(`, {"name": "q"}`, 4096) + `]}`
 	for text, want := range map[string]string{
 		`{"routes": [{"path": "/a", "pool": "b"}]}`:                                                          `routes[0]: pool: there is none named "b"`,
@@ -128,7 +128,7 @@
 		`{"pools": [{"name": "p", "max_open": -1}]}`:                                                         `pools[0] "p": max_open: -1`,
 		`{"pools": [{"name": "p", "members": {"ids": ["a*b*"]}}]}`:                                           `pools[0] "p": members.ids[0]: "a*b*" has more than one *`,
 		`{"pools": [{"name": "p", "members": {"zones": ["a", ""]}}]}`:                                        `members.zones[1] is empty`,
-		`{"pools": [{"name": "p", "members": {"kinds": ["a", "a"]}}]}`:                                       `members.kinds[1]: "a" is there twice`,
+		`{"pools": [{"name": "p", "members": {"kinds": ["a", "a"]}}]}`:                                       `members.kinds[1]: "a" is listed twice`,
 		`{"pools": [{"name": "p", "members": {"kinds": []}}]}`:                                               `members.kinds: an empty list`,
 		`{"pools": [{"name": "p", "members": {"cells": []}}]}`:                                               `members.cells: an empty list`,
 		many: `pools: 4097 are more than 4096`,
--- a/internal/config/service_test.go
+++ b/internal/config/service_test.go
@@ -9,33 +9,33 @@
 	"time"
 )
 
-// The example that operators start from says what is in force without it, key for key.
-func TestTheExampleHoldsTheDefaults(t *testing.T) {
+// deploy/settings.json, the example for operators, must show every key with its default value.
+func TestSettingsExampleMatchesDefaults(t *testing.T) {
 	raw, err := os.ReadFile("../../deploy/settings.json")
 	if err != nil {
 		t.Fatal(err)
 	}
-	var s Service // nothing filled in: a key that the example lacks would differ
+	var s Service // without defaults, so that a key missing from the example makes a difference
 	if err := s.read(raw); err != nil || !reflect.DeepEqual(s, DefaultService()) {
 		t.Errorf("%+v, %v; the defaults are %+v", s, err, DefaultService())
 	}
-	for _, section := range []any{Service{}, Route{}, Share{}, Pool{}, Members{}, Zones{}, Catalog{}, Box{}} { // those of lists that are empty are shown in comments
+	for _, section := range []any{Service{}, Route{}, Share{}, Pool{}, Members{}, Zones{}, Catalog{}, Box{}} { // elements of lists that are empty by default are shown in comments
 		for k := range reflect.TypeOf(section).Fields() {
 			if key := `"` + k.Tag.Get("json") + `":`; !strings.Contains(string(raw), key) {
-				t.Errorf("%s of %T is not shown", key, section)
+				t.Errorf("deploy/settings.json lacks %s of %T", key, section)
 			}
 		}
 	}
 	shown := strings.NewReplacer("\n  // \"", "\n  \"", "\n  // ]", "\n  ]", "\n  // }", "\n  }", "\n  //   ", "\n    ").Replace(string(raw))
 	if err := s.read([]byte(shown)); err != nil || len(s.Routes) != 2 || len(s.Pools) != 2 || len(s.Zones.Names) != 3 {
-		t.Errorf("without their comment marks: %v, %+v", err, s)
+		t.Errorf("with the commented-out parts enabled: %v, %+v", err, s)
 	}
 	if f := s.Flow; f.Room(Limits{MemoryMB: 32}) != 6<<20 || f.Wait() != 250*time.Millisecond || f.ClientIdle() != 10*time.Second || f.Stall() != 0 {
 		t.Errorf("%+v", f)
 	}
 }
 
-func TestTheSettingsFileIsTakenUp(t *testing.T) {
+func TestLoadService(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "settings.json")
 	if err := os.WriteFile(path, []byte("{\"flow\": {\"stall_ms\": 40.5, /* and */ \"max_upload_bytes\": 1000000,}} // so\n"), 0o600); err != nil {
 		t.Fatal(err)
@@ -46,7 +46,7 @@
 	}
 }
 
-func TestAFaultInTheSettingsFileIsNamed(t *testing.T) {
+func TestLoadServiceErrorNamesKey(t *testing.T) {
 	for text, want := range map[string]string{
 		`{"flow": {"max_answer_bytes": 65535}}`:                "flow.max_answer_bytes",
 		`{"flow": {"max_upload_bytes": -1}}`:                   "flow.max_upload_bytes",
@@ -70,10 +70,10 @@
 		path := filepath.Join(t.TempDir(), "settings.json")
 		os.WriteFile(path, []byte(text), 0o600)
 		if _, err := LoadService(path); err == nil || !strings.Contains(err.Error(), want) || !strings.Contains(err.Error(), path) {
-			t.Errorf("%s: %v, want one naming %s", text, err, want)
+			t.Errorf("%s: %v, want it to contain %s", text, err, want)
 		}
 	}
 	if _, err := LoadService(filepath.Join(t.TempDir(), "none.json")); err == nil {
-		t.Error("a file that is not there")
+		t.Error("a missing file was accepted")
 	}
 }
--- a/internal/config/tenants.go
+++ b/internal/config/tenants.go
@@ -17,40 +17,43 @@
 	"pewterrudder/internal/tenants"
 )
 
-// Tenant is one of those who share the service, as the settings name it.
+// Tenant is one tenant of the settings, with its quota in requests per second and its share.
 type Tenant struct {
 	Name  string  `json:"name"`
 	Quota float64 `json:"quota_per_s"`
 	Share float64 `json:"share"`
 }
 
-// Tenants are those that the settings name. There may be hundreds of thousands, so that they are read entry by entry and held
-// packed until they have gone Into a table; what is known of the list afterwards is what another is compared with.
+// Tenants is the list of tenants in the settings. It may have hundreds of thousands of entries, so it is decoded entry
+// by entry and held packed until Into moves the entries to a table. What remains is only what Reload needs to compare
+// lists.
 type Tenants struct {
-	entries packed   // of a list that was read and found sound; nil: none, or gone into a table
-	count   int      // of entries
-	shapes  []shape  // that entries have, while they are held
-	keys    []string // that all of them have, in order; nil: there are none, or not all are objects
-	sum     uint64   // of the entries
-	told    bool     // there is a list, if an empty one
+	entries    packedTenants // of a valid list; nil: none, or moved to a table
+	count      int           // number of entries
+	keySets    []keySet      // distinct key sets of the entries, as long as those are held
+	commonKeys []string      // sorted keys that all entries have; nil: no entries, or not all are objects
+	checksum   uint64        // of the packed entries
+	present    bool          // the settings have a list, possibly empty
 }
 
-// shape is the keys that an entry was told by, in order; nil: it is no object.
-type shape []string
+// keySet holds the sorted keys of an entry in its JSON text, or nil if the entry is not an object.
+type keySet []string
 
-func (s shape) is(other shape) bool { return (s == nil) == (other == nil) && slices.Equal(s, other) }
+func (s keySet) equal(other keySet) bool {
+	return (s == nil) == (other == nil) && slices.Equal(s, other)
+}
 
-// TenantsOf makes the list that settings would tell, unchecked.
+// TenantsOf returns the list as if it had been read from settings, without checks.
 func TenantsOf(list []Tenant) (t Tenants) {
 	for i := range list {
 		t.entries.add(&list[i], 0)
 	}
-	t.shapes = []shape{usual}
-	t.close(len(list))
+	t.keySets = []keySet{usualKeys}
+	t.finish(len(list))
 	return t
 }
 
-// MarshalJSON writes the list that is held.
+// MarshalJSON encodes the entries that are still held.
 func (t Tenants) MarshalJSON() ([]byte, error) {
 	list := []Tenant{}
 	for r := range t.entries.all() {
@@ -59,119 +62,120 @@
 	return json.Marshal(list)
 }
 
-// UnmarshalJSON reads a list.
+// UnmarshalJSON decodes and checks a list.
 func (t *Tenants) UnmarshalJSON(text []byte) error {
 	if *t = (Tenants{}); string(text) == "null" {
 		return nil
 	}
-	in := newStream(bytes.NewReader(text))
+	in := newRecordingDecoder(bytes.NewReader(text))
 	if begin, err := in.Token(); err != nil {
 		return err
 	} else if begin != json.Delim('[') {
-		return errors.New("tenants is no list")
+		return errors.New("tenants is not a list")
 	}
-	fault, err := t.read(in)
-	if err = cmp.Or(err, fault); err != nil {
+	invalid, err := t.read(in)
+	if err = cmp.Or(err, invalid); err != nil {
 		return err
 	}
 	if _, err := in.Token(); err != io.EOF {
-		return cmp.Or(err, errors.New("tenants: there is more behind the list"))
+		return cmp.Or(err, errors.New("tenants: unexpected data after the list"))
 	}
 	return nil
 }
 
-// between is how many entries are read before others have a turn: the calls of a process that reads a long list again shall
-// wait for a part of a millisecond.
-const between = 256
+// entriesPerYield is the number of entries that are processed between calls to the scheduler, so that a reload of a
+// long list delays the requests of the process by less than a millisecond.
+const entriesPerYield = 256
 
-// read takes up a list whose beginning was read, if it is sound. A fault names the entry that has it, and the list is read to
-// its end all the same; an error is one of the text, behind which nothing can be read.
-func (t *Tenants) read(in *stream) (fault, err error) {
+// read decodes a list whose opening bracket has been read, and keeps it if it is valid. invalid names the first entry
+// that is invalid; the list is still read to its end. err is a syntax or read error, after which nothing more can be
+// read.
+func (t *Tenants) read(in *recordingDecoder) (invalid, err error) {
 	*t = Tenants{}
-	count, last, e := 0, -1, new(entry)
-	numbers := map[string]int{} // of shapes
+	count, last, e := 0, -1, new(tenantEntry)
+	indices := map[string]int{} // of key sets, by their text
 	for ; in.More(); count++ {
 		if err := e.read(in); err != nil {
 			return nil, err
 		}
 		switch {
-		case fault != nil:
-		case e.fault != nil:
-			fault = fmt.Errorf("tenants[%d]: %w", count, e.fault)
+		case invalid != nil:
+		case e.invalid != nil:
+			invalid = fmt.Errorf("tenants[%d]: %w", count, e.invalid)
 		case e.Quota < 0:
-			fault = fmt.Errorf("tenants[%d].quota_per_s: %v is out of range", count, e.Quota)
+			invalid = fmt.Errorf("tenants[%d].quota_per_s: %v is out of range", count, e.Quota)
 		default:
-			if last < 0 || !e.shape.is(t.shapes[last]) {
-				last = t.number(numbers, e.shape)
+			if last < 0 || !e.keys.equal(t.keySets[last]) {
+				last = t.keySetIndex(indices, e.keys)
 			}
 			t.entries.add(&e.Tenant, last)
 		}
-		if count%between == between-1 {
+		if count%entriesPerYield == entriesPerYield-1 {
 			runtime.Gosched()
 		}
 	}
 	if _, err := in.Token(); err != nil {
 		return nil, err
 	}
-	if fault != nil {
+	if invalid != nil {
 		*t = Tenants{}
-		return fault, nil
+		return invalid, nil
 	}
-	t.close(count)
+	t.finish(count)
 	return nil, nil
 }
 
-// number is the place of a shape among those of the list.
-func (t *Tenants) number(numbers map[string]int, s shape) int {
+// keySetIndex returns the index of a key set in keySets, and adds it if it is new.
+func (t *Tenants) keySetIndex(indices map[string]int, s keySet) int {
 	name := fmt.Sprintf("%t%q", s == nil, []string(s))
-	n, ok := numbers[name]
+	n, ok := indices[name]
 	if !ok {
-		n = len(t.shapes)
-		numbers[name], t.shapes = n, append(t.shapes, s)
+		n = len(t.keySets)
+		indices[name], t.keySets = n, append(t.keySets, s)
 	}
 	return n
 }
 
-// close notes what is known of the list as a whole.
-func (t *Tenants) close(count int) {
+// finish sets the fields that describe the list as a whole.
+func (t *Tenants) finish(count int) {
 	sum := xxhash.New()
 	for _, b := range t.entries {
 		sum.Write(b)
 	}
-	t.count, t.sum, t.told = count, sum.Sum64(), true
+	t.count, t.checksum, t.present = count, sum.Sum64(), true
 	if count == 0 {
 		return
 	}
-	t.keys = slices.Clone(t.shapes[0])
-	for _, s := range t.shapes {
+	t.commonKeys = slices.Clone(t.keySets[0])
+	for _, s := range t.keySets {
 		if s == nil {
-			t.keys = nil
+			t.commonKeys = nil
 			return
 		}
-		t.keys = slices.DeleteFunc(t.keys, func(k string) bool { return !slices.Contains(s, k) })
+		t.commonKeys = slices.DeleteFunc(t.commonKeys, func(k string) bool { return !slices.Contains(s, k) })
 	}
 }
 
-// Len is how many entries the list has.
+// Len returns the number of entries.
 func (t *Tenants) Len() int { return t.count }
 
-// Differ says that another list tells other tenants, or tells them otherwise.
+// Differ reports whether the lists have different entries.
 func (t *Tenants) Differ(other *Tenants) bool {
-	return t.told != other.told || t.sum != other.sum || t.count != other.count
+	return t.present != other.present || t.checksum != other.checksum || t.count != other.count
 }
 
-// Into enters the list in a table and gives back what it took itself. The entries that an earlier list entered there, and
-// this one does not name, go out; those with a revision are somebody else's and stay as they are. The round has to differ
-// from list to list.
-func (t *Tenants) Into(table *tenants.Table, round uint32) {
-	t.IntoBeside(table, round, func(string, tenants.Terms) {})
+// Into moves the entries of the list to a table and releases them. It deletes the entries that an earlier list put
+// there and that this one lacks. Entries with a revision come from another source and are left unchanged. listID must
+// differ from list to list.
+func (t *Tenants) Into(table *tenants.Table, listID uint32) {
+	t.IntoBeside(table, listID, func(string, tenants.Terms) {})
 }
 
-// IntoBeside does as Into, and says what the list grants to those who are somebody else's.
-func (t *Tenants) IntoBeside(table *tenants.Table, round uint32, others func(name string, t tenants.Terms)) {
-	before, looked := table.Len(), 0
-	turn := func() {
-		if looked++; looked%between == 0 {
+// IntoBeside does the same as Into, and calls onForeign with the terms that the list has for entries of other sources.
+func (t *Tenants) IntoBeside(table *tenants.Table, listID uint32, onForeign func(name string, t tenants.Terms)) {
+	before, visited := table.Len(), 0
+	yieldRegularly := func() {
+		if visited++; visited%entriesPerYield == 0 {
 			runtime.Gosched()
 		}
 	}
@@ -180,11 +184,11 @@
 		for r := range block.all() {
 			terms := tenants.Terms{Quota: r.quota, Share: r.share}
 			if revision, _, ok := table.At(string(r.name)); ok && revision != 0 {
-				others(string(r.name), terms)
+				onForeign(string(r.name), terms)
 			} else {
-				table.Put(string(r.name), terms, 0, round)
+				table.Put(string(r.name), terms, 0, listID)
 			}
-			turn()
+			yieldRegularly()
 		}
 		block[0] = nil
 	}
@@ -192,23 +196,24 @@
 		return
 	}
 	for name := range table.All() {
-		turn()
-		if revision, sum, ok := table.At(name); ok && revision == 0 && sum != round {
+		yieldRegularly()
+		if revision, sum, ok := table.At(name); ok && revision == 0 && sum != listID {
 			table.Delete(name)
 		}
 	}
 }
 
-// release gives back what is held of the entries.
-func (t *Tenants) release() { t.entries, t.shapes = nil, nil }
+// release drops the entries.
+func (t *Tenants) release() { t.entries, t.keySets = nil, nil }
 
-// lacks names a key of those that all entries of a list have, which an entry of this one has not; "": none.
-func (t *Tenants) lacks(at string, keys []string) string {
+// missingKey returns the path of the first of the keys that an entry lacks, or "". With nil keys there is nothing to
+// check.
+func (t *Tenants) missingKey(parent string, keys []string) string {
 	if keys == nil {
 		return ""
 	}
-	missing := make([]string, len(t.shapes)) // behind an entry's place; "": nothing
-	for i, s := range t.shapes {
+	missing := make([]string, len(t.keySets)) // by key set: what follows the index in the path; "": nothing is missing
+	for i, s := range t.keySets {
 		if s == nil {
 			missing[i] = "]"
 		} else if k := slices.IndexFunc(keys, func(k string) bool { return !slices.Contains(s, k) }); k >= 0 {
@@ -220,43 +225,44 @@
 	}
 	i := 0
 	for r := range t.entries.all() {
-		if m := missing[r.shape]; m != "" {
-			return fmt.Sprintf("%s[%d%s", at, i, m)
+		if m := missing[r.keySetIndex]; m != "" {
+			return fmt.Sprintf("%s[%d%s", parent, i, m)
 		}
 		i++
 	}
 	return ""
 }
 
-// entry is a tenant as a list tells it; one serves for reading all of them.
-type entry struct {
+// tenantEntry is the decoder state for one entry. It is reused for all entries of a list.
+type tenantEntry struct {
 	Tenant
-	shape shape
-	fault error // it is no tenant
+	keys    keySet
+	invalid error // why the entry is not a tenant
 }
 
-// usual is the shape of nearly all entries, in order.
-var usual = shape{"name", "quota_per_s", "share"}
+// usualKeys is the key set of nearly all entries.
+var usualKeys = keySet{"name", "quota_per_s", "share"}
 
-// untold is what no text can tell: no string of JSON is malformed, and no number is none.
-var untold = Tenant{"\xff", math.NaN(), math.NaN()}
+// unsetTenant has values that JSON cannot produce, to detect fields that were not set: decoded strings are valid UTF-8,
+// and numbers are never NaN.
+var unsetTenant = Tenant{"\xff", math.NaN(), math.NaN()}
 
-// read takes the next entry of a list. An error is one of the text.
-func (e *entry) read(in *stream) error {
+// read decodes the next entry of a list. err is a syntax or read error.
+func (e *tenantEntry) read(in *recordingDecoder) error {
 	begin := in.InputOffset()
-	*e = entry{Tenant: untold, shape: usual}
+	*e = tenantEntry{Tenant: unsetTenant, keys: usualKeys}
 	if err := in.Decode(&e.Tenant); err != nil {
-		if wrong := (*json.UnmarshalTypeError)(nil); !errors.As(err, &wrong) {
+		if typeErr := (*json.UnmarshalTypeError)(nil); !errors.As(err, &typeErr) {
 			return err
 		}
-		e.fault = err
+		e.invalid = err
 		return nil
 	}
-	text := in.since(begin)
-	if e.plain(text) {
+	text := in.textSince(begin)
+	if e.hasOnlyUsualKeys(text) {
 		return nil
 	}
-	if e.Name == untold.Name {
+	if e.Name == unsetTenant.Name {
 		e.Name = ""
 	}
 	if math.IsNaN(e.Quota) {
@@ -265,27 +271,27 @@
 	if math.IsNaN(e.Share) {
 		e.Share = 0
 	}
-	var keys map[string]named
-	e.fault = json.Unmarshal(bytes.TrimLeft(text, ", \n\t\r"), &keys)
-	if e.shape = nil; keys != nil {
-		e.shape = slices.AppendSeq(shape{}, maps.Keys(keys))
-		slices.Sort(e.shape)
+	var keys map[string]ignoredValue
+	e.invalid = json.Unmarshal(bytes.TrimLeft(text, ", \n\t\r"), &keys)
+	if e.keys = nil; keys != nil {
+		e.keys = slices.AppendSeq(keySet{}, maps.Keys(keys))
+		slices.Sort(e.keys)
 	}
 	return nil
 }
 
-// plain says that an entry, read from a sound text, has the usual keys and nothing else. All were told, so that a text with
-// four strings has no more than those keys, in whatever case, and the name.
-func (e *entry) plain(text []byte) bool {
-	return e.Name != untold.Name && !math.IsNaN(e.Quota) && !math.IsNaN(e.Share) && !slices.Contains(usual, e.Name) &&
+// hasOnlyUsualKeys reports whether a valid entry has exactly the usual keys. If all three fields were set, a text with
+// four strings contains three keys, in any case, and the name.
+func (e *tenantEntry) hasOnlyUsualKeys(text []byte) bool {
+	return e.Name != unsetTenant.Name && !math.IsNaN(e.Quota) && !math.IsNaN(e.Share) && !slices.Contains(usualKeys, e.Name) &&
 		bytes.Count(text, []byte{'"'}) == 8 &&
-		!slices.ContainsFunc(quoted, func(key []byte) bool { return !bytes.Contains(text, key) })
+		!slices.ContainsFunc(quotedUsualKeys, func(key []byte) bool { return !bytes.Contains(text, key) })
 }
 
-// quoted are the usual keys as a text has them.
-var quoted = [][]byte{[]byte(`"name"`), []byte(`"quota_per_s"`), []byte(`"share"`)}
+// quotedUsualKeys are the usual keys as they appear in the text.
+var quotedUsualKeys = [][]byte{[]byte(`"name"`), []byte(`"quota_per_s"`), []byte(`"share"`)}
 
-// named stands for a value of which the key alone counts.
-type named struct{}
+// ignoredValue decodes any JSON value and drops it.
+type ignoredValue struct{}
 
-func (named) UnmarshalJSON([]byte) error { return nil }
+func (ignoredValue) UnmarshalJSON([]byte) error { return nil }
--- a/internal/config/tenants_test.go
+++ b/internal/config/tenants_test.go
@@ -20,16 +20,16 @@
 	"pewterrudder/internal/tenants"
 )
 
-// withTenants is the configuration in force with a list of tenants in its settings.
+// withTenants returns currentConfig with a list of tenants in its settings.
 func withTenants(list string) string {
-	return strings.Replace(inForce, `"zone":"a",`, `"zone":"a","tenants":`+list+`,`, 1)
+	return strings.Replace(currentConfig, `"zone":"a",`, `"zone":"a","tenants":`+list+`,`, 1)
 }
 
 const someTenants = `[{"name":"acme","quota_per_s":5,"share":0.25},
  {"share" : 0.5, "quota_per_s":12.5e0,"name":"b\u0065ta"} , {"name":"gamma","quota_per_s":-0,"share":1,"more":{"a":[1,"]}"]}}]`
 
-// plainly is the list as encoding/json takes it, with the check that the settings had for each.
-func plainly(text []byte) ([]Tenant, error) {
+// referenceTenants decodes a list with encoding/json and checks the quotas.
+func referenceTenants(text []byte) ([]Tenant, error) {
 	var list []Tenant
 	if err := json.Unmarshal(text, &list); err != nil {
 		return nil, err
@@ -42,8 +42,8 @@
 	return list, nil
 }
 
-// listOf is what our reading gives.
-func listOf(text []byte) (list []Tenant, err error) {
+// parseTenants decodes a list with Tenants.
+func parseTenants(text []byte) (list []Tenant, err error) {
 	var t Tenants
 	if err := t.UnmarshalJSON(bytes.Trim(text, " \n\r\t")); err != nil {
 		return nil, err
@@ -52,13 +52,13 @@
 		list = append(list, Tenant{string(r.name), r.quota, r.share})
 	}
 	if len(list) != t.Len() {
-		return list, fmt.Errorf("%d entries, and it says %d", len(list), t.Len())
+		return list, fmt.Errorf("%d entries, but Len is %d", len(list), t.Len())
 	}
 	return list, err
 }
 
-// damage writes over a piece of a text, takes one out, or doubles one.
-func damage(rng *rand.Rand, text []byte) []byte {
+// corrupt replaces, removes, duplicates or inserts a random piece of a text.
+func corrupt(rng *rand.Rand, text []byte) []byte {
 	at := rng.IntN(len(text))
 	n := min(1+rng.IntN(12), len(text)-at)
 	const pieces = `{}[]",:0-x\ .eE+u"nulltrue`
@@ -76,8 +76,8 @@
 	return out
 }
 
-// What is written is read as encoding/json reads it, however it is written, and what encoding/json turns down is turned down.
-func TestTenantsAreReadAsEncodingJSONReadsThem(t *testing.T) {
+// Tenants accepts the same texts as encoding/json and decodes them to the same values, also when they are corrupted.
+func TestTenantsMatchEncodingJSON(t *testing.T) {
 	texts := []string{someTenants, `[]`, ` [ ] `, `null`, `[null]`, `[{}]`, `[{"name":null,"share":null}]`, `[{"NAME":"x","Quota_Per_S":3}]`,
 		`[{"name":"a","name":"b"}]`, `[{"name":"a","Name":"b","name":"c"}]`, `[{"ſhare":2}]`, `[{"nam\u0065":"x"}]`, "[{\"name\":\"\xff\"}]", "[{\"name\":\"a\tb\"}]",
 		`[{"share":1e400}]`, `[{"share":01}]`, `[{"share":1.}]`, `[{"share":.5}]`, `[{"share":+1}]`, `[{"share":0x1p2}]`, `[{"share":1_0}]`,
@@ -90,34 +90,34 @@
 		text := []byte(texts[rng.IntN(8)])
 		for range 1 + rng.IntN(3) {
 			if len(text) > 0 {
-				text = damage(rng, text)
+				text = corrupt(rng, text)
 			}
 		}
 		texts = append(texts, string(text))
 	}
-	taken, down := 0, 0
+	accepted, rejected := 0, 0
 	for _, text := range texts {
 		if strings.TrimSpace(text) == "" {
-			continue // no value at all, which nobody hands on
+			continue // no JSON value: UnmarshalJSON is never called with one
 		}
-		want, wrong := plainly([]byte(text))
-		got, err := listOf([]byte(text))
-		if (err != nil) != (wrong != nil) || err == nil && !slices.Equal(got, want) {
-			t.Fatalf("%s: %+v, %v; encoding/json: %+v, %v", text, got, err, want, wrong)
+		want, wantErr := referenceTenants([]byte(text))
+		got, err := parseTenants([]byte(text))
+		if (err != nil) != (wantErr != nil) || err == nil && !slices.Equal(got, want) {
+			t.Fatalf("%s: %+v, %v; encoding/json: %+v, %v", text, got, err, want, wantErr)
 		}
 		if err == nil {
-			taken++
+			accepted++
 		} else {
-			down++
+			rejected++
 		}
 	}
-	if taken < 2_000 || down < 2_000 {
-		t.Errorf("%d taken, %d turned down", taken, down)
+	if accepted < 2_000 || rejected < 2_000 {
+		t.Errorf("%d accepted, %d rejected", accepted, rejected)
 	}
 }
 
-// The keys that an entry is told by are noted as encoding/json finds them, in whatever pieces a text comes.
-func TestEntriesHaveTheKeysTheyAreToldBy(t *testing.T) {
+// The key sets of entries are those that encoding/json finds, also if the text is read byte by byte.
+func TestTenantKeySetsMatchEncodingJSON(t *testing.T) {
 	texts := []string{someTenants, `[{"name":"a","quota_per_s":1,"share":2},{"share":2,"name":"a","quota_per_s":1}]`,
 		`[{"name":"share","quota_per_s":1,"SHARE":2}]`, `[{"NAME":"quota_per_s","quota_per_s":1,"share":2}]`, `[{"name":"name","Quota_per_s":1,"share":2}]`,
 		`[{"Name":"a","quota_per_s":1,"share":2}]`, `[{"name":"a","quota_per_s":1,"share":null},{"name":null,"quota_per_s":1,"share":2}]`,
@@ -127,13 +127,13 @@
 	rng := rand.New(rand.NewPCG(3, 3))
 	for range 10_000 {
 		text := []byte(texts[rng.IntN(15)])
-		if text = damage(rng, text); json.Valid(text) {
+		if text = corrupt(rng, text); json.Valid(text) {
 			texts = append(texts, string(text))
 		}
 	}
 	compared := 0
 	for _, text := range texts {
-		if _, err := plainly([]byte(text)); err != nil || text[0] != '[' {
+		if _, err := referenceTenants([]byte(text)); err != nil || text[0] != '[' {
 			continue
 		}
 		var want []map[string]any
@@ -141,19 +141,19 @@
 			t.Fatal(err)
 		}
 		for _, from := range []io.Reader{strings.NewReader(text), iotest.OneByteReader(strings.NewReader(text))} {
-			in := newStream(from)
+			in := newRecordingDecoder(from)
 			var list Tenants
 			if _, err := in.Token(); err != nil {
 				t.Fatal(err)
 			}
-			if fault, err := list.read(in); fault != nil || err != nil || list.Len() != len(want) {
-				t.Fatalf("%s: %v, %v, %d entries of %d", text, fault, err, list.Len(), len(want))
+			if invalid, err := list.read(in); invalid != nil || err != nil || list.Len() != len(want) {
+				t.Fatalf("%s: %v, %v, %d entries of %d", text, invalid, err, list.Len(), len(want))
 			}
 			i := 0
 			for r := range list.entries.all() {
-				got := list.shapes[r.shape]
+				got := list.keySets[r.keySetIndex]
 				if (got == nil) != (want[i] == nil) || !slices.Equal(got, slices.Sorted(maps.Keys(want[i]))) {
-					t.Fatalf("%s: [%d] has %q, want %v", text, i, got, want[i])
+					t.Fatalf("%s: entry %d has the keys %q, want %v", text, i, got, want[i])
 				}
 				i++
 			}
@@ -161,13 +161,13 @@
 		compared++
 	}
 	if compared < 1_000 {
-		t.Errorf("%d compared", compared)
+		t.Errorf("only %d texts compared", compared)
 	}
 }
 
-// A list that is longer than what is read at a time is read apart from its file, whatever lies around it, and a fault in it is
-// named, though what follows is read too.
-func TestALongListIsReadApart(t *testing.T) {
+// A list longer than the read buffer is extracted from its file, with long values around it. An error in an entry is
+// reported, and the rest of the list is still read.
+func TestLongTenantListIsExtracted(t *testing.T) {
 	var long []Tenant
 	for i := range 20_000 {
 		long = append(long, Tenant{strconv.Itoa(i) + strings.Repeat("x", i%70), float64(i), 1 / float64(i+1)})
@@ -177,31 +177,31 @@
 		t.Fatal(err)
 	}
 	path := filepath.Join(t.TempDir(), "config.json")
-	whole := strings.Replace(withTenants(string(list)), `{"name":"n3"`, ` {"known":["`+strings.Repeat("k", 3*readBytes)+`"], "name":"n3"`, 1)
+	whole := strings.Replace(withTenants(string(list)), `{"name":"n3"`, ` {"known":["`+strings.Repeat("k", 3*readBufferBytes)+`"], "name":"n3"`, 1)
 	if err := os.WriteFile(path, []byte(whole), 0o600); err != nil {
 		t.Fatal(err)
 	}
-	text, got, apart, fault, err := readApart(path)
-	if err != nil || fault != nil || !apart || string(text) != strings.Replace(whole, string(list), "null", 1) {
-		t.Fatalf("%v, %v, %d bytes of %d", err, fault, len(text), len(whole))
+	text, got, extracted, invalid, err := readExtractingTenants(path)
+	if err != nil || invalid != nil || !extracted || string(text) != strings.Replace(whole, string(list), "null", 1) {
+		t.Fatalf("%v, %v, %d bytes of %d", err, invalid, len(text), len(whole))
 	}
 	if again, err := json.Marshal(got); err != nil || !bytes.Equal(again, list) {
-		t.Errorf("%v, or another list is read", err)
+		t.Errorf("%v, or the list differs", err)
 	}
 	bad := strings.Replace(strings.Replace(whole, `"quota_per_s":7,`, `"quota_per_s":-7,`, 1), `"quota_per_s":9,`, `"quota_per_s":"9",`, 1)
 	if err := os.WriteFile(path, []byte(bad), 0o600); err != nil {
 		t.Fatal(err)
 	}
-	if text, _, apart, fault, err = readApart(path); err != nil || !apart || len(text) > 4*readBytes || fault == nil || !strings.HasPrefix(fault.Error(), "tenants[7].quota_per_s: -7") {
-		t.Errorf("%v, %v, %d bytes", err, fault, len(text))
+	if text, _, extracted, invalid, err = readExtractingTenants(path); err != nil || !extracted || len(text) > 4*readBufferBytes || invalid == nil || !strings.HasPrefix(invalid.Error(), "tenants[7].quota_per_s: -7") {
+		t.Errorf("%v, %v, %d bytes", err, invalid, len(text))
 	}
 	if _, err := Load(func(name string) string { return map[string]string{"RELAY_CONFIG": path}[name] }); err == nil || !strings.Contains(err.Error(), "settings: conf: tenants[7].quota_per_s") {
-		t.Errorf("a list with a fault: %v", err)
+		t.Errorf("a list with an invalid entry: %v", err)
 	}
 }
 
-// A configuration may come through a pipe, which is read once.
-func TestTenantsComeThroughAPipe(t *testing.T) {
+// A configuration may be read from a pipe, which can only be read once.
+func TestLoadFromPipe(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "pipe")
 	if err := syscall.Mkfifo(path, 0o600); err != nil {
 		t.Fatal(err)
@@ -213,34 +213,34 @@
 	}
 }
 
-// lacksPlainly is the comparison of keys on all that encoding/json makes of two texts, without anything of ours.
-func lacksPlainly(at string, had, has any) string {
-	switch had := had.(type) {
+// referenceMissingKey is a plain implementation of missingKey on two texts that encoding/json decoded.
+func referenceMissingKey(parent string, current, updated any) string {
+	switch current := current.(type) {
 	case map[string]any:
-		has, ok := has.(map[string]any)
+		updated, ok := updated.(map[string]any)
 		if !ok {
-			return at
+			return parent
 		}
-		for _, key := range slices.Sorted(maps.Keys(had)) {
-			v, ok := has[key]
-			if at == "" && (key == "known" || key == "seed") {
+		for _, key := range slices.Sorted(maps.Keys(current)) {
+			v, ok := updated[key]
+			if parent == "" && (key == "known" || key == "seed") {
 				continue
 			}
-			path := strings.TrimPrefix(at+"."+key, ".")
+			path := strings.TrimPrefix(parent+"."+key, ".")
 			if !ok {
 				return path
 			}
-			if missing := lacksPlainly(path, had[key], v); missing != "" {
+			if missing := referenceMissingKey(path, current[key], v); missing != "" {
 				return missing
 			}
 		}
 	case []any:
-		list, ok := has.([]any)
+		list, ok := updated.([]any)
 		if !ok {
-			return at
+			return parent
 		}
-		common, objects := map[string]any{}, len(had) > 0
-		for i, v := range had {
+		common, objects := map[string]any{}, len(current) > 0
+		for i, v := range current {
 			o, ok := v.(map[string]any)
 			if objects = objects && ok; !objects {
 				break
@@ -256,7 +256,7 @@
 			if !objects {
 				break
 			}
-			if missing := lacksPlainly(at+"["+strconv.Itoa(i)+"]", common, v); missing != "" {
+			if missing := referenceMissingKey(parent+"["+strconv.Itoa(i)+"]", common, v); missing != "" {
 				return missing
 			}
 		}
@@ -264,9 +264,9 @@
 	return ""
 }
 
-// A configuration that is read again gets the verdict of the plain way, whatever became of its tenants: what is missing is
-// named by the same key, and what is taken is what was written.
-func TestReloadedTenantsGetThePlainVerdict(t *testing.T) {
+// Reload must accept and reject the same configurations as a plain implementation, also after the tenants were moved to
+// a table. It must name the same missing key, and the table must hold what was written.
+func TestReloadTenantsMatchesReference(t *testing.T) {
 	rng := rand.New(rand.NewPCG(11, 11))
 	lists := []string{someTenants, `[]`, `null`, `[{"name":"acme","quota_per_s":5}]`, `[{"quota_per_s":5,"name":"x"},{"name":"acme","quota_per_s":5}]`,
 		`[{"name":"acme"},{"quota_per_s":5}]`, `[null]`, `[{}]`, `[{"name":"acme","quota_per_s":5,"share":1},null]`, `5`, `{}`, `[{"NAME":"x","share":1}]`}
@@ -277,75 +277,75 @@
 			t.Fatal(err)
 		}
 	}
-	texts := []string{inForce, strings.Replace(withTenants(someTenants), `"zone":"a",`, `"zone":"a","Tenants":[{"name":"last"}],`, 1),
+	texts := []string{currentConfig, strings.Replace(withTenants(someTenants), `"zone":"a",`, `"zone":"a","Tenants":[{"name":"last"}],`, 1),
 		strings.Replace(withTenants(someTenants), `"discovery":"ask",`, `"Tenants":[{"name":"last"}],"discovery":"ask",`, 1), strings.Replace(withTenants(someTenants), `"tenants"`, `"Tenants"`, 1), strings.Replace(withTenants(someTenants), `"tenants"`, `"t\u0065nants"`, 1),
 		strings.Replace(withTenants(someTenants), `"zone":"a",`, `"zone":"a","tenants":[{"name":"first"}],`, 1), strings.Replace(withTenants(someTenants), `"settings":`, `"settings":{"tenants":[5]},"settings":`, 1),
-		strings.Replace(inForce, `"settings":`, `"settings":{"tenants":[{"name":"before"}]},"settings":`, 1),
+		strings.Replace(currentConfig, `"settings":`, `"settings":{"tenants":[{"name":"before"}]},"settings":`, 1),
 		strings.Replace(withTenants(someTenants), `"tenants":`, `"tenants":x`, 1), strings.Replace(withTenants(`[]`), `[]`, `[]x`, 1)}
 	for _, list := range lists {
 		texts = append(texts, withTenants(list))
 	}
-	whole := slices.Clone(texts)
+	bases := slices.Clone(texts)
 	for range 1_500 {
-		text := []byte(whole[rng.IntN(len(whole))])
-		if i := strings.Index(string(text), "enants"); i > 0 && rng.IntN(3) > 0 { // in the list or close to it
+		text := []byte(bases[rng.IntN(len(bases))])
+		if i := strings.Index(string(text), "enants"); i > 0 && rng.IntN(3) > 0 { // in or near the list
 			end := min(len(text), i+rng.IntN(220))
 			i -= 3
-			text = slices.Concat(text[:i], damage(rng, slices.Clone(text[i:end])), text[end:])
+			text = slices.Concat(text[:i], corrupt(rng, slices.Clone(text[i:end])), text[end:])
 		} else {
-			text = damage(rng, text)
+			text = corrupt(rng, text)
 		}
 		texts = append(texts, string(text))
 	}
 	verdicts := map[string]int{}
-	for i, force := range whole {
-		write(force)
+	for i, currentText := range bases {
+		write(currentText)
 		c, err := Load(env)
 		if err != nil {
 			continue
 		}
-		var had any
-		if err := json.Unmarshal([]byte(force), &had); err != nil {
+		var current any
+		if err := json.Unmarshal([]byte(currentText), &current); err != nil {
 			t.Fatal(err)
 		}
 		table := new(tenants.Table)
 		c.Tenants.Into(table, 1)
 		for k, text := range texts {
-			if k >= len(whole) && k%len(whole) != i {
+			if k >= len(bases) && k%len(bases) != i {
 				continue
 			}
 			write(text)
 			next, err := c.Reload(env)
-			var has any
+			var updated any
 			var outer struct{ Settings json.RawMessage }
 			var plain struct{ Tenants json.RawMessage }
 			var list []Tenant
-			broken := json.Unmarshal([]byte(text), &has)
-			if broken == nil {
-				broken = json.Unmarshal([]byte(text), &outer)
+			wantErr := json.Unmarshal([]byte(text), &updated)
+			if wantErr == nil {
+				wantErr = json.Unmarshal([]byte(text), &outer)
 			}
-			if broken == nil {
-				broken = json.Unmarshal(outer.Settings, &plain)
+			if wantErr == nil {
+				wantErr = json.Unmarshal(outer.Settings, &plain)
 			}
-			if broken == nil && plain.Tenants != nil {
-				list, broken = plainly(plain.Tenants)
+			if wantErr == nil && plain.Tenants != nil {
+				list, wantErr = referenceTenants(plain.Tenants)
 			}
-			switch missing := lacksPlainly("", had, has); {
-			case broken != nil:
+			switch missing := referenceMissingKey("", current, updated); {
+			case wantErr != nil:
 				if err == nil {
-					t.Fatalf("taken, though %v: %s", broken, text)
+					t.Fatalf("accepted, though %v: %s", wantErr, text)
 				}
-				verdicts["broken"]++
+				verdicts["malformed"]++
 			case err == nil && missing != "":
-				t.Fatalf("taken, though %s is missing: %s", missing, text)
+				t.Fatalf("accepted, though %s is missing: %s", missing, text)
 			case err != nil && strings.HasSuffix(err.Error(), " is missing") && !strings.Contains(err.Error(), "settings: ") && err.Error() != missing+" is missing":
-				t.Fatalf("%v; plainly it is %q: %s after %s", err, missing, text, force)
+				t.Fatalf("%v, want %q: %s after %s", err, missing, text, currentText)
 			case err != nil && strings.Contains(err.Error(), "tenants") && missing == "":
-				t.Fatalf("%v, though nothing is missing: %s after %s", err, text, force)
+				t.Fatalf("%v, though nothing is missing: %s after %s", err, text, currentText)
 			case err != nil:
-				verdicts["missing"]++
+				verdicts["rejected"]++
 			default:
-				verdicts["taken"]++
+				verdicts["accepted"]++
 				want := map[string]tenants.Terms{}
 				for _, e := range list {
 					want[e.Name] = tenants.Terms{Quota: e.Quota, Share: e.Share}
@@ -361,15 +361,15 @@
 			}
 		}
 	}
-	for _, v := range []string{"broken", "missing", "taken"} {
+	for _, v := range []string{"malformed", "rejected", "accepted"} {
 		if verdicts[v] < 100 {
-			t.Errorf("%d are %s", verdicts[v], v)
+			t.Errorf("only %d are %s", verdicts[v], v)
 		}
 	}
 }
 
-// A list enters a table beside entries that somebody else told, and takes its own out again, not theirs.
-func TestAListEntersATableBesideOthers(t *testing.T) {
+// Into replaces the entries of the previous list and leaves entries of other sources in the table.
+func TestTenantsIntoKeepsForeignEntries(t *testing.T) {
 	table := new(tenants.Table)
 	table.Put("theirs", tenants.Terms{Quota: 1}, 17, 3)
 	table.Put("both", tenants.Terms{Quota: 2}, 18, 4)
@@ -378,7 +378,7 @@
 	own, _ := table.Find("own")
 	second := TenantsOf([]Tenant{{"comes", 1, 0}, {"own", 50, 0.5}, {"twice", 8, 0}})
 	if !first.Differ(&second) || second.Differ(&second) {
-		t.Error("lists that differ do not, or one that does not does")
+		t.Error("Differ is false for different lists, or true for the same list")
 	}
 	second.Into(table, 2)
 	got := map[string]float64{}
@@ -387,38 +387,38 @@
 	}
 	want := map[string]float64{"theirs": 1, "both": 2, "own": 50, "twice": 8, "comes": 1}
 	if again, _ := table.Find("own"); !maps.Equal(got, want) || again.ID != own.ID {
-		t.Errorf("%v, want %v; the number %d became %d", got, want, own.ID, again.ID)
+		t.Errorf("%v, want %v; the ID %d became %d", got, want, own.ID, again.ID)
 	}
 	if revision, sum, ok := table.At("theirs"); revision != 17 || sum != 3 || !ok {
 		t.Errorf("theirs has revision %d and sum %d", revision, sum)
 	}
 }
 
-// The lists of two configurations in force tell what a third must have, also once they have gone into a table; nothing of
-// their text is kept.
-func TestALongListIsNotKept(t *testing.T) {
-	c, reload := reloading(t)
+// Once the entries are in a table, neither they nor their text are kept, and the keys of the list can still be compared
+// with those of the next one.
+func TestTenantEntriesAreReleased(t *testing.T) {
+	c, reload := newReloader(t)
 	next, err := reload(withTenants(someTenants))
 	if err != nil || !c.Tenants.Differ(&next.Tenants) {
 		t.Fatalf("%v", err)
 	}
 	next.Tenants.Into(new(tenants.Table), 2)
 	if next.Tenants.entries != nil {
-		t.Error("entries are kept of a list that is in a table")
+		t.Error("the entries are kept after Into")
 	}
 	c.Keep(next)
-	if c.Tenants.entries != nil || len(c.text) > len(inForce)+40 || len(c.Raw) > len(inForce) || !reflect.DeepEqual(c.Settings.Tenants, Tenants{}) {
-		t.Errorf("%d bytes of text, %d of the settings and %d blocks of tenants are kept", len(c.text), len(c.Raw), len(c.Tenants.entries))
+	if c.Tenants.entries != nil || len(c.text) > len(currentConfig)+40 || len(c.Raw) > len(currentConfig) || !reflect.DeepEqual(c.Settings.Tenants, Tenants{}) {
+		t.Errorf("%d bytes of text, %d of the settings and %d blocks of tenants are still held", len(c.text), len(c.Raw), len(c.Tenants.entries))
 	}
 	if same, err := reload(withTenants(someTenants)); err != nil || c.Tenants.Differ(&same.Tenants) {
-		t.Errorf("the same again: %v", err)
+		t.Errorf("reload of the same list: %v", err)
 	} else if c.Keep(same); c.Tenants.entries != nil {
-		t.Error("entries are kept of a list that was in the table already")
+		t.Error("Keep holds the entries of a list that is already in the table")
 	}
 	if _, err := reload(strings.Replace(withTenants(someTenants), `"quota_per_s":5,`, "", 1)); err == nil || !strings.Contains(err.Error(), "settings.tenants[0].quota_per_s is missing") {
 		t.Errorf("%v", err)
 	}
-	if _, err := reload(inForce); err == nil || !strings.Contains(err.Error(), "settings.tenants is missing") {
+	if _, err := reload(currentConfig); err == nil || !strings.Contains(err.Error(), "settings.tenants is missing") {
 		t.Errorf("%v", err)
 	}
 }
--- a/internal/config/zones.go
+++ b/internal/config/zones.go
@@ -9,23 +9,23 @@
 	"pewterrudder/internal/zones"
 )
 
-// Zones says which zones a call may go to, and in which order. Without names zones are not looked at, and each app node
-// is as good as another but for the module's prices. All figures but the names may be left out.
+// Zones configures the zones that requests may go to, and their order. Without names, zones are ignored and app nodes
+// differ only by the prices of the decisions (see brain.Prices). Every number may be left out.
 type Zones struct {
-	Names  []string   `json:"names"`   // all zones that app nodes stand in
-	Tiers  [][]string `json:"tiers"`   // in order of preference, those of a tier alike; the balancer's own comes first by itself
-	Fill   float64    `json:"fill"`    // share of another zone's capacity up to which calls may go there
-	FullAt float64    `json:"full_at"` // share of the own zone's capacity from which calls leave it
+	Names  []string   `json:"names"`   // all zones of app nodes
+	Tiers  [][]string `json:"tiers"`   // in order of preference, equal within a tier; the own zone is always first
+	Fill   float64    `json:"fill"`    // share of another zone's capacity up to which it accepts spilled requests
+	FullAt float64    `json:"full_at"` // share of the own zone's capacity above which requests spill over
 
-	SilentMs    float64 `json:"silent_ms"`     // without a sign of life until a zone counts as dark
-	TrialMs     float64 `json:"trial_ms"`      // between trials of a dark zone
-	HoldFirstMs float64 `json:"hold_first_ms"` // of good trials before it gets calls back; doubled each time it is lost again
+	SilentMs    float64 `json:"silent_ms"`     // silence after which a zone counts as down
+	TrialMs     float64 `json:"trial_ms"`      // between trials of a zone that is down
+	HoldFirstMs float64 `json:"hold_first_ms"` // of successful trials before requests return; doubled with each further outage
 	HoldMostMs  float64 `json:"hold_most_ms"`
-	ForgiveMs   float64 `json:"forgive_ms"` // of good service until that is forgotten
-	SettleMs    float64 `json:"settle_ms"`  // from a change until load reports show it
+	ForgiveMs   float64 `json:"forgive_ms"` // of normal service after which the hold is reset
+	SettleMs    float64 `json:"settle_ms"`  // time until load reports show a change
 }
 
-// check finds what does not depend on the platform's word.
+// check reports what is invalid regardless of the platform's configuration.
 func (z *Zones) check() error {
 	if len(z.Names) == 0 {
 		if len(z.Tiers) > 0 {
@@ -35,14 +35,14 @@
 	}
 	for i, name := range z.Names {
 		if name == "" || slices.Contains(z.Names[:i], name) {
-			return fmt.Errorf("zones.names[%d]: %q is empty or there twice", i, name)
+			return fmt.Errorf("zones.names[%d]: %q is empty or listed twice", i, name)
 		}
 	}
 	seen := map[string]bool{}
 	for i, tier := range z.Tiers {
 		for _, name := range tier {
 			if !slices.Contains(z.Names, name) || seen[name] {
-				return fmt.Errorf("zones.tiers[%d]: %q is none of zones.names, or is there twice", i, name)
+				return fmt.Errorf("zones.tiers[%d]: %q is not in zones.names, or is listed twice", i, name)
 			}
 			seen[name] = true
 		}
@@ -55,16 +55,16 @@
 		{"hold_first_ms", z.HoldFirstMs, 20, 600_000}, {"hold_most_ms", z.HoldMostMs, 20, 3_600_000}, {"forgive_ms", z.ForgiveMs, 100, 86_400_000},
 		{"settle_ms", z.SettleMs, 100, 600_000}} {
 		if k.v != 0 && !(k.v >= k.lo && k.v <= k.hi) { // NaN fails both
-			return fmt.Errorf("zones.%s: %v lies outside %v to %v", k.key, k.v, k.lo, k.hi)
+			return fmt.Errorf("zones.%s: %v is outside %v to %v", k.key, k.v, k.lo, k.hi)
 		}
 	}
 	return nil
 }
 
-// In counts on the balancers to be spread evenly over the zones: those beside the same zone are lost, and spill, with it.
-// A wrong number moves little, since what it comes to is seen in load reports.
+// In returns the settings of a pool for a balancer in zone b.Zone, or nil if zones are ignored.
 //
-// It gives the form that a pool takes for a balancer of a zone, or nil where zones are not looked at.
+// It assumes that balancers are spread evenly over the zones: those in the same zone fail and spill over together. A
+// wrong count has little effect, because load reports show the result.
 func (z *Zones) In(b *brain.Settings) (*zones.Settings, error) {
 	if len(z.Names) == 0 {
 		return nil, nil
@@ -77,7 +77,7 @@
 		SilentFor: FromMs(z.SilentMs), TrialEvery: FromMs(z.TrialMs), HoldFirst: FromMs(z.HoldFirstMs), HoldMost: FromMs(z.HoldMostMs),
 		Forgive: FromMs(z.ForgiveMs), Settle: FromMs(z.SettleMs)}
 	placed := map[int]bool{own: true}
-	add := func(names []string) {
+	addTier := func(names []string) {
 		var tier []int
 		for _, name := range names {
 			if i := slices.Index(z.Names, name); !placed[i] {
@@ -90,14 +90,14 @@
 		}
 	}
 	for _, tier := range z.Tiers {
-		add(tier)
+		addTier(tier)
 	}
-	add(z.Names) // those that no tier names come last
+	addTier(z.Names) // zones without a tier come last
 	for i := range b.Classes {
 		c := &b.Classes[i]
 		value := c.Worth
 		if !b.WorthByWork {
-			value /= cmp.Or(c.Aim.Seconds(), 1) // the aim stands for the work, which is not told
+			value /= cmp.Or(c.Aim.Seconds(), 1) // the latency target stands in for the amount of work, which is unknown
 		}
 		s.Classes = append(s.Classes, zones.Class{Value: value, Movable: c.Repeat == brain.Safe || c.Repeat == brain.Keyed && c.Scope == brain.ScopeAll})
 	}
--- a/internal/config/zones_test.go
+++ b/internal/config/zones_test.go
@@ -10,7 +10,7 @@
 	"pewterrudder/internal/zones"
 )
 
-func TestZonesAreOrderedFromTheBalancersOwn(t *testing.T) {
+func TestZonesStartWithOwnZone(t *testing.T) {
 	z := Zones{Names: []string{"x", "y", "z", "w"}, Tiers: [][]string{{"x", "y"}, {"z"}}, SilentMs: 300, Fill: 0.7}
 	b := brain.Settings{Zone: "y", Nodes: 3, WorthByWork: true, Classes: []brain.Class{{Repeat: brain.Safe, Worth: 1, Aim: time.Second},
 		{Repeat: brain.Keyed, Scope: brain.ScopeZone, Worth: 5, Aim: time.Second}, {Repeat: brain.Keyed, Scope: brain.ScopeAll, Worth: 2, Aim: time.Second}}}
