--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -245,7 +245,7 @@
 	case "Gone":
 		m.State = brain.Gone
 	default:
-		return m, fmt.Errorf("unknown state %q", e.State)
+		return m, fmt.Errorf("unknown readiness %q", e.State)
 	}
 	if e.Server == "" {
 		return m, errors.New("server is missing")
--- a/internal/config/zones.go
+++ b/internal/config/zones.go
@@ -19,7 +19,7 @@
 
 	SilentMs    float64 `json:"silent_ms"`     // silence after which a zone counts as down
 	TrialMs     float64 `json:"trial_ms"`      // between trials of a zone that is down
-	HoldFirstMs float64 `json:"hold_first_ms"` // of successful trials before requests return; doubled with each further outage
+	HoldFirstMs float64 `json:"hold_first_ms"` // of good trials before requests return; doubled per outage
 	HoldMostMs  float64 `json:"hold_most_ms"`
 	ForgiveMs   float64 `json:"forgive_ms"` // of normal service after which the hold is reset
 	SettleMs    float64 `json:"settle_ms"`  // time until load reports show a change
