--- a/internal/lab/enginelab/engine.go
+++ b/internal/lab/enginelab/engine.go
@@ -101,10 +101,10 @@
 
 func (e *engine) beginReading(reading *job) {
 	missing := e.kept.missing(reading.blocks)
-	reading.toRead = max(1, prefixcache.Tokens(missing))
+	reading.toRead = max(1, prefixcache.TotalTokens(missing))
 	e.read += float64(reading.toRead)
 	if e.onRead != nil {
-		e.onRead(prefixcache.Shared(reading.blocks), missing)
+		e.onRead(prefixcache.SharedBlocks(reading.blocks), missing)
 	}
 	e.kept.use(reading.blocks)
 }
--- a/internal/lab/enginelab/enginelab_test.go
+++ b/internal/lab/enginelab/enginelab_test.go
@@ -17,7 +17,7 @@
 
 // mixed has streams and prompts share all instances.
 func mixed(day Setup) Setup {
-	day.Selection.Mixed = true
+	day.Selection.NoStreamSet = true
 	return day
 }
 
--- a/internal/lab/enginelab/fleet.go
+++ b/internal/lab/enginelab/fleet.go
@@ -145,16 +145,16 @@
 		f.clock.after(sightingsDelay, func() {
 			for i, hearing := range f.routers {
 				if i != from {
-					hearing.selector.TakeSightings(f.wallClock(), []sightings.Sighting{sighting})
+					hearing.selector.RecordRemoteSightings(f.wallClock(), []sightings.Sighting{sighting})
 				}
 			}
 		})
 	}
 	return &selection.SightingOptions{
-		Announce: announce,
-		Alive:    func(time.Time) bool { return true },
-		Recent:   func(time.Time) []sightings.Sighting { return nil },
-		Again:    f.setup.SightingsAgain,
+		Announce:        announce,
+		IsCurrent:       func(time.Time) bool { return true },
+		Recent:          func(time.Time) []sightings.Sighting { return nil },
+		DuplicateWindow: f.setup.SightingsAgain,
 	}
 }
 
@@ -175,14 +175,14 @@
 	report := protocol.Report{Queued: len(of.engine.waiting), Running: len(of.engine.running), KVTotal: int64(f.setup.Engine.Capacity)}
 	f.clock.after(reportLag, func() {
 		for _, hearing := range f.routers {
-			hearing.selector.TakeReport(of.info.ID, &report)
+			hearing.selector.RecordRemoteReport(of.info.ID, &report)
 		}
 	})
 }
 
 // noteRead counts shared tokens that were read before, somewhere, and are read again.
 func (f *fleet) noteRead(shared, missing []prefixcache.Block) {
-	for _, block := range prefixcache.Shared(missing) {
+	for _, block := range prefixcache.SharedBlocks(missing) {
 		if f.wasRead[block.ID] && f.clock.Now() >= f.setup.CountFrom {
 			f.result.ReadAgain += float64(block.Tokens)
 		}
@@ -250,7 +250,7 @@
 		result:  counted,
 		at:      f.clients[f.random.IntN(len(f.clients))],
 		arrived: f.clock.Now(),
-		job:     &job{blocks: blocks, prompt: prefixcache.Tokens(blocks), output: events * f.setup.Engine.StrideTokens},
+		job:     &job{blocks: blocks, prompt: prefixcache.TotalTokens(blocks), output: events * f.setup.Engine.StrideTokens},
 	})
 }
 
--- a/internal/lab/enginelab/homes_test.go
+++ b/internal/lab/enginelab/homes_test.go
@@ -73,8 +73,8 @@
 // TestBurstsReadLittleAgain: a burst widens the pick to those that keep the prefix alone, and a wider pick would read much again.
 func TestBurstsReadLittleAgain(t *testing.T) {
 	day := burstingDay()
-	widened, narrow := Run(day), Run(withWidths(day, balance.Widths{Rest: 1}))
+	widened, narrow := Run(day), Run(withWidths(day, balance.Widths{Normal: 1}))
 	assert.Assert(t, widened.Kinds["plan"].Late() < 0.02, "%v", widened.Kinds["plan"].Late())
 	assert.Assert(t, widened.ReadAgain < 1.1*narrow.ReadAgain, "%v, %v", widened.ReadAgain, narrow.ReadAgain)
-	assert.Assert(t, Run(withWidths(day, balance.Widths{Rest: 6})).ReadAgain > 1.5*widened.ReadAgain)
+	assert.Assert(t, Run(withWidths(day, balance.Widths{Normal: 6})).ReadAgain > 1.5*widened.ReadAgain)
 }
--- a/internal/lab/enginelab/policy_bench_test.go
+++ b/internal/lab/enginelab/policy_bench_test.go
@@ -28,15 +28,15 @@
 func arms() []arm {
 	return []arm{
 		{"in service", func(*Setup) {}},
-		{"no stream set", func(day *Setup) { day.Selection.Mixed = true }},
+		{"no stream set", func(day *Setup) { day.Selection.NoStreamSet = true }},
 		{"no homes", func(day *Setup) { *day = withoutHomes(*day) }},
-		{"read again 0", withWeights(func(w *balance.Weights) { w.ReadAgain = 0 })},
-		{"read again 3", withWeights(func(w *balance.Weights) { w.ReadAgain = 3 })},
-		{"read again 30", withWeights(func(w *balance.Weights) { w.ReadAgain = 30 })},
+		{"read again 0", withWeights(func(w *balance.Weights) { w.DuplicatePrefill = 0 })},
+		{"read again 3", withWeights(func(w *balance.Weights) { w.DuplicatePrefill = 3 })},
+		{"read again 30", withWeights(func(w *balance.Weights) { w.DuplicatePrefill = 30 })},
 		{"engine occupancy 0", withWeights(func(w *balance.Weights) { w.EngineOccupancy = 0 })},
 		{"engine occupancy 2", withWeights(func(w *balance.Weights) { w.EngineOccupancy = 2 })},
-		{"ths 2", func(day *Setup) { *day = withWidths(*day, balance.Widths{Rest: 2, BurstShare: 0.5}) }},
-		{"thl 1", func(day *Setup) { *day = withWidths(*day, balance.Widths{Rest: 1}) }},
+		{"ths 2", func(day *Setup) { *day = withWidths(*day, balance.Widths{Normal: 2, BurstShare: 0.5}) }},
+		{"thl 1", func(day *Setup) { *day = withWidths(*day, balance.Widths{Normal: 1}) }},
 		{"sightings of 20 s", func(day *Setup) { day.SightingsAgain = 20 * time.Second }},
 	}
 }
--- a/internal/lab/routerdemo/instance.go
+++ b/internal/lab/routerdemo/instance.go
@@ -98,7 +98,7 @@
 	header := w.Header()
 	header.Set("Content-Type", "text/event-stream")
 	header.Set(protocol.HeaderRequestID, r.Header.Get(protocol.HeaderRequestID))
-	header.Set(protocol.HeaderSignature, "demo."+i.id)
+	header.Set(protocol.HeaderResponseSignature, "demo."+i.id)
 	header.Set(protocol.HeaderLoad, fmt.Sprintf("%d,0,%d", running, slots))
 	if !pause(r.Context(), firstTokenAfter) {
 		return
--- a/internal/lab/routerdemo/load.go
+++ b/internal/lab/routerdemo/load.go
@@ -107,7 +107,7 @@
 	if answer.StatusCode != http.StatusOK || strings.Count(string(body), "data:") != tokens {
 		return "", fmt.Errorf("status %d: %s", answer.StatusCode, body)
 	}
-	return answer.Header.Get(protocol.HeaderSignature), nil
+	return answer.Header.Get(protocol.HeaderResponseSignature), nil
 }
 
 func (l *load) print(out io.Writer) {
--- a/internal/router/attempt/head.go
+++ b/internal/router/attempt/head.go
@@ -171,7 +171,7 @@
 			return errors.Wrap(ErrMalformed, "two request ids")
 		}
 		h.id, h.hasID = value, true
-	case protocol.HeaderSignature:
+	case protocol.HeaderResponseSignature:
 		h.signed = true
 	case protocol.HeaderNotExecuted:
 		h.notExecuted = true
--- a/internal/router/attempt/outcome_test.go
+++ b/internal/router/attempt/outcome_test.go
@@ -23,7 +23,7 @@
 	assert.Equal(t, response.Status, 200)
 	assert.Equal(t, string(response.Body), "fine")
 	assert.Equal(t, response.Load, "1,2,3")
-	assert.DeepEqual(t, response.Fields, []Field{{protocol.HeaderSignature, "s"}, {"X-Own", "a"}, {"X-Own", "b"},
+	assert.DeepEqual(t, response.Fields, []Field{{protocol.HeaderResponseSignature, "s"}, {"X-Own", "a"}, {"X-Own", "b"},
 		{protocol.HeaderRequestID, testID}})
 }
 
--- a/internal/router/balance/choose.go
+++ b/internal/router/balance/choose.go
@@ -6,18 +6,18 @@
 
 // Widths set K, the number of candidates among which the pick is uniform, at rest and during a burst.
 type Widths struct {
-	Rest        int     // K outside of bursts; the design's ths
+	Normal      int     // K outside of bursts; the design's ths
 	BurstShare  float64 // K in a burst (the design's thl) as a share of the candidates, rounded up
 	PrefixBurst int     // K in a burst for requests that share a prefix, which each further instance would prefill again
 }
 
 // DefaultWidths are the widths used in production. They are the design's, except for shared prefixes: there K of half
 // the instances costs more in duplicate prefill than it gains.
-var DefaultWidths = Widths{Rest: 1, BurstShare: 0.5, PrefixBurst: 2}
+var DefaultWidths = Widths{Normal: 1, BurstShare: 0.5, PrefixBurst: 2}
 
 // K returns the number of least loaded candidates among which the pick is uniform, from 1 to candidates.
 func (w Widths) K(candidates int, burst, sharesPrefix bool) int {
-	width := w.Rest
+	width := w.Normal
 	if burst {
 		width = max(width, w.burstWidth(candidates, sharesPrefix))
 	}
--- a/internal/router/balance/choose_test.go
+++ b/internal/router/balance/choose_test.go
@@ -9,7 +9,7 @@
 )
 
 func TestWidths(t *testing.T) {
-	widths := Widths{Rest: 1, BurstShare: 0.5, PrefixBurst: 2}
+	widths := Widths{Normal: 1, BurstShare: 0.5, PrefixBurst: 2}
 	cases := []struct {
 		candidates          int
 		burst, sharesPrefix bool
@@ -22,8 +22,8 @@
 	for _, c := range cases {
 		assert.Equal(t, widths.K(c.candidates, c.burst, c.sharesPrefix), c.want, "%+v", c)
 	}
-	assert.Equal(t, Widths{Rest: 3}.K(2, false, false), 2)
-	assert.Equal(t, Widths{Rest: 3, BurstShare: 0.1}.K(12, true, false), 3, "a burst never reduces K")
+	assert.Equal(t, Widths{Normal: 3}.K(2, false, false), 2)
+	assert.Equal(t, Widths{Normal: 3, BurstShare: 0.1}.K(12, true, false), 3, "a burst never reduces K")
 }
 
 func TestChooseWithoutCandidates(t *testing.T) { assert.Equal(t, Choose(nil, 1, 0), -1) }
--- a/internal/router/balance/cost.go
+++ b/internal/router/balance/cost.go
@@ -7,9 +7,9 @@
 	// EngineOccupancy replaces Occupancy for instances that run requests in batches, in multiples of the time to
 	// prefill a mean prompt: a taken slot there slows the other requests a little and does not block them.
 	EngineOccupancy float64
-	// ReadAgain is the price of duplicate prefill, that is of shared tokens that another instance has cached, in
+	// DuplicatePrefill is the price of duplicate prefill, that is of shared tokens that another instance has cached, in
 	// multiples of the prefill time and in addition to it.
-	ReadAgain float64
+	DuplicatePrefill float64
 	// ZoneHopMs is the cost of an attempt in another zone, in ms, and ZoneMsPerKB the additional cost of each 1,000
 	// bytes of its request.
 	ZoneHopMs   float64
@@ -23,7 +23,7 @@
 
 // DefaultWeights are the weights used in production.
 var DefaultWeights = Weights{
-	Occupancy: 1, EngineOccupancy: 0.5, ReadAgain: 10, ZoneHopMs: 1.5, ZoneMsPerKB: 1, DecodeDelay: 0.1,
+	Occupancy: 1, EngineOccupancy: 0.5, DuplicatePrefill: 10, ZoneHopMs: 1.5, ZoneMsPerKB: 1, DecodeDelay: 0.1,
 }
 
 // Candidate describes one instance with regard to the request that is to be sent.
@@ -74,7 +74,7 @@
 // duplicatePrefill returns the price of prefilling shared tokens that another instance has cached, in ms. Sources:
 // those of prefillTime, and the sightings of other routers or the homes of prefixes.
 func (w *Weights) duplicatePrefill(candidate *Candidate, performance Performance) float64 {
-	return w.ReadAgain * candidate.DuplicateTokens / performance.PrefillTokensPerMs
+	return w.DuplicatePrefill * candidate.DuplicateTokens / performance.PrefillTokensPerMs
 }
 
 // decodeDelay returns the price of the pauses in the answer during the prefill of other prompts, in ms. Sources: the
--- a/internal/router/casregister/acceptor.go
+++ b/internal/router/casregister/acceptor.go
@@ -55,7 +55,7 @@
 // Step processes one request.
 func (machine *AcceptorMachine) Step(request Request) (Output, error) {
 	if request.To != machine.pending.ID {
-		return Output{}, &IdentityError{Wanted: request.To, Actual: machine.pending.ID}
+		return Output{}, &WrongAcceptorError{Wanted: request.To, Actual: machine.pending.ID}
 	}
 	switch request.Kind {
 	case Prepare:
--- a/internal/router/casregister/acceptor_test.go
+++ b/internal/router/casregister/acceptor_test.go
@@ -62,9 +62,9 @@
 func TestAcceptorRejectsRequestsForOthers(t *testing.T) {
 	machine := NewAcceptorMachine(Record{ID: "a"})
 	_, err := machine.Step(Request{Kind: Prepare, To: "b", Ballot: ballotOf(1)})
-	other := new(IdentityError)
+	other := new(WrongAcceptorError)
 	assert.Assert(t, errors.As(err, &other))
-	assert.Equal(t, *other, IdentityError{Wanted: "b", Actual: "a"})
+	assert.Equal(t, *other, WrongAcceptorError{Wanted: "b", Actual: "a"})
 }
 
 func TestAcceptorRejectsMalformedRequests(t *testing.T) {
--- a/internal/router/casregister/client_test.go
+++ b/internal/router/casregister/client_test.go
@@ -139,10 +139,10 @@
 		return base, errRefused
 	case changeSet:
 		if base.Set.IsJoint() {
-			return Value{Set: base.Set.Leave(), Payload: base.Payload}, nil
+			return Value{Set: base.Set.LeaveJoint(), Payload: base.Payload}, nil
 		}
 		voters := client.simulation.randomVoters(base.Set.Voters)
-		return Value{Set: base.Set.Enter(voters), Payload: base.Payload}, nil
+		return Value{Set: base.Set.EnterJoint(voters), Payload: base.Payload}, nil
 	default:
 		return base, nil
 	}
@@ -169,7 +169,7 @@
 		client.recordChosen(result.State)
 		client.retry()
 	case Preempted:
-		client.highest = result.Higher
+		client.highest = result.HigherBallot
 		client.retry()
 	}
 }
--- a/internal/router/casregister/collector.go
+++ b/internal/router/casregister/collector.go
@@ -12,13 +12,13 @@
 	start   Set
 	known   *State
 	newest  *State
-	ended   Ended
+	ended   EndedAcceptors
 	queried map[AcceptorID]bool
 	// acceptedBallots maps each acceptor that has replied to its accepted ballot, zero if it has accepted nothing.
 	acceptedBallots map[AcceptorID]Ballot
 }
 
-func newQuorumCollector(start Set, known *State, ended Ended) quorumCollector {
+func newQuorumCollector(start Set, known *State, ended EndedAcceptors) quorumCollector {
 	return quorumCollector{
 		start:           start,
 		known:           known,
@@ -77,7 +77,7 @@
 	if collector.newest == nil && collector.start.Epoch != 0 {
 		return false
 	}
-	return collector.base().Value.Set.HasQuorumWithout(collector.ended, func(id AcceptorID) bool {
+	return collector.base().Value.Set.HasRecoveryQuorum(collector.ended, func(id AcceptorID) bool {
 		_, replied := collector.acceptedBallots[id]
 		return replied
 	})
--- a/internal/router/casregister/ended.go
+++ b/internal/router/casregister/ended.go
@@ -1,12 +1,12 @@
 package casregister
 
-// Ended is the set of volatile acceptors that are proven to have ended permanently: their records are lost, and they will
+// EndedAcceptors is the set of volatile acceptors that are proven to have ended permanently: their records are lost, and they will
 // never reply again.
-type Ended map[AcceptorID]bool
+type EndedAcceptors map[AcceptorID]bool
 
-// HasQuorumWithout is HasQuorum for a recovery. If the members of a list that have not ended are no majority of it, the
+// HasRecoveryQuorum is HasQuorum for a recovery. If the members of a list that have not ended are no majority of it, the
 // quorum of that list is all of these remaining members, of which there must be at least one.
-func (set Set) HasQuorumWithout(ended Ended, contains func(AcceptorID) bool) bool {
+func (set Set) HasRecoveryQuorum(ended EndedAcceptors, contains func(AcceptorID) bool) bool {
 	if set.IsZero() || !hasQuorumWithout(set.Voters, ended, contains) {
 		return false
 	}
@@ -15,12 +15,12 @@
 
 // NeedsRecovery reports whether some list of the set can no longer reach a majority while each list still has a member
 // that has not ended.
-func (set Set) NeedsRecovery(ended Ended) bool {
+func (set Set) NeedsRecovery(ended EndedAcceptors) bool {
 	isRemaining := func(id AcceptorID) bool { return !ended[id] }
-	return !set.HasQuorum(isRemaining) && set.HasQuorumWithout(ended, isRemaining)
+	return !set.HasQuorum(isRemaining) && set.HasRecoveryQuorum(ended, isRemaining)
 }
 
-func hasQuorumWithout(acceptors []Acceptor, ended Ended, contains func(AcceptorID) bool) bool {
+func hasQuorumWithout(acceptors []Acceptor, ended EndedAcceptors, contains func(AcceptorID) bool) bool {
 	remaining := 0
 	isMissing := false
 	for _, acceptor := range acceptors {
--- a/internal/router/casregister/ended_test.go
+++ b/internal/router/casregister/ended_test.go
@@ -6,8 +6,8 @@
 	"gotest.tools/v3/assert"
 )
 
-func endedNamed(names string) Ended {
-	ended := Ended{}
+func endedNamed(names string) EndedAcceptors {
+	ended := EndedAcceptors{}
 	for _, acceptor := range acceptorsNamed(names) {
 		ended[acceptor.ID] = true
 	}
@@ -22,7 +22,7 @@
 // TestRecoveryQuorum compares the quorums of recoveries with the expected ones, for a plain set and for a joint one.
 func TestRecoveryQuorum(t *testing.T) {
 	plain := plainSet("abcde")
-	joint := plainSet("abc").Enter(acceptorsNamed("abd"))
+	joint := plainSet("abc").EnterJoint(acceptorsNamed("abd"))
 	cases := map[string]struct {
 		set        Set
 		ended, has string
@@ -43,10 +43,10 @@
 	}
 	for name, test := range cases {
 		ended := endedNamed(test.ended)
-		assert.Equal(t, test.set.HasQuorumWithout(ended, hasNamed(test.has)), test.isQuorum, name)
+		assert.Equal(t, test.set.HasRecoveryQuorum(ended, hasNamed(test.has)), test.isQuorum, name)
 		assert.Equal(t, test.set.NeedsRecovery(ended), test.isNeeded, name)
 	}
-	assert.Assert(t, !Set{}.HasQuorumWithout(nil, hasNamed("a")))
+	assert.Assert(t, !Set{}.HasRecoveryQuorum(nil, hasNamed("a")))
 }
 
 // TestRecoveryStartsFromKnownState recovers from a state in which no remaining acceptor has the chosen value, but the
@@ -73,7 +73,7 @@
 		if outgoing.To.ID == "c" {
 			reader.Receive(acceptors.exchange(t, outgoing.Request))
 		} else {
-			reader.Receive(Reply{Verdict: OtherIdentity, From: outgoing.To.ID, IsVolatile: true})
+			reader.Receive(Reply{Verdict: WrongAcceptor, From: outgoing.To.ID, IsVolatile: true})
 		}
 	}
 	_, isChosen := reader.Result()
--- a/internal/router/casregister/history_test.go
+++ b/internal/router/casregister/history_test.go
@@ -102,7 +102,7 @@
 		state := State{Ballot: ballot, Value: accepted.value}
 		hasAccepted := func(id AcceptorID) bool { return accepted.by[id] }
 		isReported := slices.ContainsFunc(record.reportedChosen, func(reported State) bool { return reported.Ballot == ballot })
-		if accepted.value.Set.HasQuorum(hasAccepted) || isReported && accepted.value.Set.HasQuorumWithout(record.ended, hasAccepted) {
+		if accepted.value.Set.HasQuorum(hasAccepted) || isReported && accepted.value.Set.HasRecoveryQuorum(record.ended, hasAccepted) {
 			chosen = append(chosen, state)
 		}
 	}
--- a/internal/router/casregister/message.go
+++ b/internal/router/casregister/message.go
@@ -46,13 +46,13 @@
 // Verdict is the kind of a reply.
 type Verdict uint8
 
-// The verdicts. Conflict: a higher ballot was promised. OtherIdentity: the request was for another acceptor.
+// The verdicts. Conflict: a higher ballot was promised. WrongAcceptor: the request was for another acceptor.
 const (
 	Promised Verdict = iota + 1
 	Accepted
 	Reported
 	Conflict
-	OtherIdentity
+	WrongAcceptor
 )
 
 // Reply is an acceptor's reply to a request. It is sent only once the state that it reports is on disk.
@@ -67,23 +67,23 @@
 	Accepted Ballot `msgpack:"a"`
 	// Value is the value of that state, nil if the sender already has it.
 	Value *Value `msgpack:"v,omitempty"`
-	// IsVolatile says that the replying acceptor has no disk. With OtherIdentity, it implies that no earlier acceptor
+	// IsVolatile says that the replying acceptor has no disk. With WrongAcceptor, it implies that no earlier acceptor
 	// at the same address has kept its record.
 	IsVolatile bool `msgpack:"l,omitempty"`
 }
 
 // ProvesEnd reports whether this reply to a request to the given acceptor proves that it has ended permanently.
 func (reply Reply) ProvesEnd(asked Acceptor) bool {
-	return reply.Verdict == OtherIdentity && (asked.Volatile || reply.IsVolatile)
+	return reply.Verdict == WrongAcceptor && (asked.Volatile || reply.IsVolatile)
 }
 
-// IdentityError is returned for a request that was addressed to another acceptor than the one that received it.
-type IdentityError struct {
+// WrongAcceptorError is returned for a request that was addressed to another acceptor than the one that received it.
+type WrongAcceptorError struct {
 	Wanted AcceptorID
 	Actual AcceptorID
 }
 
 // Error names both acceptors.
-func (err *IdentityError) Error() string {
+func (err *WrongAcceptorError) Error() string {
 	return fmt.Sprintf("casregister: message for acceptor %q reached acceptor %q", err.Wanted, err.Actual)
 }
--- a/internal/router/casregister/model_test.go
+++ b/internal/router/casregister/model_test.go
@@ -73,7 +73,7 @@
 	crashesLeft int
 	// endingsLeft is how many more acceptors may end permanently; ended is the set of those that have.
 	endingsLeft    int
-	ended          Ended
+	ended          EndedAcceptors
 	acceptedValues map[Ballot]*acceptedValue
 	reportedChosen []State
 }
@@ -86,7 +86,7 @@
 	change   int
 	known    *State
 	// ended is the set of acceptors that the actor knows to have ended.
-	ended Ended
+	ended EndedAcceptors
 }
 
 // withEndings lets the given number of acceptors end permanently.
@@ -107,14 +107,14 @@
 		first:           plainSet(voters),
 		interchangeable: interchangeable,
 		crashesLeft:     crashes,
-		ended:           Ended{},
+		ended:           EndedAcceptors{},
 		acceptedValues:  make(map[Ballot]*acceptedValue),
 	}
 	for _, acceptor := range acceptorsNamed(names) {
 		model.acceptors = append(model.acceptors, NewAcceptorMachine(Record{ID: acceptor.ID}))
 	}
 	for index, plan := range plans {
-		model.actors = append(model.actors, &actor{plan: plan, ballot: -1, ended: Ended{}})
+		model.actors = append(model.actors, &actor{plan: plan, ballot: -1, ended: EndedAcceptors{}})
 		if !plan.isRecovery {
 			model.propose(index, plainSet(voters))
 		}
@@ -240,7 +240,7 @@
 	next := model.clone(index)
 	inFlight := model.requests[index]
 	next.actors[inFlight.actor].ended[inFlight.request.To] = true
-	next.deliverReply(inFlight.actor, Reply{Verdict: OtherIdentity, From: inFlight.request.To, IsVolatile: true})
+	next.deliverReply(inFlight.actor, Reply{Verdict: WrongAcceptor, From: inFlight.request.To, IsVolatile: true})
 	return next
 }
 
@@ -430,7 +430,7 @@
 		return append(text, '-')
 	}
 	proposer := actor.proposer
-	text = appendBallot(text, proposer.higher)
+	text = appendBallot(text, proposer.higherBallot)
 	if proposer.proposed != nil {
 		return append(appendState(text, *proposer.proposed), byte(proposer.intendedResult.Outcome))
 	}
--- a/internal/router/casregister/proposer.go
+++ b/internal/router/casregister/proposer.go
@@ -25,20 +25,20 @@
 	State   State
 	// Err is the error of the change function, or ErrSetChange. It is set for Refused.
 	Err error
-	// Higher is the ballot that the next attempt must exceed. It is set for Preempted.
-	Higher Ballot
+	// HigherBallot is the ballot that the next attempt must exceed. It is set for Preempted.
+	HigherBallot Ballot
 }
 
-// Spread says how far a chosen state is replicated beyond its quorum.
-type Spread uint8
+// Replication says how far a chosen state is replicated beyond its quorum.
+type Replication uint8
 
-// The spreads. SpreadPending: some voters have not replied yet.
+// The spreads. ReplicationPending: some voters have not replied yet.
 const (
-	SpreadPending Spread = iota
-	// SpreadComplete: all voters that have not ended have accepted it.
-	SpreadComplete
-	// SpreadRefused: all voters have replied, and some have promised a higher ballot.
-	SpreadRefused
+	ReplicationPending Replication = iota
+	// ReplicationComplete: all voters that have not ended have accepted it.
+	ReplicationComplete
+	// ReplicationRejected: all voters have replied, and some have promised a higher ballot.
+	ReplicationRejected
 )
 
 // Proposal is the input of a proposer.
@@ -51,7 +51,7 @@
 	Change Change
 	// Ended makes the proposal a recovery if it is not empty. Ballot must then come from NextRecovery, and Ended must
 	// contain only acceptors that were proven to have ended before that ballot was generated.
-	Ended Ended
+	Ended EndedAcceptors
 	// Rewrites makes the proposer run the accept round for an unchanged base even if it is known to be chosen, so that
 	// all voters accept it.
 	Rewrites bool
@@ -59,12 +59,12 @@
 
 // Proposer is the state machine of one proposal under one ballot.
 type Proposer struct {
-	proposal  Proposal
-	collector quorumCollector
-	outbox    []Outgoing
-	higher    Ballot
-	rejected  map[AcceptorID]bool
-	result    Result
+	proposal     Proposal
+	collector    quorumCollector
+	outbox       []Outgoing
+	higherBallot Ballot
+	rejected     map[AcceptorID]bool
+	result       Result
 	// hasVolatile says that an acceptor without a disk has replied.
 	hasVolatile bool
 
@@ -99,8 +99,8 @@
 // Result returns the result of the proposal, with outcome Pending if it has not ended.
 func (proposer *Proposer) Result() Result { return proposer.result }
 
-// Higher returns the highest ballot above the proposal's own that an acceptor has reported, or zero.
-func (proposer *Proposer) Higher() Ballot { return proposer.higher }
+// HigherBallot returns the highest ballot above the proposal's own that an acceptor has reported, or zero.
+func (proposer *Proposer) HigherBallot() Ballot { return proposer.higherBallot }
 
 // HasVolatile reports whether an acceptor without a disk has replied.
 func (proposer *Proposer) HasVolatile() bool { return proposer.hasVolatile }
@@ -116,7 +116,7 @@
 		proposer.receiveAfterEnd(reply)
 		return
 	}
-	if reply.Verdict == OtherIdentity {
+	if reply.Verdict == WrongAcceptor {
 		proposer.rejected[reply.From] = true
 		proposer.preemptWithoutQuorum()
 		return
@@ -163,7 +163,7 @@
 	isChosen := proposer.collector.isChosen()
 	next, err := proposer.proposal.Change(base.Value)
 	if err == nil {
-		err = base.Value.Set.CheckStep(next.Set)
+		err = base.Value.Set.CheckTransition(next.Set)
 	}
 	switch {
 	case err != nil:
@@ -223,7 +223,7 @@
 // receiveAfterEnd processes a reply to the accept round that arrives after the value was chosen.
 func (proposer *Proposer) receiveAfterEnd(reply Reply) {
 	switch {
-	case reply.Verdict == OtherIdentity:
+	case reply.Verdict == WrongAcceptor:
 		proposer.rejected[reply.From] = true
 	case reply.Ballot != proposer.proposal.Ballot:
 		return
@@ -234,21 +234,21 @@
 	}
 }
 
-// Spread returns how far the accept round of a proposal that has ended is replicated beyond its quorum.
-func (proposer *Proposer) Spread() Spread {
+// Replication returns how far the accept round of a proposal that has ended is replicated beyond its quorum.
+func (proposer *Proposer) Replication() Replication {
 	if !proposer.IsAccepting() {
-		return SpreadComplete
+		return ReplicationComplete
 	}
-	spread := SpreadComplete
+	spread := ReplicationComplete
 	for _, voter := range proposer.proposed.Value.Set.Voters {
 		switch {
 		case proposer.accepted[voter.ID] || proposer.proposal.Ended[voter.ID]:
 		case proposer.rejected[voter.ID]:
-			if !proposer.higher.IsZero() {
-				spread = SpreadRefused
+			if !proposer.higherBallot.IsZero() {
+				spread = ReplicationRejected
 			}
 		default:
-			return SpreadPending
+			return ReplicationPending
 		}
 	}
 	return spread
@@ -260,8 +260,8 @@
 }
 
 func (proposer *Proposer) recordConflict(reply Reply) {
-	if proposer.higher.Less(reply.Promised) {
-		proposer.higher = reply.Promised
+	if proposer.higherBallot.Less(reply.Promised) {
+		proposer.higherBallot = reply.Promised
 	}
 	proposer.rejected[reply.From] = true
 }
@@ -269,10 +269,10 @@
 // preemptWithoutQuorum ends the proposal as preempted if it can no longer reach a quorum and an acceptor has reported a
 // higher ballot.
 func (proposer *Proposer) preemptWithoutQuorum() {
-	if proposer.higher.IsZero() || proposer.canReachQuorum() {
+	if proposer.higherBallot.IsZero() || proposer.canReachQuorum() {
 		return
 	}
-	proposer.result = Result{Outcome: Preempted, Higher: proposer.higher}
+	proposer.result = Result{Outcome: Preempted, HigherBallot: proposer.higherBallot}
 }
 
 func (proposer *Proposer) canReachQuorum() bool {
@@ -280,12 +280,12 @@
 	if proposer.IsAccepting() {
 		return proposer.hasQuorum(mayReply)
 	}
-	return proposer.collector.base().Value.Set.HasQuorumWithout(proposer.proposal.Ended, mayReply)
+	return proposer.collector.base().Value.Set.HasRecoveryQuorum(proposer.proposal.Ended, mayReply)
 }
 
 // hasQuorum reports whether the acceptors for which contains returns true are a quorum for the accept round: of the
 // base's set and of the proposed value's set.
 func (proposer *Proposer) hasQuorum(contains func(AcceptorID) bool) bool {
 	ended := proposer.proposal.Ended
-	return proposer.baseSet.HasQuorumWithout(ended, contains) && proposer.proposed.Value.Set.HasQuorumWithout(ended, contains)
+	return proposer.baseSet.HasRecoveryQuorum(ended, contains) && proposer.proposed.Value.Set.HasRecoveryQuorum(ended, contains)
 }
--- a/internal/router/casregister/proposer_test.go
+++ b/internal/router/casregister/proposer_test.go
@@ -65,12 +65,12 @@
 
 func setVoters(names string) Change {
 	return func(base Value) (Value, error) {
-		return Value{Set: base.Set.Enter(acceptorsNamed(names)), Payload: base.Payload}, nil
+		return Value{Set: base.Set.EnterJoint(acceptorsNamed(names)), Payload: base.Payload}, nil
 	}
 }
 
 func leaveJoint(base Value) (Value, error) {
-	return Value{Set: base.Set.Leave(), Payload: base.Payload}, nil
+	return Value{Set: base.Set.LeaveJoint(), Payload: base.Payload}, nil
 }
 
 func refuse(base Value) (Value, error) { return base, errRefused }
@@ -104,7 +104,7 @@
 	acceptors.propose(t, 7, plainSet("abc"), "abc", setPayload("x"))
 	result := acceptors.propose(t, 3, plainSet("abc"), "abc", setPayload("y"))
 	assert.Equal(t, result.Outcome, Preempted)
-	assert.Equal(t, result.Higher, ballotOf(7))
+	assert.Equal(t, result.HigherBallot, ballotOf(7))
 }
 
 func TestSetChange(t *testing.T) {
@@ -128,7 +128,7 @@
 func TestSetChangeNeedsChosenBase(t *testing.T) {
 	acceptors := newCluster("abcd")
 	start := plainSet("abc")
-	joint := Value{Set: start.Enter(acceptorsNamed("abd")), Payload: []byte("x")}
+	joint := Value{Set: start.EnterJoint(acceptorsNamed("abd")), Payload: []byte("x")}
 	acceptors.force(t, "a", ballotOf(1), joint)
 
 	result := acceptors.propose(t, 2, start, "abcd", leaveJoint)
@@ -184,7 +184,7 @@
 	state, isChosen = acceptors.read(t, start, "abc")
 	assert.Assert(t, isChosen && state.Ballot == ballotOf(1))
 
-	joint := Value{Set: start.Enter(acceptorsNamed("abd"))}
+	joint := Value{Set: start.EnterJoint(acceptorsNamed("abd"))}
 	acceptors.force(t, "a", ballotOf(2), joint)
 	acceptors.force(t, "c", ballotOf(2), joint)
 	_, isChosen = acceptors.read(t, start, "ac")
@@ -202,19 +202,19 @@
 	proposer := NewProposer(Proposal{Ballot: ballotOf(1), Start: set, Change: setPayload("1")})
 	acceptors.run(t, proposer, "ab")
 	assert.Equal(t, proposer.Result().Outcome, Chosen)
-	assert.Equal(t, proposer.Spread(), SpreadPending)
+	assert.Equal(t, proposer.Replication(), ReplicationPending)
 
 	chosen := proposer.Result().State
 	higher := ballotOf(5)
 	acceptors.exchange(t, Request{Kind: Prepare, To: "c", Ballot: higher})
 	late := acceptors.exchange(t, Request{Kind: Accept, To: "c", Ballot: ballotOf(1), Value: &chosen.Value})
 	proposer.Receive(late)
-	assert.Equal(t, proposer.Spread(), SpreadRefused)
-	assert.Equal(t, proposer.Higher(), higher)
+	assert.Equal(t, proposer.Replication(), ReplicationRejected)
+	assert.Equal(t, proposer.HigherBallot(), higher)
 
 	keep := func(base Value) (Value, error) { return base, nil }
 	rewrite := NewProposer(Proposal{Ballot: higher.Next("p"), Start: set, Known: &chosen, Change: keep, Rewrites: true})
 	assert.Equal(t, acceptors.run(t, rewrite, "abc").Outcome, Chosen)
-	assert.Equal(t, rewrite.Spread(), SpreadComplete)
+	assert.Equal(t, rewrite.Replication(), ReplicationComplete)
 	assert.DeepEqual(t, acceptors["c"].Durable().Accepted.Value.Payload, []byte("1"))
 }
--- a/internal/router/casregister/set.go
+++ b/internal/router/casregister/set.go
@@ -25,9 +25,9 @@
 	Epoch    uint64     `msgpack:"e"`
 	Voters   []Acceptor `msgpack:"v"`
 	Previous []Acceptor `msgpack:"o,omitempty"`
-	// MovedAt is the epoch at which the members' addresses last changed. An acceptor with an empty disk that replaces an
+	// AddressEpoch is the epoch at which the members' addresses last changed. An acceptor with an empty disk that replaces an
 	// earlier one at the same address changes the set, but not the addresses.
-	MovedAt uint64 `msgpack:"m,omitempty"`
+	AddressEpoch uint64 `msgpack:"m,omitempty"`
 }
 
 // IsZero reports whether the set is unknown.
@@ -61,27 +61,27 @@
 // Equal reports whether both sets have the same epochs and the same lists.
 func (set Set) Equal(other Set) bool {
 	return set.Epoch == other.Epoch &&
-		set.MovedAt == other.MovedAt &&
+		set.AddressEpoch == other.AddressEpoch &&
 		slices.Equal(set.Voters, other.Voters) &&
 		slices.Equal(set.Previous, other.Previous)
 }
 
-// Enter returns the joint set between this plain set and one with the given voters.
-func (set Set) Enter(voters []Acceptor) Set {
+// EnterJoint returns the joint set between this plain set and one with the given voters.
+func (set Set) EnterJoint(voters []Acceptor) Set {
 	return set.successor(Set{Voters: voters, Previous: set.Voters})
 }
 
-// Leave returns the plain set with this joint set's voters, the second step of a set change.
-func (set Set) Leave() Set {
+// LeaveJoint returns the plain set with this joint set's voters, the second step of a set change.
+func (set Set) LeaveJoint() Set {
 	return set.successor(Set{Voters: set.Voters})
 }
 
-// successor returns next with the epoch after this set's, and with MovedAt updated if the addresses differ.
+// successor returns next with the epoch after this set's, and with AddressEpoch updated if the addresses differ.
 func (set Set) successor(next Set) Set {
 	next.Epoch = set.Epoch + 1
-	next.MovedAt = set.MovedAt
+	next.AddressEpoch = set.AddressEpoch
 	if !slices.Equal(next.addresses(), set.addresses()) {
-		next.MovedAt = next.Epoch
+		next.AddressEpoch = next.Epoch
 	}
 	return next
 }
@@ -96,15 +96,15 @@
 	return slices.Compact(addresses)
 }
 
-// CheckStep returns ErrSetChange unless next is the set itself or one permitted step after it.
-func (set Set) CheckStep(next Set) error {
+// CheckTransition returns ErrSetChange unless next is the set itself or one permitted step after it.
+func (set Set) CheckTransition(next Set) error {
 	if set.Equal(next) {
 		return nil
 	}
 	if set.IsJoint() {
-		return errUnlessPermitted(set.Leave().Equal(next))
+		return errUnlessPermitted(set.LeaveJoint().Equal(next))
 	}
-	permitted := set.Enter(next.Voters).Equal(next) && hasDistinctIDs(next.Voters) && differByOneMember(set.Voters, next.Voters)
+	permitted := set.EnterJoint(next.Voters).Equal(next) && hasDistinctIDs(next.Voters) && differByOneMember(set.Voters, next.Voters)
 	return errUnlessPermitted(permitted)
 }
 
--- a/internal/router/casregister/set_test.go
+++ b/internal/router/casregister/set_test.go
@@ -27,32 +27,32 @@
 
 func TestCheckStep(t *testing.T) {
 	plain := plainSet("abc")
-	joint := plain.Enter(acceptorsNamed("abd"))
+	joint := plain.EnterJoint(acceptorsNamed("abd"))
 	permitted := map[string][2]Set{
 		"same":         {plain, plain},
-		"add":          {plain, plain.Enter(acceptorsNamed("abcd"))},
-		"remove":       {plain, plain.Enter(acceptorsNamed("ab"))},
+		"add":          {plain, plain.EnterJoint(acceptorsNamed("abcd"))},
+		"remove":       {plain, plain.EnterJoint(acceptorsNamed("ab"))},
 		"replace":      {plain, joint},
-		"leave":        {joint, joint.Leave()},
-		"first of two": {plainSet("a"), plainSet("a").Enter(acceptorsNamed("ab"))},
+		"leave":        {joint, joint.LeaveJoint()},
+		"first of two": {plainSet("a"), plainSet("a").EnterJoint(acceptorsNamed("ab"))},
 	}
 	for name, pair := range permitted {
-		assert.NilError(t, pair[0].CheckStep(pair[1]), name)
+		assert.NilError(t, pair[0].CheckTransition(pair[1]), name)
 	}
 	refused := map[string][2]Set{
 		"without joint set": {plain, Set{Epoch: 1, Voters: acceptorsNamed("abd")}},
-		"two replaced":      {plain, plain.Enter(acceptorsNamed("ade"))},
-		"two removed":       {plainSet("abcd"), plainSet("abcd").Enter(acceptorsNamed("ab"))},
-		"two added":         {plain, plain.Enter(acceptorsNamed("abcde"))},
-		"emptied":           {plainSet("a"), plainSet("a").Enter(nil)},
-		"voter twice":       {plain, plain.Enter(acceptorsNamed("abcc"))},
-		"unchanged joint":   {plain, plain.Enter(plain.Voters)},
+		"two replaced":      {plain, plain.EnterJoint(acceptorsNamed("ade"))},
+		"two removed":       {plainSet("abcd"), plainSet("abcd").EnterJoint(acceptorsNamed("ab"))},
+		"two added":         {plain, plain.EnterJoint(acceptorsNamed("abcde"))},
+		"emptied":           {plainSet("a"), plainSet("a").EnterJoint(nil)},
+		"voter twice":       {plain, plain.EnterJoint(acceptorsNamed("abcc"))},
+		"unchanged joint":   {plain, plain.EnterJoint(plain.Voters)},
 		"joint rolled back": {joint, Set{Epoch: 2, Voters: plain.Voters}},
-		"joint to joint":    {joint, joint.Enter(acceptorsNamed("abde"))},
+		"joint to joint":    {joint, joint.EnterJoint(acceptorsNamed("abde"))},
 		"epoch skipped":     {plain, Set{Epoch: 2, Voters: acceptorsNamed("abd"), Previous: plain.Voters}},
 	}
 	for name, pair := range refused {
-		assert.ErrorIs(t, pair[0].CheckStep(pair[1]), ErrSetChange, name)
+		assert.ErrorIs(t, pair[0].CheckTransition(pair[1]), ErrSetChange, name)
 	}
 }
 
@@ -62,13 +62,13 @@
 		return set
 	}
 	if set.IsJoint() {
-		return set.Leave()
+		return set.LeaveJoint()
 	}
 	voters := rapid.SliceOfNDistinct(rapid.SampledFrom(acceptorsNamed("abcdefg")), 1, 7,
 		func(acceptor Acceptor) AcceptorID { return acceptor.ID }).Filter(func(voters []Acceptor) bool {
-		return set.CheckStep(set.Enter(voters)) == nil
+		return set.CheckTransition(set.EnterJoint(voters)) == nil
 	}).Draw(t, "voters")
-	return set.Enter(voters)
+	return set.EnterJoint(voters)
 }
 
 // TestQuorumsOfAdjacentSetsIntersect checks the lemma of the safety argument: any two sets at most one step away from
@@ -94,12 +94,12 @@
 func TestMovedAtTracksAddressChanges(t *testing.T) {
 	at := func(id AcceptorID, address string) Acceptor { return Acceptor{ID: id, Address: address} }
 	first := Set{Voters: []Acceptor{at("a", "1"), at("b", "2"), at("c", "3")}}
-	wiped := first.Enter([]Acceptor{at("a", "1"), at("d", "2"), at("c", "3")})
-	assert.Equal(t, wiped.MovedAt, uint64(0), "an acceptor with an empty disk at the same address changes no address")
-	assert.Equal(t, wiped.Leave().MovedAt, uint64(0))
-	grown := wiped.Leave().Enter([]Acceptor{at("a", "1"), at("d", "2"), at("c", "3"), at("e", "4")})
-	assert.Equal(t, grown.MovedAt, grown.Epoch)
-	assert.Equal(t, grown.Leave().MovedAt, grown.Epoch, "all members of the larger set were members of the joint one")
-	replaced := grown.Leave().Enter([]Acceptor{at("a", "1"), at("d", "2"), at("c", "3"), at("f", "5")})
-	assert.Equal(t, replaced.Leave().MovedAt, replaced.Epoch+1, "the replaced acceptor is removed with the joint set")
+	wiped := first.EnterJoint([]Acceptor{at("a", "1"), at("d", "2"), at("c", "3")})
+	assert.Equal(t, wiped.AddressEpoch, uint64(0), "an acceptor with an empty disk at the same address changes no address")
+	assert.Equal(t, wiped.LeaveJoint().AddressEpoch, uint64(0))
+	grown := wiped.LeaveJoint().EnterJoint([]Acceptor{at("a", "1"), at("d", "2"), at("c", "3"), at("e", "4")})
+	assert.Equal(t, grown.AddressEpoch, grown.Epoch)
+	assert.Equal(t, grown.LeaveJoint().AddressEpoch, grown.Epoch, "all members of the larger set were members of the joint one")
+	replaced := grown.LeaveJoint().EnterJoint([]Acceptor{at("a", "1"), at("d", "2"), at("c", "3"), at("f", "5")})
+	assert.Equal(t, replaced.LeaveJoint().AddressEpoch, replaced.Epoch+1, "the replaced acceptor is removed with the joint set")
 }
--- a/internal/router/casregister/simulation_test.go
+++ b/internal/router/casregister/simulation_test.go
@@ -41,7 +41,7 @@
 	// reportedChosen are the states that a proposer or reader reported as chosen.
 	reportedChosen []State
 	// ended is the set of acceptors that have ended permanently.
-	ended Ended
+	ended EndedAcceptors
 }
 
 type acceptedValue struct {
@@ -161,7 +161,7 @@
 	response := packet{client: received.client, attempt: received.attempt, accepted: received.request.Value}
 	output, err := host.machine.Step(*received.request)
 	if err != nil {
-		response.reply = Reply{Verdict: OtherIdentity, From: received.request.To, Ballot: received.request.Ballot}
+		response.reply = Reply{Verdict: WrongAcceptor, From: received.request.To, Ballot: received.request.Ballot}
 		sim.network = append(sim.network, response)
 		return
 	}
--- a/internal/router/cluster/event_loop.go
+++ b/internal/router/cluster/event_loop.go
@@ -53,7 +53,7 @@
 	// The first delay is random, so that members that start together don't send their heartbeats together.
 	heartbeatTimer := time.NewTimer(rand.N(membership.HeartbeatEvery))
 	defer heartbeatTimer.Stop()
-	l.detector.Started(time.Now())
+	l.detector.StartTicking(time.Now())
 	l.publishEntry(l.detector.Self())
 	for c.ctx.Err() == nil {
 		select {
@@ -74,7 +74,7 @@
 // refreshView publishes a new view if the members have changed, at most once per minViewInterval.
 func (l *eventLoop) refreshView() {
 	published := l.cluster.view.Load() == l.detector.View()
-	if published && !l.detector.Changed() {
+	if published && !l.detector.ViewOutdated() {
 		return
 	}
 	now := time.Now()
@@ -93,7 +93,7 @@
 func (l *eventLoop) tick(now time.Time) {
 	l.perform(l.detector.Tick(now))
 	l.sendHeartbeats()
-	if !l.detector.Doubting(now) {
+	if !l.detector.ObservationsUnreliable(now) {
 		l.startScheduledExchanges(now)
 	}
 	if now.Sub(l.lastExpiry) >= expiryInterval {
@@ -109,7 +109,7 @@
 	for _, member := range actions.Probe {
 		l.cluster.probe(member)
 	}
-	for _, entry := range actions.Forget {
+	for _, entry := range actions.Remove {
 		l.publishRemoval(entry)
 	}
 }
@@ -119,7 +119,7 @@
 	message := l.cluster.heartbeat()
 	message.Incarnation = self.Incarnation // the view may be slightly out of date
 	body := encode(&message)
-	for _, monitor := range l.detector.View().Successors(self.Node, membership.Monitors) {
+	for _, monitor := range l.detector.View().Successors(self.Node, membership.MonitorCount) {
 		l.cluster.messenger.Send(monitor.Address, kindHeartbeat, body)
 	}
 }
--- a/internal/router/cluster/events.go
+++ b/internal/router/cluster/events.go
@@ -65,7 +65,7 @@
 }
 
 func (e heartbeatEvent) apply(l *eventLoop) {
-	suspected := l.detector.Heard(e.heartbeat.Node, e.heartbeat.Incarnation, time.Now())
+	suspected := l.detector.RecordAlive(e.heartbeat.Node, e.heartbeat.Incarnation, time.Now())
 	if !e.fromDigest {
 		l.checkTableHash(e.heartbeat, suspected)
 	}
@@ -77,7 +77,7 @@
 	incarnation uint64
 }
 
-func (e aliveEvent) apply(l *eventLoop) { l.detector.Heard(e.node, e.incarnation, time.Now()) }
+func (e aliveEvent) apply(l *eventLoop) { l.detector.RecordAlive(e.node, e.incarnation, time.Now()) }
 
 // exchangeDoneEvent reports the outcome of an exchange.
 type exchangeDoneEvent struct {
--- a/internal/router/cluster/merge.go
+++ b/internal/router/cluster/merge.go
@@ -27,7 +27,7 @@
 func (c *Cluster) mergeLocal(record softstate.Record) (softstate.Record, bool) {
 	c.tableMu.Lock()
 	defer c.tableMu.Unlock()
-	if record.Version.Zero() {
+	if record.Version.IsZero() {
 		record.Version = c.nextVersionLocked(record.ID())
 	}
 	return record, c.mergeLocked(record)
@@ -75,7 +75,7 @@
 	switch {
 	case hash == c.table.Hash():
 		return hashEqual
-	case c.table.Passed(hash):
+	case c.table.HadRecentHash(hash):
 		return hashRecent
 	}
 	return hashUnknown
@@ -85,7 +85,7 @@
 // delivering them to the peer.
 func (c *Cluster) withoutFreshLargeLocked(records []softstate.Record) []softstate.Record {
 	return slices.DeleteFunc(records, func(record softstate.Record) bool {
-		learned, _ := c.table.Learned(record.ID())
+		learned, _ := c.table.MergedAt(record.ID())
 		return len(record.Payload) > largePayloadBytes && time.Since(learned) < largeSettleTime
 	})
 }
--- a/internal/router/command/config.go
+++ b/internal/router/command/config.go
@@ -32,7 +32,7 @@
 		name: "put", help: "Put a whole configuration in force.", path: protocol.PathConfigPut, control: control, retryTimeout: retryTimeout,
 	})
 	addChange(config, registered, change{
-		name: "patch", help: "Change named items of the configuration.", path: protocol.PathConfigEdit, control: control, retryTimeout: retryTimeout,
+		name: "patch", help: "Change named items of the configuration.", path: protocol.PathConfigPatch, control: control, retryTimeout: retryTimeout,
 	})
 }
 
--- a/internal/router/command/inspect_test.go
+++ b/internal/router/command/inspect_test.go
@@ -24,7 +24,7 @@
 			{Tenant: "kaje80", PerS: 5000, Balance: 120, StandingPerS: 16.7, AtLimit: true}, {Tenant: "lomu3", PerS: 90, Balance: -4}}},
 		Members:   status.MemberCount{Live: 2, Failed: 1},
 		Instances: status.InstanceCount{Ready: 5, Draining: 1},
-		Requests: status.Requests{Succeeded: 100, ClientErrors: 4, ServerErrors: 3, Broken: 1, Gone: 2, NeverSent: 6, Rejected: 7,
+		Requests: status.Requests{Succeeded: 100, ClientErrors: 4, ServerErrors: 3, AbortedResponses: 1, ClientDisconnects: 2, NeverSent: 6, Rejected: 7,
 			MayHaveRun: 8, Connections: 9, BodyBytes: 1024},
 		Codes:  []status.CodeCount{{Code: 1007, Name: "quota_exceeded", Count: 4}, {Code: 1008, Name: "no_instance", Count: 3}},
 		Memory: status.Memory{Heap: 20 << 20, Total: 31 << 20, Limit: 60 << 20, Goroutines: 42},
@@ -58,7 +58,7 @@
 func TestDescribeShares(t *testing.T) {
 	for wanted, shares := range map[string]status.Shares{
 		"NO COORDINATOR KNOWN":                       {SilentS: -1},
-		"divided here, term 3":                       {Coordinator: "10.0.0.1:7100", Leads: true, Term: 3},
+		"divided here, term 3":                       {Coordinator: "10.0.0.1:7100", IsCoordinator: true, Term: 3},
 		"divided by 10.0.0.1:7100, not heard yet":    {Coordinator: "10.0.0.1:7100", SilentS: -1},
 		"divided by 10.0.0.1:7100, term 3, heard 2.": {Coordinator: "10.0.0.1:7100", Term: 3, SilentS: 2},
 	} {
--- a/internal/router/command/print.go
+++ b/internal/router/command/print.go
@@ -32,7 +32,7 @@
 	row("members", "%d live, %d failed", s.Members.Live, s.Members.Failed)
 	row("instances", "%d ready, %d draining", s.Instances.Ready, s.Instances.Draining)
 	row("answers", "%d succeeded, %d 4xx, %d 5xx, %d broken off, %d clients gone", s.Requests.Succeeded, s.Requests.ClientErrors,
-		s.Requests.ServerErrors, s.Requests.Broken, s.Requests.Gone)
+		s.Requests.ServerErrors, s.Requests.AbortedResponses, s.Requests.ClientDisconnects)
 	row("attempts", "%d never sent, %d rejected, %d may have run", s.Requests.NeverSent, s.Requests.Rejected, s.Requests.MayHaveRun)
 	row("held", "%d connections of clients, %d bytes of bodies", s.Requests.Connections, s.Requests.BodyBytes)
 	row("memory", "%s", describeMemory(s.Memory))
@@ -71,7 +71,7 @@
 
 func describeShares(s *status.Shares) string {
 	switch {
-	case s.Leads:
+	case s.IsCoordinator:
 		return fmt.Sprintf("divided here, term %d", s.Term)
 	case s.Coordinator == "":
 		return "NO COORDINATOR KNOWN"
--- a/internal/router/commonprefix/counter.go
+++ b/internal/router/commonprefix/counter.go
@@ -61,8 +61,8 @@
 // Count counts a request by its shared blocks. The last block, which is unique to the request or its session, is not
 // part of the prefix.
 func (c *Counter) Count(request *Request) {
-	shared := prefixcache.Shared(request.Prefix)
-	weight := float64(max(request.PromptTokens, prefixcache.Tokens(request.Prefix)))
+	shared := prefixcache.SharedBlocks(request.Prefix)
+	weight := float64(max(request.PromptTokens, prefixcache.TotalTokens(request.Prefix)))
 	if weight <= 0 {
 		return
 	}
@@ -74,12 +74,12 @@
 	if summary == nil {
 		return
 	}
-	home, _ := prefixcache.HomeKey(prefixcache.HashModel(request.Model), request.Prefix)
+	home, _ := prefixcache.HomeKey(prefixcache.HashName(request.Model), request.Prefix)
 	summary.add(entry{
 		key:     Hash(c.seed, request.Backend, request.Model, shared),
 		backend: request.Backend,
 		home:    home,
-		tokens:  prefixcache.Tokens(shared),
+		tokens:  prefixcache.TotalTokens(shared),
 		count:   1,
 		weight:  weight,
 	})
--- a/internal/router/configlease/explore_test.go
+++ b/internal/router/configlease/explore_test.go
@@ -112,7 +112,7 @@
 	if planted == clockSetBack {
 		clock -= 2 * tickDuration // the time of day was set back
 	}
-	return s.router.appliedRevision < revisionWithoutKey && s.router.lease().Holds(clock)
+	return s.router.appliedRevision < revisionWithoutKey && s.router.lease().IsValid(clock)
 }
 
 // successors returns all states that may follow.
@@ -171,12 +171,14 @@
 	if planted == readCountedFromItsEnd {
 		began = s.now
 	}
-	s.coordinator.update(func(lease *Lease) { lease.Confirm(time.Duration(began)*tickDuration, Confirmation{Revision: found}) })
+	s.coordinator.update(func(lease *Lease) {
+		lease.AddConfirmation(time.Duration(began)*tickDuration, Confirmation{Revision: found})
+	})
 }
 
 // answerRouter has the coordinator answer the router's request.
 func (s *state) answerRouter(planted fault) {
-	confirmation, ok := s.coordinator.lease().Tell(s.elapsed())
+	confirmation, ok := s.coordinator.lease().LatestConfirmation(s.elapsed())
 	if !ok {
 		s.requestedAt = -1
 		return
@@ -197,7 +199,7 @@
 	if planted == countedBeforeApplied {
 		confirmation.Revision = 0
 	}
-	s.router.update(func(lease *Lease) { lease.Confirm(sentAt, confirmation) })
+	s.router.update(func(lease *Lease) { lease.AddConfirmation(sentAt, confirmation) })
 	s.requestedAt, s.answer, s.isAnswered = -1, Confirmation{}, false
 }
 
--- a/internal/router/configlease/lease.go
+++ b/internal/router/configlease/lease.go
@@ -67,9 +67,9 @@
 	l.pending = remaining
 }
 
-// Confirm adds a confirmation that answers a request sent at askedAt. It takes effect once its revision is applied; its age
+// AddConfirmation adds a confirmation that answers a request sent at askedAt. It takes effect once its revision is applied; its age
 // counts in any case.
-func (l *Lease) Confirm(askedAt time.Duration, confirmation Confirmation) {
+func (l *Lease) AddConfirmation(askedAt time.Duration, confirmation Confirmation) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	age := confirmation.Age + time.Duration(driftFraction*float64(confirmation.Age))
@@ -101,14 +101,14 @@
 	return now - l.confirmedAt, l.isConfirmed
 }
 
-// Holds reports whether the router may act on the configuration now.
-func (l *Lease) Holds(now time.Duration) bool {
+// IsValid reports whether the router may act on the configuration now.
+func (l *Lease) IsValid(now time.Duration) bool {
 	age, known := l.Age(now)
 	return known && age < l.duration
 }
 
-// Tell returns the confirmation for another router; false if the lease does not hold.
-func (l *Lease) Tell(now time.Duration) (Confirmation, bool) {
+// LatestConfirmation returns the confirmation for another router; false if the lease does not hold.
+func (l *Lease) LatestConfirmation(now time.Duration) (Confirmation, bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	age := now - l.confirmedAt
--- a/internal/router/configstore/acceptor.go
+++ b/internal/router/configstore/acceptor.go
@@ -82,7 +82,7 @@
 		return casregister.Reply{}, errDiskUnavailable
 	}
 	if request.To != synced.ID {
-		return casregister.Reply{}, &casregister.IdentityError{Wanted: request.To, Actual: synced.ID}
+		return casregister.Reply{}, &casregister.WrongAcceptorError{Wanted: request.To, Actual: synced.ID}
 	}
 	if request.Kind == casregister.Report {
 		return casregister.ReportOf(*synced, request), nil
--- a/internal/router/configstore/movedat.go
+++ b/internal/router/configstore/addressepoch.go
@@ -1,9 +1,9 @@
 package configstore
 
-// MovedAt returns the epoch at which the addresses of the current acceptor set last changed. It is not known while
+// AddressEpoch returns the epoch at which the addresses of the current acceptor set last changed. It is not known while
 // the set is joint, while a newer set has been heard of, or before the acceptor of this process has loaded its
 // record.
-func (store *Store) MovedAt() (epoch uint64, known bool) {
+func (store *Store) AddressEpoch() (epoch uint64, known bool) {
 	current, newest := store.Current(), store.newestSet.Load()
 	if current == nil || newest == nil || !store.isRecordLoaded() {
 		return 0, false
@@ -11,7 +11,7 @@
 	if current.Set.IsJoint() || newest.Epoch > current.Set.Epoch {
 		return 0, false
 	}
-	return current.Set.MovedAt, true
+	return current.Set.AddressEpoch, true
 }
 
 // isRecordLoaded reports whether the acceptor of this process has loaded its record. It is true without an acceptor.
--- a/internal/router/configstore/movedat_test.go
+++ b/internal/router/configstore/addressepoch_test.go
@@ -10,9 +10,9 @@
 
 func TestMovedAt(t *testing.T) {
 	first := casregister.Set{Voters: []casregister.Acceptor{{ID: "a", Address: "a"}}}
-	joint := first.Enter([]casregister.Acceptor{{ID: "b", Address: "b"}})
-	later := joint.Leave()
-	wiped := later.Enter([]casregister.Acceptor{{ID: "c", Address: "b"}}).Leave()
+	joint := first.EnterJoint([]casregister.Acceptor{{ID: "b", Address: "b"}})
+	later := joint.LeaveJoint()
+	wiped := later.EnterJoint([]casregister.Acceptor{{ID: "c", Address: "b"}}).LeaveJoint()
 	cases := []struct {
 		name            string
 		current, newest *casregister.Set
@@ -38,7 +38,7 @@
 			if !test.notLoaded {
 				close(store.acceptor.recordLoaded)
 			}
-			epoch, known := store.MovedAt()
+			epoch, known := store.AddressEpoch()
 			assert.Equal(t, known, test.want)
 			assert.Equal(t, epoch, test.epoch)
 		})
--- a/internal/router/configstore/changes.go
+++ b/internal/router/configstore/changes.go
@@ -20,30 +20,30 @@
 	ID   ChangeID
 }
 
-// OrderStatus is what a state knows about a change.
-type OrderStatus uint8
+// ChangeStatus is what a state knows about a change.
+type ChangeStatus uint8
 
-// The values of OrderStatus.
+// The values of ChangeStatus.
 const (
-	// OrderUnknown means that the change has not been applied.
-	OrderUnknown OrderStatus = iota
-	// OrderTaken means that the change has been applied.
-	OrderTaken
-	// OrderForgotten means that changes on its base are no longer listed, so that it may have been applied or not.
-	OrderForgotten
+	// ChangeUnknown means that the change has not been applied.
+	ChangeUnknown ChangeStatus = iota
+	// ChangeApplied means that the change has been applied.
+	ChangeApplied
+	// ChangeForgotten means that changes on its base are no longer listed, so that it may have been applied or not.
+	ChangeForgotten
 )
 
-// Find returns what the state knows about a change on the generation base. A generation is the base of at most one
+// ChangeStatus returns what the state knows about a change on the generation base. A generation is the base of at most one
 // applied change, and bases increase. A change that is not listed has therefore not been applied, unless its base is
 // below ForgottenBelow.
-func (state State) Find(base int64, id ChangeID) OrderStatus {
+func (state State) ChangeStatus(base int64, id ChangeID) ChangeStatus {
 	switch {
 	case state.HasChange(id):
-		return OrderTaken
+		return ChangeApplied
 	case base >= 0 && base < state.ForgottenBelow:
-		return OrderForgotten
+		return ChangeForgotten
 	default:
-		return OrderUnknown
+		return ChangeUnknown
 	}
 }
 
--- a/internal/router/configstore/discover.go
+++ b/internal/router/configstore/discover.go
@@ -19,7 +19,7 @@
 		if !store.startingSet().IsZero() {
 			waitForWake(ctx, store.wakeDiscover)
 		}
-		for _, address := range store.options.Initial {
+		for _, address := range store.options.Seeds {
 			go store.queryKnownState(ctx, address)
 		}
 		sleep(ctx, jitter(discoverInterval))
--- a/internal/router/configstore/ended.go
+++ b/internal/router/configstore/ended.go
@@ -36,10 +36,10 @@
 }
 
 // provenBefore returns the acceptors whose end was proven before the given time.
-func (tracker *endedTracker) provenBefore(cutoff time.Time) casregister.Ended {
+func (tracker *endedTracker) provenBefore(cutoff time.Time) casregister.EndedAcceptors {
 	tracker.mutex.Lock()
 	defer tracker.mutex.Unlock()
-	ended := make(casregister.Ended)
+	ended := make(casregister.EndedAcceptors)
 	for id, endedAt := range tracker.provenAt {
 		if endedAt.Before(cutoff) {
 			ended[id] = true
@@ -59,7 +59,7 @@
 
 // endedForRecovery returns the acceptors whose end was proven at least recoveryDelay ago, or nil if the set needs no
 // recovery.
-func (store *Store) endedForRecovery(set casregister.Set) casregister.Ended {
+func (store *Store) endedForRecovery(set casregister.Set) casregister.EndedAcceptors {
 	ended := store.endedAcceptors.provenBefore(time.Now().Add(-recoveryDelay))
 	if !set.NeedsRecovery(ended) {
 		return nil
--- a/internal/router/configstore/faults_test.go
+++ b/internal/router/configstore/faults_test.go
@@ -17,15 +17,15 @@
 // isolationTime is how long a machine stays isolated in these tests.
 const isolationTime = 20 * time.Second
 
-// assertNoQuorum checks that a change and a read at a router fail with ErrUnclear: the change is neither confirmed nor
+// assertNoQuorum checks that a change and a read at a router fail with ErrOutcomeUnknown: the change is neither confirmed nor
 // rejected.
 func (router *router) assertNoQuorum(base, generation int64) {
 	t := router.fleet.t
 	t.Helper()
 	_, _, err := router.put(base, generation)
-	assert.ErrorIs(t, err, ErrUnclear, "generation %d on %d at %s", generation, base, router.address)
+	assert.ErrorIs(t, err, ErrOutcomeUnknown, "generation %d on %d at %s", generation, base, router.address)
 	_, err = router.read()
-	assert.ErrorIs(t, err, ErrUnclear, "read at %s", router.address)
+	assert.ErrorIs(t, err, ErrOutcomeUnknown, "read at %s", router.address)
 }
 
 // TestIsolatedRouter isolates an acceptor, and in a second case a router without a disk, for twenty seconds, while
@@ -204,8 +204,8 @@
 		assert.Assert(t, errors.Is(err, errGenerationMismatch), "the change must be rejected from the newest state: %v", err)
 		state, err := routers[2].store.Read(context.Background())
 		assert.NilError(t, err)
-		assert.Equal(t, state.Find(1, changeIDOf(1, 2)), OrderForgotten)
-		assert.Equal(t, state.Find(changes-1, changeIDOf(changes-1, changes)), OrderTaken)
+		assert.Equal(t, state.ChangeStatus(1, changeIDOf(1, 2)), ChangeForgotten)
+		assert.Equal(t, state.ChangeStatus(changes-1, changeIDOf(changes-1, changes)), ChangeApplied)
 		routers[2].mustPut(t, changes, changes+1)
 		time.Sleep(settleTime)
 		fleet.assertGeneration(changes + 1)
@@ -258,7 +258,7 @@
 	})
 }
 
-// TestDiskHealthIsReported makes a disk hang in a write, and then fail one. WriteUnderWay and RefusesWrites must
+// TestDiskHealthIsReported makes a disk hang in a write, and then fail one. PendingWriteDuration and LastWriteFailed must
 // report this.
 func TestDiskHealthIsReported(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
@@ -266,28 +266,28 @@
 		routers := fleet.startAll(true, "a", "b", "c")
 		routers[0].mustPut(t, 0, 1)
 		observed := routers[2]
-		assert.Equal(t, observed.store.WriteUnderWay(), time.Duration(0))
-		assert.Assert(t, !observed.store.RefusesWrites())
+		assert.Equal(t, observed.store.PendingWriteDuration(), time.Duration(0))
+		assert.Assert(t, !observed.store.LastWriteFailed())
 		resume := make(chan struct{})
-		observed.disk.Before(func(simdisk.Operation, string) error {
+		observed.disk.SetHook(func(simdisk.Operation, string) error {
 			<-resume
 			return nil
 		})
 		routers[0].mustPut(t, 1, 2)
 		time.Sleep(5 * time.Second)
-		assert.Assert(t, observed.store.WriteUnderWay() > 4*time.Second, "%v", observed.store.WriteUnderWay())
+		assert.Assert(t, observed.store.PendingWriteDuration() > 4*time.Second, "%v", observed.store.PendingWriteDuration())
 		close(resume)
 		time.Sleep(time.Second)
-		assert.Equal(t, observed.store.WriteUnderWay(), time.Duration(0))
-		observed.disk.Before(nil)
+		assert.Equal(t, observed.store.PendingWriteDuration(), time.Duration(0))
+		observed.disk.SetHook(nil)
 		observed.disk.SetCapacity(1)
 		routers[0].mustPut(t, 2, 3)
 		time.Sleep(time.Second)
-		assert.Assert(t, observed.store.RefusesWrites())
+		assert.Assert(t, observed.store.LastWriteFailed())
 		observed.disk.SetCapacity(0)
 		routers[0].mustPut(t, 3, 4)
 		time.Sleep(time.Second)
-		assert.Assert(t, !observed.store.RefusesWrites())
+		assert.Assert(t, !observed.store.LastWriteFailed())
 	})
 }
 
--- a/internal/router/configstore/fleet_test.go
+++ b/internal/router/configstore/fleet_test.go
@@ -214,7 +214,7 @@
 
 func (router *router) replaceDisk() {
 	replacement := simdisk.New()
-	replacement.Before(func(operation simdisk.Operation, _ string) error {
+	replacement.SetHook(func(operation simdisk.Operation, _ string) error {
 		if operation == simdisk.Sync {
 			time.Sleep(syncDelay)
 		}
@@ -231,7 +231,7 @@
 	options := Options{
 		Node:      router.address,
 		Bootstrap: bootstrap,
-		Initial:   router.fleet.initial,
+		Seeds:     router.fleet.initial,
 		Tolerate:  router.fleet.toleratedFailures,
 		Caller:    router,
 		Log:       log,
--- a/internal/router/configstore/identity.go
+++ b/internal/router/configstore/identity.go
@@ -27,8 +27,8 @@
 	if !options.Bootstrap {
 		return casregister.Set{}
 	}
-	voters := make([]casregister.Acceptor, 0, len(options.Initial))
-	for _, address := range options.Initial {
+	voters := make([]casregister.Acceptor, 0, len(options.Seeds))
+	for _, address := range options.Seeds {
 		voters = append(voters, casregister.Acceptor{ID: casregister.AcceptorID(address), Address: address})
 	}
 	return casregister.Set{Voters: voters}
@@ -38,7 +38,7 @@
 // gets its address as identity; otherwise a random suffix tells it from an earlier acceptor at the same address.
 func newIdentity(options Options) casregister.AcceptorID {
 	address := options.Self.Address
-	if options.Bootstrap && slices.Contains(options.Initial, address) {
+	if options.Bootstrap && slices.Contains(options.Seeds, address) {
 		return casregister.AcceptorID(address)
 	}
 	return casregister.AcceptorID(address + "#" + randomSuffix())
@@ -79,7 +79,7 @@
 	if options.Files != nil {
 		return options.Files, nil
 	}
-	return disk.OpenFolder(options.Directory)
+	return disk.OpenDirectory(options.Directory)
 }
 
 func saveRecord(recordDisk *disk.Disk, record casregister.Record) error {
--- a/internal/router/configstore/options.go
+++ b/internal/router/configstore/options.go
@@ -11,9 +11,9 @@
 	"pewterrudder/internal/router/disk"
 )
 
-// ErrUnclear is returned when no quorum has answered in time. The proposed change may have been chosen, may be chosen
+// ErrOutcomeUnknown is returned when no quorum has answered in time. The proposed change may have been chosen, may be chosen
 // later, or never.
-var ErrUnclear = errors.New("configstore: no quorum answered in time, the outcome is unknown")
+var ErrOutcomeUnknown = errors.New("configstore: no quorum answered in time, the outcome is unknown")
 
 // ErrClosed is returned by calls after Close.
 var ErrClosed = errors.New("configstore: closed")
@@ -36,9 +36,9 @@
 	Files disk.FileSystem
 	// Bootstrap must be true only at the first start of the whole fleet.
 	Bootstrap bool
-	// Initial are the transport addresses of the seeds. At the first start of the fleet they form the initial
+	// Seeds are the transport addresses of the seeds. At the first start of the fleet they form the initial
 	// acceptor set, and must be the same on all routers; later they are only queried for the newest state.
-	Initial []string
+	Seeds []string
 	// Tolerate is the number of acceptors that may fail at the same time.
 	Tolerate int
 	Caller   Caller
--- a/internal/router/configstore/policy.go
+++ b/internal/router/configstore/policy.go
@@ -22,7 +22,7 @@
 // maxVolatileVoters of the volatile ones.
 type memberPolicy struct {
 	// ended are the volatile acceptors that are proven to have ended.
-	ended             casregister.Ended
+	ended             casregister.EndedAcceptors
 	toleratedFailures int
 	self              casregister.AcceptorID
 	candidates        []Candidate
@@ -35,13 +35,13 @@
 // reachable.
 func (policy memberPolicy) nextSet(set casregister.Set) (casregister.Set, bool) {
 	if set.IsJoint() {
-		return set.Leave(), true
+		return set.LeaveJoint(), true
 	}
-	if !set.HasQuorumWithout(policy.ended, policy.isReachable) {
+	if !set.HasRecoveryQuorum(policy.ended, policy.isReachable) {
 		return set, false
 	}
 	if newVoter, found := policy.findNewVoter(set); found {
-		return set.Enter(policy.addVoter(set.Voters, newVoter)), true
+		return set.EnterJoint(policy.addVoter(set.Voters, newVoter)), true
 	}
 	return policy.removeVoter(set)
 }
@@ -178,14 +178,14 @@
 // tolerate the configured number of failures.
 func (policy memberPolicy) removeVoter(set casregister.Set) (casregister.Set, bool) {
 	if index := policy.indexOfVolatile(set.Voters); index >= 0 && slices.ContainsFunc(set.Voters, policy.hasDisk) {
-		return set.Enter(withoutVoter(set.Voters, index)), true
+		return set.EnterJoint(withoutVoter(set.Voters, index)), true
 	}
 	if len(set.Voters) <= 2*policy.toleratedFailures+1 {
 		return set, false
 	}
 	for index, voter := range set.Voters {
 		if _, isSilent := policy.findSilentVoter(voter.ID, removeAfter); isSilent {
-			return set.Enter(withoutVoter(set.Voters, index)), true
+			return set.EnterJoint(withoutVoter(set.Voters, index)), true
 		}
 	}
 	return set, false
--- a/internal/router/configstore/policy_test.go
+++ b/internal/router/configstore/policy_test.go
@@ -76,11 +76,11 @@
 		if !isNeeded {
 			continue
 		}
-		assert.DeepEqual(t, next, set.Enter(test.next))
-		assert.NilError(t, set.CheckStep(next))
+		assert.DeepEqual(t, next, set.EnterJoint(test.next))
+		assert.NilError(t, set.CheckTransition(next))
 		nonJoint, isNeeded := policy.nextSet(next)
 		assert.Assert(t, isNeeded, name)
-		assert.DeepEqual(t, nonJoint, next.Leave())
+		assert.DeepEqual(t, nonJoint, next.LeaveJoint())
 	}
 }
 
--- a/internal/router/configstore/propose.go
+++ b/internal/router/configstore/propose.go
@@ -24,7 +24,7 @@
 
 // Propose changes the state. The change function may be called several times, each time with the state on which its
 // result must be based; the store sets the revision. An error of the function is returned only once the state that it
-// was called with is known to be chosen. The returned state is chosen. ErrUnclear means that the context ended first.
+// was called with is known to be chosen. The returned state is chosen. ErrOutcomeUnknown means that the context ended first.
 func (store *Store) Propose(ctx context.Context, change func(State) (State, error)) (State, error) {
 	chosen, err := store.propose(ctx, func(base casregister.Value) (casregister.Value, error) {
 		return changeState(base, change)
@@ -65,7 +65,7 @@
 	case store.proposeSemaphore <- struct{}{}:
 		defer func() { <-store.proposeSemaphore }()
 	case <-ctx.Done():
-		return nil, ErrUnclear
+		return nil, ErrOutcomeUnknown
 	case <-store.ctx.Done():
 		return nil, ErrClosed
 	}
@@ -92,12 +92,12 @@
 		case casregister.Pending:
 			wake(store.wakeDiscover)
 		case casregister.Preempted:
-			store.raiseBallot(result.Higher)
+			store.raiseBallot(result.HigherBallot)
 			sleep(ctx, rand.N(backoff))
 			backoff = min(2*backoff, maxBackoff)
 		}
 	}
-	return nil, ErrUnclear
+	return nil, ErrOutcomeUnknown
 }
 
 // proposeOnce makes a proposal under one ballot. The outcome is Pending if no quorum answered in time.
@@ -108,7 +108,7 @@
 	result := store.runProposer(round, proposer)
 	if proposer.IsAccepting() && !result.State.Ballot.IsZero() {
 		store.notifyAcceptors(result.State)
-		store.spreadChosenState(round, proposer)
+		store.replicateChosenState(round, proposer)
 	}
 	return result
 }
@@ -137,14 +137,14 @@
 		case reply := <-round.replies:
 			proposer.Receive(reply)
 		case <-conflictTimer:
-			return casregister.Result{Outcome: casregister.Preempted, Higher: proposer.Higher()}
+			return casregister.Result{Outcome: casregister.Preempted, HigherBallot: proposer.HigherBallot()}
 		case <-round.ctx.Done():
 			return casregister.Result{}
 		}
 		if result := proposer.Result(); result.Outcome != casregister.Pending {
 			return result
 		}
-		if conflictTimer == nil && !proposer.Higher().IsZero() {
+		if conflictTimer == nil && !proposer.HigherBallot().IsZero() {
 			conflictTimer = time.After(conflictTimeout)
 		}
 	}
--- a/internal/router/configstore/spread.go
+++ b/internal/router/configstore/replication.go
@@ -7,21 +7,21 @@
 	"pewterrudder/internal/router/casregister"
 )
 
-// spreadTimeout is how long a chosen proposal waits for the voters beyond its quorum if some voters are volatile.
-const spreadTimeout = 250 * time.Millisecond
+// replicationTimeout is how long a chosen proposal waits for the voters beyond its quorum if some voters are volatile.
+const replicationTimeout = 250 * time.Millisecond
 
-// spreadChosenState waits, for spreadTimeout at most, until all voters that answer hold the chosen state. It does so
+// replicateChosenState waits, for replicationTimeout at most, until all voters that answer hold the chosen state. It does so
 // only if some voters are volatile: those of the quorum may all end and lose their memory, and a recovery then relies
 // on the state of the others. If a voter has promised a higher ballot, the state is proposed again under a ballot
 // above that one.
-func (store *Store) spreadChosenState(round *round, proposer *casregister.Proposer) {
+func (store *Store) replicateChosenState(round *round, proposer *casregister.Proposer) {
 	if !proposer.HasVolatile() {
 		return
 	}
-	round, cancel := round.withTimeout(spreadTimeout)
+	round, cancel := round.withTimeout(replicationTimeout)
 	defer cancel()
-	for store.awaitSpread(round, proposer) == casregister.SpreadRefused {
-		proposer = store.rewriteChosenState(round, proposer.Higher())
+	for store.awaitReplication(round, proposer) == casregister.ReplicationRejected {
+		proposer = store.rewriteChosenState(round, proposer.HigherBallot())
 	}
 }
 
@@ -41,14 +41,14 @@
 		if round.ctx.Err() != nil {
 			return proposer
 		}
-		higher = result.Higher
+		higher = result.HigherBallot
 	}
 }
 
-// awaitSpread receives replies until all voters have answered or the round ends.
-func (store *Store) awaitSpread(round *round, proposer *casregister.Proposer) casregister.Spread {
+// awaitReplication receives replies until all voters have answered or the round ends.
+func (store *Store) awaitReplication(round *round, proposer *casregister.Proposer) casregister.Replication {
 	for round.ctx.Err() == nil {
-		if spread := proposer.Spread(); spread != casregister.SpreadPending {
+		if spread := proposer.Replication(); spread != casregister.ReplicationPending {
 			return spread
 		}
 		select {
@@ -57,5 +57,5 @@
 		case <-round.ctx.Done():
 		}
 	}
-	return casregister.SpreadPending
+	return casregister.ReplicationPending
 }
--- a/internal/router/configstore/round.go
+++ b/internal/router/configstore/round.go
@@ -71,7 +71,7 @@
 // passReply delivers a reply to the round. The reply that another acceptor is at the address counts as coming from the
 // acceptor that was asked. Any other reply of a different acceptor is dropped.
 func (round *round) passReply(outgoing casregister.Outgoing, reply casregister.Reply) {
-	if reply.Verdict == casregister.OtherIdentity {
+	if reply.Verdict == casregister.WrongAcceptor {
 		round.store.recordEnded(outgoing.To, reply)
 		reply.From = outgoing.To.ID
 	}
--- a/internal/router/configstore/serve.go
+++ b/internal/router/configstore/serve.go
@@ -42,7 +42,7 @@
 		return otherIdentityResponse(request, "", false), nil
 	}
 	reply, err := store.acceptor.submit(ctx, request)
-	if identityErr := new(casregister.IdentityError); errors.As(err, &identityErr) {
+	if identityErr := new(casregister.WrongAcceptorError); errors.As(err, &identityErr) {
 		return otherIdentityResponse(request, identityErr.Actual, store.options.Self.Volatile), nil
 	}
 	if errors.Is(err, errDiskUnavailable) {
@@ -59,7 +59,7 @@
 // one that is, empty if there is none.
 func otherIdentityResponse(request casregister.Request, actual casregister.AcceptorID, isVolatile bool) response {
 	return response{Reply: &casregister.Reply{
-		Verdict:    casregister.OtherIdentity,
+		Verdict:    casregister.WrongAcceptor,
 		From:       actual,
 		Ballot:     request.Ballot,
 		IsVolatile: isVolatile,
--- a/internal/router/configstore/snapshot_test.go
+++ b/internal/router/configstore/snapshot_test.go
@@ -25,7 +25,7 @@
 	assert.NilError(t, err)
 	assert.Assert(t, decoded.hasSameContent(state))
 	assert.Equal(t, decoded.Revision, state.Revision)
-	assert.Equal(t, decoded.Find(7, ChangeID{2}), OrderTaken)
+	assert.Equal(t, decoded.ChangeStatus(7, ChangeID{2}), ChangeApplied)
 }
 
 // TestCorruptSnapshotIsRejected changes each byte of a snapshot in turn, truncates it at each offset, and changes
--- a/internal/router/configstore/state_test.go
+++ b/internal/router/configstore/state_test.go
@@ -64,15 +64,15 @@
 	assert.NilError(t, err)
 	assert.Assert(t, decoded.hasSameContent(state))
 	for number := range maxAppliedChanges + 10 {
-		expected := OrderTaken
+		expected := ChangeApplied
 		if number < 10 {
-			expected = OrderForgotten
+			expected = ChangeForgotten
 		}
-		assert.Equal(t, decoded.Find(int64(2*number), id(number)), expected, "change %d", number)
+		assert.Equal(t, decoded.ChangeStatus(int64(2*number), id(number)), expected, "change %d", number)
 	}
-	assert.Equal(t, decoded.Find(18, ChangeID{7}), OrderForgotten)
-	assert.Equal(t, decoded.Find(20, ChangeID{7}), OrderUnknown)
-	assert.Equal(t, decoded.Find(state.Generation, ChangeID{7}), OrderUnknown)
+	assert.Equal(t, decoded.ChangeStatus(18, ChangeID{7}), ChangeForgotten)
+	assert.Equal(t, decoded.ChangeStatus(20, ChangeID{7}), ChangeUnknown)
+	assert.Equal(t, decoded.ChangeStatus(state.Generation, ChangeID{7}), ChangeUnknown)
 }
 
 // TestLegacyChangeIDs decodes a state of an earlier release, which lists change IDs without bases. Changes that are not
@@ -83,13 +83,13 @@
 	assert.NilError(t, err)
 	state, err := decodeState(payload)
 	assert.NilError(t, err)
-	assert.Equal(t, state.Find(5, applied), OrderTaken)
-	assert.Equal(t, state.Find(5, ChangeID{4}), OrderForgotten)
-	assert.Equal(t, state.Find(9, ChangeID{4}), OrderUnknown)
+	assert.Equal(t, state.ChangeStatus(5, applied), ChangeApplied)
+	assert.Equal(t, state.ChangeStatus(5, ChangeID{4}), ChangeForgotten)
+	assert.Equal(t, state.ChangeStatus(9, ChangeID{4}), ChangeUnknown)
 	for number := range maxAppliedChanges {
 		state = state.WithChange(nil, int64(10+number), ChangeID{9, byte(number)})
 	}
-	assert.Equal(t, state.Find(8, ChangeID{4}), OrderForgotten, "a forgotten base stays forgotten")
+	assert.Equal(t, state.ChangeStatus(8, ChangeID{4}), ChangeForgotten, "a forgotten base stays forgotten")
 }
 
 // applyAsEarlierRelease applies a change as releases did before bases were stored: it reads and writes only the list
@@ -135,13 +135,13 @@
 	state, err = decodeState(payload)
 	assert.NilError(t, err)
 	for number := range 5 {
-		assert.Equal(t, state.Find(base+int64(number), ChangeID{2, byte(number)}), OrderTaken)
+		assert.Equal(t, state.ChangeStatus(base+int64(number), ChangeID{2, byte(number)}), ChangeApplied)
 	}
 	for number := range maxAppliedChanges {
-		assert.Equal(t, state.Find(int64(9+number), ChangeID{1, byte(number)}), OrderTaken, "change %d", number)
+		assert.Equal(t, state.ChangeStatus(int64(9+number), ChangeID{1, byte(number)}), ChangeApplied, "change %d", number)
 	}
-	assert.Equal(t, state.Find(base+2, ChangeID{3}), OrderForgotten, "the earlier release may have applied more changes than it lists")
-	assert.Equal(t, state.Find(state.Generation, ChangeID{3}), OrderUnknown)
+	assert.Equal(t, state.ChangeStatus(base+2, ChangeID{3}), ChangeForgotten, "the earlier release may have applied more changes than it lists")
+	assert.Equal(t, state.ChangeStatus(state.Generation, ChangeID{3}), ChangeUnknown)
 }
 
 // TestNewerFormatIsRejected checks that a release does not use a state whose format it does not support.
--- a/internal/router/configstore/store.go
+++ b/internal/router/configstore/store.go
@@ -126,16 +126,16 @@
 	return synced.ID
 }
 
-// WriteUnderWay returns how long the acceptor's current disk write has taken so far, zero if there is none.
-func (store *Store) WriteUnderWay() time.Duration {
+// PendingWriteDuration returns how long the acceptor's current disk write has taken so far, zero if there is none.
+func (store *Store) PendingWriteDuration() time.Duration {
 	if store.acceptor == nil {
 		return 0
 	}
 	return store.acceptor.pendingWriteDuration()
 }
 
-// RefusesWrites reports whether the last write to the acceptor's disk failed.
-func (store *Store) RefusesWrites() bool {
+// LastWriteFailed reports whether the last write to the acceptor's disk failed.
+func (store *Store) LastWriteFailed() bool {
 	return store.acceptor != nil && store.acceptor.lastWriteFailed.Load()
 }
 
--- a/internal/router/configstore/store_test.go
+++ b/internal/router/configstore/store_test.go
@@ -282,7 +282,7 @@
 		routers := fleet.startAll(true, "a", "b", "c")
 		time.Sleep(time.Second)
 		stalledUntil := time.Now().Add(6 * time.Second)
-		routers[0].disk.Before(func(operation simdisk.Operation, _ string) error {
+		routers[0].disk.SetHook(func(operation simdisk.Operation, _ string) error {
 			time.Sleep(time.Until(stalledUntil))
 			return nil
 		})
@@ -301,7 +301,7 @@
 	})
 }
 
-// TestFullDisk fills two of three disks. Changes must fail with ErrUnclear, and succeed once there is space again.
+// TestFullDisk fills two of three disks. Changes must fail with ErrOutcomeUnknown, and succeed once there is space again.
 func TestFullDisk(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		fleet := newFleet(t, "a", "b", "c")
@@ -312,7 +312,7 @@
 			router.disk.SetCapacity(1)
 		}
 		_, _, err = routers[0].put(1, 2)
-		assert.ErrorIs(t, err, ErrUnclear)
+		assert.ErrorIs(t, err, ErrOutcomeUnknown)
 		for _, router := range routers[:2] {
 			router.disk.SetCapacity(0)
 		}
@@ -375,7 +375,7 @@
 	}
 }
 
-// TestRouterWithoutQuorum isolates a router from the others. Its changes and reads must fail with ErrUnclear.
+// TestRouterWithoutQuorum isolates a router from the others. Its changes and reads must fail with ErrOutcomeUnknown.
 func TestRouterWithoutQuorum(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		fleet := newFleet(t, "a", "b", "c")
@@ -385,10 +385,10 @@
 		time.Sleep(settleTime)
 		routers[0].setIsolated(true)
 		_, took, err := routers[0].put(1, 2)
-		assert.ErrorIs(t, err, ErrUnclear)
+		assert.ErrorIs(t, err, ErrOutcomeUnknown)
 		assert.Equal(t, took, requestTimeout)
 		_, err = routers[0].read()
-		assert.ErrorIs(t, err, ErrUnclear)
+		assert.ErrorIs(t, err, ErrOutcomeUnknown)
 		_, _, err = routers[1].put(1, 3)
 		assert.NilError(t, err)
 		routers[0].setIsolated(false)
--- a/internal/router/controlapi/changes.go
+++ b/internal/router/controlapi/changes.go
@@ -100,11 +100,11 @@
 
 // propose is the change function passed to Register.Propose. It returns the next state, or the reason for a refusal.
 func (r *changeRequest) propose(state configstore.State) (configstore.State, error) {
-	status := state.Find(r.base, r.id)
+	status := state.ChangeStatus(r.base, r.id)
 	switch {
-	case status == configstore.OrderTaken:
+	case status == configstore.ChangeApplied:
 		return state, errAlreadyApplied
-	case status == configstore.OrderForgotten:
+	case status == configstore.ChangeForgotten:
 		return state, resultcode.New(resultcode.OrderForgotten, "generation %d is current, and orders on %d are not remembered", state.Generation, r.base)
 	case state.Generation != r.base:
 		return state, resultcode.New(resultcode.RevisionMismatch, "generation %d is current", state.Generation)
--- a/internal/router/controlapi/controlapi.go
+++ b/internal/router/controlapi/controlapi.go
@@ -75,7 +75,7 @@
 	router.HandleFunc(protocol.PathHeartbeat, a.heartbeat).Methods(http.MethodPost)
 	router.HandleFunc(protocol.PathDeregister, a.deregister).Methods(http.MethodPost)
 	router.HandleFunc(protocol.PathConfigPut, a.put).Methods(http.MethodPost)
-	router.HandleFunc(protocol.PathConfigEdit, a.patch).Methods(http.MethodPost)
+	router.HandleFunc(protocol.PathConfigPatch, a.patch).Methods(http.MethodPost)
 	router.HandleFunc(protocol.PathConfigGet, a.get).Methods(http.MethodGet)
 	router.HandleFunc(protocol.PathSnapshot, a.snapshot).Methods(http.MethodGet)
 	router.HandleFunc(protocol.PathRestore, a.restore).Methods(http.MethodPost)
@@ -143,7 +143,7 @@
 
 // writeError responds with the result code of err. An error without one is reported as OutcomeUnclear.
 func writeError(w http.ResponseWriter, err error) {
-	if coded, ok := resultcode.Of(err); ok {
+	if coded, ok := resultcode.FromError(err); ok {
 		resultcode.Write(w, coded)
 		return
 	}
--- a/internal/router/controlapi/fixture_test.go
+++ b/internal/router/controlapi/fixture_test.go
@@ -65,7 +65,7 @@
 func (m *memoryRegister) simulateFailure(ctx context.Context) error {
 	if m.hangs {
 		<-ctx.Done()
-		return configstore.ErrUnclear
+		return configstore.ErrOutcomeUnknown
 	}
 	if m.fails {
 		return errNoQuorum
@@ -132,7 +132,7 @@
 
 // patch sends a patch and returns the status.
 func patch(api *API, base int, body string) int {
-	return post(api, protocol.PathConfigEdit, fmt.Sprint(base), strings.NewReader(body)).Code
+	return post(api, protocol.PathConfigPatch, fmt.Sprint(base), strings.NewReader(body)).Code
 }
 
 // configuration returns a valid configuration with one route that has the given timeout.
--- a/internal/router/controlapi/instances_test.go
+++ b/internal/router/controlapi/instances_test.go
@@ -65,7 +65,7 @@
 		status := post(api, path, "0", strings.NewReader(configuration(5, 10))).Code
 		assert.Assert(t, status == http.StatusNotFound || status == http.StatusMovedPermanently, "%s: %d", path, status)
 	}
-	for _, path := range []string{protocol.PathConfigPut, protocol.PathConfigEdit, heartbeatPath, deregisterPath} {
+	for _, path := range []string{protocol.PathConfigPut, protocol.PathConfigPatch, heartbeatPath, deregisterPath} {
 		assert.Equal(t, ask(t, api, http.MethodGet, path, nil), http.StatusMethodNotAllowed, path)
 	}
 	assert.Equal(t, register.proposals, 0)
--- a/internal/router/controlapi/prefixes_test.go
+++ b/internal/router/controlapi/prefixes_test.go
@@ -16,7 +16,7 @@
 		Enabled:  true,
 		Version:  4,
 		Prefixes: []protocol.PrefixInfo{{Key: "a1", Backend: "b", Tenant: "t", Tokens: 9, Share: 0.5, Instances: []string{"i"}}},
-		Tenants:  map[string]protocol.PrefixUseByName{"t": {Requests: 3, Hits: 2, TokensReadAgain: 9}},
+		Tenants:  map[string]protocol.TenantPrefixUse{"t": {Requests: 3, Hits: 2, RecomputedTokens: 9}},
 	}
 	api := New(Options{Prefixes: func() *protocol.PrefixStatus { return &want }})
 	response := httptest.NewRecorder()
--- a/internal/router/disk/disk_test.go
+++ b/internal/router/disk/disk_test.go
@@ -77,7 +77,7 @@
 func cutPowerAt(simulated *simdisk.Disk, operation int) *bool {
 	count := 0
 	powerWasCut := new(bool)
-	simulated.Before(func(simdisk.Operation, string) error {
+	simulated.SetHook(func(simdisk.Operation, string) error {
 		if count == operation {
 			simulated.CutPower()
 			*powerWasCut = true
@@ -93,7 +93,7 @@
 func killProcessAt(simulated *simdisk.Disk, operation int) *bool {
 	count := 0
 	wasKilled := new(bool)
-	simulated.Before(func(simdisk.Operation, string) error {
+	simulated.SetHook(func(simdisk.Operation, string) error {
 		count++
 		if count > operation {
 			*wasKilled = true
@@ -122,7 +122,7 @@
 			if before.found < 0 {
 				before = initial
 			}
-			simulated.Before(nil)
+			simulated.SetHook(nil)
 			simulated.CutPower()
 			simulated.PowerOn(random)
 
@@ -134,7 +134,7 @@
 				assert.Assert(t, between.found >= before.saved && between.found <= before.tried,
 					"cut %d, trial %d: found %d, saved %d, tried %d", first, trial, between.found, before.saved, before.tried)
 			}
-			simulated.Before(nil)
+			simulated.SetHook(nil)
 			simulated.CutPower()
 			simulated.PowerOn(random)
 
@@ -161,7 +161,7 @@
 			armed := killProcessAt(simulated, operation)
 			before := runProcess(t, simulated, 0, savesPerRun)
 			wasKilled = wasKilled || *armed
-			simulated.Before(nil)
+			simulated.SetHook(nil)
 			between := runProcess(t, simulated, before.tried, 0)
 			assert.Assert(t, between.found >= before.saved && between.found <= before.tried)
 			simulated.CutPower()
@@ -192,7 +192,7 @@
 			assert.NilError(t, err)
 			assert.NilError(t, saver.Save(contentOf(1)))
 
-			simulated.Before(func(current simdisk.Operation, _ string) error {
+			simulated.SetHook(func(current simdisk.Operation, _ string) error {
 				if current == operation {
 					return errInjected
 				}
@@ -204,7 +204,7 @@
 				assert.Equal(t, failure.Step, step)
 				assert.ErrorIs(t, failure, errInjected)
 			}
-			simulated.Before(nil)
+			simulated.SetHook(nil)
 			names, err := simulated.List()
 			assert.NilError(t, err)
 			left := 1
@@ -225,7 +225,7 @@
 	simulated := simdisk.New()
 	saver, _, err := disk.Open(simulated)
 	assert.NilError(t, err)
-	simulated.Before(func(current simdisk.Operation, _ string) error {
+	simulated.SetHook(func(current simdisk.Operation, _ string) error {
 		if current == simdisk.Remove {
 			return errInjected
 		}
@@ -234,7 +234,7 @@
 	for number := range 5 {
 		assert.NilError(t, saver.Save(contentOf(number+1)))
 	}
-	simulated.Before(nil)
+	simulated.SetHook(nil)
 	assert.NilError(t, saver.Save(contentOf(6)))
 	names, err := simulated.List()
 	assert.NilError(t, err)
@@ -264,7 +264,7 @@
 // TestDirectory saves in a directory of the real file system that contains files of other origin.
 func TestDirectory(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "missing", "parent")
-	directory, err := disk.OpenFolder(path)
+	directory, err := disk.OpenDirectory(path)
 	assert.NilError(t, err)
 	junk := []string{
 		"version-.state", "version-zz.state", "version-1.state", "version-ffffffffffffffffff.state", "lost+found",
@@ -289,7 +289,7 @@
 // TestDamagedVersion damages the newest version: Open returns the one before it.
 func TestDamagedVersion(t *testing.T) {
 	path := t.TempDir()
-	directory, err := disk.OpenFolder(path)
+	directory, err := disk.OpenDirectory(path)
 	assert.NilError(t, err)
 	runProcess(t, directory, 0, 3)
 	newest := filepath.Join(path, "version-0000000000000003.state")
--- a/internal/router/disk/filesystem.go
+++ b/internal/router/disk/filesystem.go
@@ -38,8 +38,8 @@
 	path string
 }
 
-// OpenFolder returns the directory with the given path, which it creates if it does not exist.
-func OpenFolder(path string) (*Directory, error) {
+// OpenDirectory returns the directory with the given path, which it creates if it does not exist.
+func OpenDirectory(path string) (*Directory, error) {
 	if err := os.MkdirAll(path, directoryPermissions); err != nil {
 		return nil, errors.WithStack(err)
 	}
--- a/internal/router/disk/simdisk/simdisk.go
+++ b/internal/router/disk/simdisk/simdisk.go
@@ -76,9 +76,9 @@
 	return &Disk{names: make(map[string]*inode), durable: make(map[string]*inode)}
 }
 
-// Before sets a hook that is called before each operation; nil removes it. If the hook returns an error, the operation
+// SetHook sets a hook that is called before each operation; nil removes it. If the hook returns an error, the operation
 // returns it and has no effect. The hook may block, to simulate a hanging disk, or cut the power.
-func (simulated *Disk) Before(hook func(operation Operation, name string) error) {
+func (simulated *Disk) SetHook(hook func(operation Operation, name string) error) {
 	simulated.mutex.Lock()
 	defer simulated.mutex.Unlock()
 	simulated.hook = hook
--- a/internal/router/document/fuzz_test.go
+++ b/internal/router/document/fuzz_test.go
@@ -42,7 +42,7 @@
 
 func requireCode(t *testing.T, err error) {
 	t.Helper()
-	if _, found := resultcode.Of(err); !found {
+	if _, found := resultcode.FromError(err); !found {
 		t.Fatalf("no result code: %v", err)
 	}
 }
--- a/internal/router/document/parse_test.go
+++ b/internal/router/document/parse_test.go
@@ -149,7 +149,7 @@
 
 func assertCode(t *testing.T, err error, code resultcode.Code) {
 	t.Helper()
-	coded, found := resultcode.Of(err)
+	coded, found := resultcode.FromError(err)
 	assert.Assert(t, found, "no result code: %v", err)
 	assert.Equal(t, coded.Code, code, "%v", err)
 }
--- a/internal/router/front/admit.go
+++ b/internal/router/front/admit.go
@@ -126,7 +126,7 @@
 	if !c.table.RequiresKey(c.route) {
 		return nil
 	}
-	if keysValid := c.server.dependencies.KeysHold; keysValid != nil && !keysValid() {
+	if keysValid := c.server.dependencies.KeysValid; keysValid != nil && !keysValid() {
 		return resultcode.New(resultcode.KeysUnconfirmed, "")
 	}
 	keys := c.incoming.Header[protocol.HeaderAPIKey]
--- a/internal/router/front/admit_test.go
+++ b/internal/router/front/admit_test.go
@@ -60,7 +60,7 @@
 func TestUnconfirmedKeysAreRefused(t *testing.T) {
 	instance := newFakeInstance(t, "i-1", respondOK)
 	var holds atomic.Bool
-	f := newTestFront(t, func(_ *document.Configuration, d *Dependencies, _ *Options) { d.KeysHold = holds.Load }, instance)
+	f := newTestFront(t, func(_ *document.Configuration, d *Dependencies, _ *Options) { d.KeysValid = holds.Load }, instance)
 	for _, key := range []string{"key-a", "key-b"} {
 		response, body := f.exchange(t, requestText("GET", "/keyed/", "Api-Key: "+key))
 		assert.Equal(t, response.StatusCode, http.StatusServiceUnavailable)
@@ -178,7 +178,7 @@
 		all := instance.requests()
 		assert.Assert(t, all[len(all)-1].body == r.body)
 	}
-	waitFor(t, "no body held", func() bool { return f.server.Figures().BodyBytesHeld == 0 })
+	waitFor(t, "no body held", func() bool { return f.server.Stats().BodyBytesHeld == 0 })
 }
 
 func TestMemoryForBodiesIsBounded(t *testing.T) {
@@ -236,7 +236,7 @@
 			"X-Pewterrudder-Load: 1,1,1", "Versions: 7", "Set-Cookie: a=b")
 	}))
 	response, _ := f.exchange(t, requestText("GET", "/once/"))
-	assert.DeepEqual(t, response.Header, http.Header{protocol.HeaderRequestID: {"id-1"}, protocol.HeaderSignature: {testSignature},
+	assert.DeepEqual(t, response.Header, http.Header{protocol.HeaderRequestID: {"id-1"}, protocol.HeaderResponseSignature: {testSignature},
 		"X-Own": {"1", "2"}, "Versions": {"7"}, "Set-Cookie": {"a=b"}, "Content-Length": {"6"}})
 }
 
--- a/internal/router/front/attempts.go
+++ b/internal/router/front/attempts.go
@@ -74,7 +74,7 @@
 }
 
 func (c *call) connectionLimit() int {
-	if limit := c.server.dependencies.Connections; limit != nil {
+	if limit := c.server.dependencies.ConnectionLimit; limit != nil {
 		return limit(c.backend)
 	}
 	return 0
@@ -129,7 +129,7 @@
 	if c.reached == 0 {
 		return true
 	}
-	if retry := c.server.dependencies.Retry; retry != nil && !retry(time.Now(), c.backend.Name) {
+	if retry := c.server.dependencies.TakeRetry; retry != nil && !retry(time.Now(), c.backend.Name) {
 		c.budgetExhausted = true
 		return false
 	}
--- a/internal/router/front/attempts_test.go
+++ b/internal/router/front/attempts_test.go
@@ -100,7 +100,7 @@
 // signature and, if its status is 503, a valid Retry-After.
 func checkResponse(t *testing.T, response *http.Response, body, want string) {
 	t.Helper()
-	signature := response.Header.Get(protocol.HeaderSignature)
+	signature := response.Header.Get(protocol.HeaderResponseSignature)
 	if want != "" {
 		assert.Equal(t, body, want)
 		assert.Equal(t, signature, testSignature)
@@ -223,7 +223,7 @@
 		return respondOK(c, r)
 	})
 	f := newTestFront(t, func(_ *document.Configuration, d *Dependencies, _ *Options) {
-		d.Connections = func(b *routing.Backend) int { return b.MaxConnections / 10 }
+		d.ConnectionLimit = func(b *routing.Backend) int { return b.MaxConnections / 10 }
 	}, instance)
 	waiting := f.dial(t)
 	waiting.send(requestText("GET", "/once/"))
@@ -240,7 +240,7 @@
 	f := newTestFront(t, nil, newFakeInstance(t, "i-1", respondRejected), newFakeInstance(t, "i-2", respondOK))
 	f.exchange(t, requestText("GET", "/once/"))
 	f.exchange(t, requestText("GET", "/no/"))
-	figures := f.server.Figures()
+	figures := f.server.Stats()
 	assert.Equal(t, figures.Succeeded, uint64(1))
 	assert.Equal(t, figures.Rejected, uint64(1))
 	assert.Equal(t, figures.ClientErrors, uint64(1))
--- a/internal/router/front/connection_test.go
+++ b/internal/router/front/connection_test.go
@@ -28,7 +28,7 @@
 	assert.Equal(t, err, io.EOF)
 	took := time.Since(began)
 	assert.Assert(t, took > 950*time.Millisecond && took < 2*time.Second, "%v", took)
-	waitFor(t, "none open", func() bool { return f.server.Figures().Connections == 0 })
+	waitFor(t, "none open", func() bool { return f.server.Stats().Connections == 0 })
 }
 
 // TestIdleTimeoutDoesNotEndARequest checks that an instance may take longer to respond than the idle timeout.
@@ -82,7 +82,7 @@
 	first.readResponse()
 	second.send(requestText("GET", "/once/"))
 	time.Sleep(50 * time.Millisecond)
-	assert.Equal(t, f.server.Figures().Connections, 1)
+	assert.Equal(t, f.server.Stats().Connections, 1)
 	first.Close()
 	response, _, _ := second.readResponse()
 	assert.Equal(t, response.StatusCode, 200)
--- a/internal/router/front/counters.go
+++ b/internal/router/front/counters.go
@@ -46,37 +46,37 @@
 	c.codes[code]++
 }
 
-// Figures holds counts since the start of the server; Connections and BodyBytesHeld are current values.
-type Figures struct {
-	Succeeded     uint64                     // 2xx responses
-	Redirected    uint64                     // 3xx responses
-	ClientErrors  uint64                     // 4xx responses
-	ServerErrors  uint64                     // 5xx responses
-	Broken        uint64                     // responses aborted before their end
-	Gone          uint64                     // requests whose client disconnected
-	NeverSent     uint64                     // attempts that sent nothing to an instance
-	Rejected      uint64                     // attempts that the instance rejected without executing the request
-	MayHaveRun    uint64                     // attempts without a complete response whose request may have been executed
-	Codes         map[resultcode.Code]uint64 // error responses by result code
-	Connections   int                        // open client connections
-	BodyBytesHeld int64                      // memory reserved for request bodies
+// Stats holds counts since the start of the server; Connections and BodyBytesHeld are current values.
+type Stats struct {
+	Succeeded         uint64                     // 2xx responses
+	Redirected        uint64                     // 3xx responses
+	ClientErrors      uint64                     // 4xx responses
+	ServerErrors      uint64                     // 5xx responses
+	AbortedResponses  uint64                     // responses aborted before their end
+	ClientDisconnects uint64                     // requests whose client disconnected
+	NeverSent         uint64                     // attempts that sent nothing to an instance
+	Rejected          uint64                     // attempts that the instance rejected without executing the request
+	MayHaveRun        uint64                     // attempts without a complete response whose request may have been executed
+	Codes             map[resultcode.Code]uint64 // error responses by result code
+	Connections       int                        // open client connections
+	BodyBytesHeld     int64                      // memory reserved for request bodies
 }
 
-// Figures returns a snapshot of the counters.
-func (s *Server) Figures() Figures {
+// Stats returns a snapshot of the counters.
+func (s *Server) Stats() Stats {
 	c := &s.counters
-	figures := Figures{
-		Succeeded:     c.statuses[2].Load(),
-		Redirected:    c.statuses[3].Load(),
-		ClientErrors:  c.statuses[4].Load(),
-		ServerErrors:  c.statuses[5].Load(),
-		Broken:        c.truncated.Load(),
-		Gone:          c.clientDisconnects.Load(),
-		NeverSent:     c.outcomes[attempt.NeverSent].Load(),
-		Rejected:      c.outcomes[attempt.Rejected].Load(),
-		MayHaveRun:    c.outcomes[attempt.MayHaveRun].Load(),
-		Connections:   s.connections.count(),
-		BodyBytesHeld: s.bodyMemory.Load(),
+	figures := Stats{
+		Succeeded:         c.statuses[2].Load(),
+		Redirected:        c.statuses[3].Load(),
+		ClientErrors:      c.statuses[4].Load(),
+		ServerErrors:      c.statuses[5].Load(),
+		AbortedResponses:  c.truncated.Load(),
+		ClientDisconnects: c.clientDisconnects.Load(),
+		NeverSent:         c.outcomes[attempt.NeverSent].Load(),
+		Rejected:          c.outcomes[attempt.Rejected].Load(),
+		MayHaveRun:        c.outcomes[attempt.MayHaveRun].Load(),
+		Connections:       s.connections.count(),
+		BodyBytesHeld:     s.bodyMemory.Load(),
 	}
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
--- a/internal/router/front/fixture_test.go
+++ b/internal/router/front/fixture_test.go
@@ -136,7 +136,7 @@
 	return text + "Content-Length: " + strconv.Itoa(len(body)) + "\r\n\r\n" + body
 }
 
-const signatureLine = protocol.HeaderSignature + ": " + testSignature
+const signatureLine = protocol.HeaderResponseSignature + ": " + testSignature
 const notExecutedLine = protocol.HeaderNotExecuted + ": 1"
 
 // writeStreamHead writes the head of an event stream response.
@@ -198,7 +198,7 @@
 	configuration := testConfiguration()
 	log := logrus.New()
 	log.SetOutput(io.Discard)
-	f.deps = Dependencies{Pool: attempt.NewPool(attempt.Options{}), Select: f.choose, Log: log, Retry: f.retry}
+	f.deps = Dependencies{Pool: attempt.NewPool(attempt.Options{}), Select: f.choose, Log: log, TakeRetry: f.retry}
 	options := Options{DrainAcceptTime: 50 * time.Millisecond}
 	if change != nil {
 		change(configuration, &f.deps, &options)
--- a/internal/router/front/front_test.go
+++ b/internal/router/front/front_test.go
@@ -15,7 +15,7 @@
 	response, body := f.exchange(t, requestText("POST", "/once//a%2Fb/../c?q=1&&r=%20", "Content-Length: 5", "X-Own: 1", "X-Own: 2")+"hello")
 	assert.Equal(t, response.StatusCode, 200)
 	assert.Equal(t, body, "fine")
-	assert.Equal(t, response.Header.Get(protocol.HeaderSignature), testSignature)
+	assert.Equal(t, response.Header.Get(protocol.HeaderResponseSignature), testSignature)
 	got := instance.requests()[0]
 	assert.Equal(t, got.Method, "POST")
 	assert.Equal(t, got.RequestURI, "/once//a%2Fb/../c?q=1&&r=%20")
--- a/internal/router/front/start.go
+++ b/internal/router/front/start.go
@@ -20,7 +20,7 @@
 // awaitStart delays a request until the router knows its configuration and the instances, which takes some hundred
 // milliseconds after the start of the process. Without the delay, requests in that time would be refused.
 func (s *Server) awaitStart(ctx context.Context, deadlineMs string) {
-	started := s.dependencies.Started
+	started := s.dependencies.BecameReady
 	if started == nil {
 		return
 	}
--- a/internal/router/front/start_test.go
+++ b/internal/router/front/start_test.go
@@ -32,7 +32,7 @@
 				} else {
 					time.AfterFunc(c.startsIn, func() { close(started) })
 				}
-				s := &Server{dependencies: Dependencies{Started: started}}
+				s := &Server{dependencies: Dependencies{BecameReady: started}}
 				began := time.Now()
 				s.awaitStart(t.Context(), c.deadlineMs)
 				assert.Equal(t, time.Since(began), c.want)
@@ -45,7 +45,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		ctx, leave := context.WithTimeout(t.Context(), 50*time.Millisecond)
 		defer leave()
-		s := &Server{dependencies: Dependencies{Started: make(chan struct{})}}
+		s := &Server{dependencies: Dependencies{BecameReady: make(chan struct{})}}
 		began := time.Now()
 		s.awaitStart(ctx, "2000")
 		assert.Equal(t, time.Since(began), 50*time.Millisecond)
--- a/internal/router/front/stream_test.go
+++ b/internal/router/front/stream_test.go
@@ -85,8 +85,8 @@
 			assert.Equal(t, err == nil, c.whole, "%v", err)
 			if c.status == 200 {
 				assert.Equal(t, body, c.body)
-				assert.Equal(t, response.Header.Get(protocol.HeaderSignature), testSignature)
-				assert.Equal(t, len(response.Header[protocol.HeaderSignature]), 1)
+				assert.Equal(t, response.Header.Get(protocol.HeaderResponseSignature), testSignature)
+				assert.Equal(t, len(response.Header[protocol.HeaderResponseSignature]), 1)
 			}
 			var lastIDs []string
 			for _, s := range all {
@@ -196,7 +196,7 @@
 				t.Fatal("the connection to the instance is still open")
 			}
 			assert.Equal(t, len(second.requests()), 0)
-			waitFor(t, "the count", func() bool { return f.server.Figures().Gone == 1 })
+			waitFor(t, "the count", func() bool { return f.server.Stats().ClientDisconnects == 1 })
 			assert.Equal(t, f.deps.Pool.Stats().Open, 0)
 			assert.DeepEqual(t, f.picks, []string{"i-1"})
 			assert.Equal(t, f.retries, 0)
--- a/internal/router/instances/reference_test.go
+++ b/internal/router/instances/reference_test.go
@@ -88,7 +88,7 @@
 
 // isLater reports whether version a follows b.
 func isLater(a, b Version) bool {
-	return cmp.Or(cmp.Compare(a.Heartbeat, b.Heartbeat), cmp.Compare(a.Ended, b.Ended)) > 0
+	return cmp.Or(cmp.Compare(a.Heartbeat, b.Heartbeat), cmp.Compare(a.Expired, b.Expired)) > 0
 }
 
 // heartbeatResult returns the expected result of a heartbeat at this router.
@@ -122,7 +122,7 @@
 		entry := m.entry(id)
 		isLost := forLostHolders && !live[entry.holder]
 		if entry.present && now-entry.lastAliveAt > timeout && (entry.holder == m.self || isLost) {
-			list = append(list, Expiry{ID: id, Version: Version{Heartbeat: entry.version.Heartbeat, Ended: 1}})
+			list = append(list, Expiry{ID: id, Version: Version{Heartbeat: entry.version.Heartbeat, Expired: 1}})
 		}
 	}
 	return list
--- a/internal/router/instances/table.go
+++ b/internal/router/instances/table.go
@@ -29,8 +29,8 @@
 type Version struct {
 	// Heartbeat is the sequence number of the heartbeat, plus 1.
 	Heartbeat uint64
-	// Ended is 1 for an expiry, which follows the last known heartbeat, otherwise 0.
-	Ended uint64
+	// Expired is 1 for an expiry, which follows the last known heartbeat, otherwise 0.
+	Expired uint64
 }
 
 const (
@@ -45,13 +45,13 @@
 	if v.Heartbeat != other.Heartbeat {
 		return v.Heartbeat > other.Heartbeat
 	}
-	return v.Ended > other.Ended
+	return v.Expired > other.Expired
 }
 
 // AliveVersion returns the version of a registration by a heartbeat. It is never zero, since the cluster replaces a
 // zero version by one of its own.
 func AliveVersion(sequence int64) Version {
-	return Version{Heartbeat: uint64(max(sequence, 0)) + 1, Ended: endedNever}
+	return Version{Heartbeat: uint64(max(sequence, 0)) + 1, Expired: endedNever}
 }
 
 // DeregisteredVersion returns the version of a removal at the instance's own request.
@@ -78,9 +78,9 @@
 // NewTable returns an empty table for the router with the given node name.
 func NewTable(self string) *Table { return &Table{self: self, entries: map[string]*entry{}} }
 
-// Judge records the time of a heartbeat that this router has received and tells what it changes. If the result is
+// CheckHeartbeat records the time of a heartbeat that this router has received and tells what it changes. If the result is
 // Changed, the caller must Register the instance.
-func (t *Table) Judge(now time.Duration, instance *Instance) HeartbeatResult {
+func (t *Table) CheckHeartbeat(now time.Duration, instance *Instance) HeartbeatResult {
 	e := t.entries[instance.ID]
 	if e == nil {
 		return Changed
@@ -165,9 +165,9 @@
 	return wasPresent
 }
 
-// Shift moves the times of the last signs of life forward by a span in which this router did not run, but not beyond
+// ExtendLiveness moves the times of the last signs of life forward by a span in which this router did not run, but not beyond
 // now. Without it, instances would expire for heartbeats that the router could not receive.
-func (t *Table) Shift(now, span time.Duration) {
+func (t *Table) ExtendLiveness(now, span time.Duration) {
 	for _, e := range t.entries {
 		e.lastAliveAt = min(e.lastAliveAt+span, now)
 	}
@@ -193,7 +193,7 @@
 			continue
 		}
 		if isOwn || forLostHolders {
-			version := Version{Heartbeat: e.version.Heartbeat, Ended: endedBySilence}
+			version := Version{Heartbeat: e.version.Heartbeat, Expired: endedBySilence}
 			expired = append(expired, Expiry{ID: id, Version: version})
 		}
 	}
--- a/internal/router/instances/table_test.go
+++ b/internal/router/instances/table_test.go
@@ -45,7 +45,7 @@
 func (m *tableStateMachine) heartbeat(t *rapid.T) {
 	instance := drawInstance(t)
 	expected := m.reference.heartbeatResult(instance)
-	assert.Equal(t, m.table.Judge(m.now, instance), expected)
+	assert.Equal(t, m.table.CheckHeartbeat(m.now, instance), expected)
 	if expected == Stale {
 		return
 	}
@@ -70,7 +70,7 @@
 	id := rapid.SampledFrom(testIDs).Draw(t, "id")
 	version := DeregisteredVersion()
 	if rapid.IntRange(0, 3).Draw(t, "expiry") > 0 {
-		version = Version{Heartbeat: rapid.Uint64Range(1, 13).Draw(t, "after"), Ended: endedBySilence}
+		version = Version{Heartbeat: rapid.Uint64Range(1, 13).Draw(t, "after"), Expired: endedBySilence}
 	}
 	m.table.Remove(m.now, version, id)
 	m.reference.add(referenceEvent{at: m.now, id: id, version: version})
@@ -101,7 +101,7 @@
 	if rapid.Bool().Draw(t, "heartbeat first") {
 		m.heartbeat(t)
 	}
-	m.table.Shift(m.now, span)
+	m.table.ExtendLiveness(m.now, span)
 	m.reference.add(referenceEvent{at: m.now, pausedFor: span})
 }
 
@@ -146,7 +146,7 @@
 			instance := drawInstance(t)
 			var changed bool
 			if rapid.IntRange(0, 3).Draw(t, "end") == 0 {
-				changed = table.Remove(0, Version{Heartbeat: AliveVersion(instance.Seq).Heartbeat, Ended: endedBySilence}, instance.ID)
+				changed = table.Remove(0, Version{Heartbeat: AliveVersion(instance.Seq).Heartbeat, Expired: endedBySilence}, instance.ID)
 			} else {
 				changed = table.Register(0, AliveVersion(instance.Seq), Registration{Instance: *instance, Holder: "other-1"})
 			}
@@ -190,9 +190,9 @@
 func TestNextHeartbeatRevivesWronglyExpiredInstance(t *testing.T) {
 	table := NewTable("self")
 	register(table, 0, "i-1", "other-1")
-	table.Remove(0, Version{Heartbeat: AliveVersion(1).Heartbeat, Ended: endedBySilence}, "i-1")
-	assert.Equal(t, table.Judge(0, &Instance{ID: "i-1", Seq: 1}), Stale)
-	assert.Equal(t, table.Judge(0, &Instance{ID: "i-1", Seq: 2}), Changed)
+	table.Remove(0, Version{Heartbeat: AliveVersion(1).Heartbeat, Expired: endedBySilence}, "i-1")
+	assert.Equal(t, table.CheckHeartbeat(0, &Instance{ID: "i-1", Seq: 1}), Stale)
+	assert.Equal(t, table.CheckHeartbeat(0, &Instance{ID: "i-1", Seq: 2}), Changed)
 }
 
 func TestDeregistrationIsFinal(t *testing.T) {
@@ -200,7 +200,7 @@
 	register(table, 0, "i-1", "self")
 	assert.Assert(t, table.Remove(0, DeregisteredVersion(), "i-1"))
 	for _, seq := range []int64{2, 1 << 40, 1<<63 - 1} {
-		assert.Equal(t, table.Judge(0, &Instance{ID: "i-1", Seq: seq}), Stale)
+		assert.Equal(t, table.CheckHeartbeat(0, &Instance{ID: "i-1", Seq: seq}), Stale)
 	}
 }
 
--- a/internal/router/lease/probe.go
+++ b/internal/router/lease/probe.go
@@ -53,10 +53,10 @@
 // member of them.
 func (c *Candidate) AllowProof(allowed bool) { c.proofAllowed = allowed }
 
-// SetGrantorsKnown sets whether this process knows of no grantor sets other than those in force, after reading what its disk
+// SetOnlyCurrentGrantorsKnown sets whether this process knows of no grantor sets other than those in force, after reading what its disk
 // says of them. A majority of each set's grantors knows of the next one. So at least one member of an outdated set does not
 // report that it is idle, unless more members have lost their disks than the system tolerates.
-func (c *Candidate) SetGrantorsKnown(known bool) { c.grantorsKnown = known }
+func (c *Candidate) SetOnlyCurrentGrantorsKnown(known bool) { c.grantorsKnown = known }
 
 // Idle reports whether the candidate counts no grant made until now, and knows the same grantor sets as the sender of the
 // probe. Grants to the sender itself block nobody. The value set by AllowProof is not used here: it decides whose responses
--- a/internal/router/lease/probe_test.go
+++ b/internal/router/lease/probe_test.go
@@ -87,7 +87,7 @@
 	c.SetGrantors(0, []string{"a", "b"}, nil)
 	probe := Request{Holder: "a", Probe: true, Sets: [][]string{{"a", "b"}}}
 	assert.Assert(t, !c.Idle(0, probe), "idle although other grantor sets may exist")
-	c.SetGrantorsKnown(true)
+	c.SetOnlyCurrentGrantorsKnown(true)
 	assert.Assert(t, c.Idle(0, probe))
 	assert.Assert(t, !c.Idle(0, Request{Holder: "a", Sets: [][]string{{"a", "c"}}}))
 	now := testConfig.Duration
--- a/internal/router/lease/restart_test.go
+++ b/internal/router/lease/restart_test.go
@@ -111,7 +111,7 @@
 	s.grantors[c.name].grantor.SetGrantors(voters, previous)
 	c.candidate.SetGrantors(now, voters, previous)
 	c.candidate.AllowProof(settled)
-	c.candidate.SetGrantorsKnown(len(previous) == 0)
+	c.candidate.SetOnlyCurrentGrantorsKnown(len(previous) == 0)
 	c.ineligible = !slices.Contains(voters, c.name)
 	if c.ineligible {
 		c.candidate.Resign(now)
--- a/internal/router/loadreports/assignment.go
+++ b/internal/router/loadreports/assignment.go
@@ -27,8 +27,8 @@
 	return &Assignment{view: view, owners: map[string]string{}}
 }
 
-// Mine reports whether this router polls the instance.
-func (a *Assignment) Mine(instance *instances.Instance) bool {
+// IsOwner reports whether this router polls the instance.
+func (a *Assignment) IsOwner(instance *instances.Instance) bool {
 	view := a.view()
 	return a.owner(view, instance) == view.Self().Node
 }
--- a/internal/router/loadreports/sharer.go
+++ b/internal/router/loadreports/broadcaster.go
@@ -27,9 +27,9 @@
 	Kind      transport.Kind
 	Messenger transport.Messenger
 	View      func() *membership.View
-	// Take receives each report from another router.
-	Take func(id string, report *protocol.Report)
-	Log  logrus.FieldLogger
+	// OnReport receives each report from another router.
+	OnReport func(id string, report *protocol.Report)
+	Log      logrus.FieldLogger
 }
 
 // origin identifies a process of a router.
@@ -38,8 +38,8 @@
 	epoch uint64
 }
 
-// Sharer sends this router's reports to all other routers and relays theirs. It is safe for concurrent use.
-type Sharer struct {
+// Broadcaster sends this router's reports to all other routers and relays theirs. It is safe for concurrent use.
+type Broadcaster struct {
 	options Options
 	epoch   uint64
 
@@ -49,13 +49,13 @@
 	lastSequences map[origin]uint64
 }
 
-// NewSharer returns a sharer with a new random epoch.
-func NewSharer(options Options) *Sharer {
-	return &Sharer{options: options, epoch: rand.Uint64(), lastSequences: map[origin]uint64{}}
+// NewBroadcaster returns a sharer with a new random epoch.
+func NewBroadcaster(options Options) *Broadcaster {
+	return &Broadcaster{options: options, epoch: rand.Uint64(), lastSequences: map[origin]uint64{}}
 }
 
-// Share sends a report to all other routers, in one message with the reports that follow within batchDelay.
-func (s *Sharer) Share(id string, report *protocol.Report) {
+// Broadcast sends a report to all other routers, in one message with the reports that follow within batchDelay.
+func (s *Broadcaster) Broadcast(id string, report *protocol.Report) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.pending = append(s.pending, figuresOf(id, report))
@@ -65,7 +65,7 @@
 }
 
 // flush sends the pending reports.
-func (s *Sharer) flush() {
+func (s *Broadcaster) flush() {
 	body, err := s.drainPending().encode()
 	if err != nil {
 		s.options.Log.WithError(err).Error("cannot send load reports")
@@ -75,7 +75,7 @@
 }
 
 // drainPending returns the next message with the pending reports, and clears them.
-func (s *Sharer) drainPending() *message {
+func (s *Broadcaster) drainPending() *message {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.sequence++
@@ -85,14 +85,14 @@
 }
 
 // relay sends a message to this router's children in the relay tree of the node that it originates from.
-func (s *Sharer) relay(node string, body []byte) {
+func (s *Broadcaster) relay(node string, body []byte) {
 	for _, child := range relaytree.Children(s.options.View(), node, s.options.Node) {
 		s.options.Messenger.Send(child.Address, s.options.Kind, body)
 	}
 }
 
 // Handle handles a message from another router and relays it. It is a transport.Handler that doesn't block.
-func (s *Sharer) Handle(_ context.Context, body []byte) ([]byte, error) {
+func (s *Broadcaster) Handle(_ context.Context, body []byte) ([]byte, error) {
 	received, err := decode(body)
 	if err != nil {
 		return nil, err
@@ -102,14 +102,14 @@
 	}
 	s.relay(received.Origin, body)
 	for i := range received.Reports {
-		s.options.Take(received.Reports[i].ID, received.Reports[i].report())
+		s.options.OnReport(received.Reports[i].ID, received.Reports[i].report())
 	}
 	return nil, nil
 }
 
 // recordIfNewer reports whether a message is newer than all previous ones from its origin, and if so records its
 // sequence. It reports false for this router's own messages.
-func (s *Sharer) recordIfNewer(received *message) bool {
+func (s *Broadcaster) recordIfNewer(received *message) bool {
 	if received.Origin == s.options.Node {
 		return false
 	}
--- a/internal/router/loadreports/loadreports_test.go
+++ b/internal/router/loadreports/loadreports_test.go
@@ -49,7 +49,7 @@
 		var owners []string
 		for _, node := range nodes {
 			view := viewOf(node, nodes)
-			if NewAssignment(func() *membership.View { return view }).Mine(instance) {
+			if NewAssignment(func() *membership.View { return view }).IsOwner(instance) {
 				owners = append(owners, node)
 			}
 		}
@@ -63,7 +63,7 @@
 	polled := 0
 	for _, node := range nodes {
 		view := viewOf(node, nodes)
-		if NewAssignment(func() *membership.View { return view }).Mine(&instances.Instance{ID: "i", Zone: "elsewhere"}) {
+		if NewAssignment(func() *membership.View { return view }).IsOwner(&instances.Instance{ID: "i", Zone: "elsewhere"}) {
 			polled++
 		}
 	}
@@ -87,7 +87,7 @@
 
 // fleet is a set of sharers whose messages are delivered immediately.
 type fleet struct {
-	sharers  map[string]*Sharer
+	sharers  map[string]*Broadcaster
 	reports  map[string]map[string]int // last reported number of queued requests by node and instance
 	received map[string]int
 }
@@ -101,17 +101,17 @@
 }
 
 func newFleet(nodes []string) *fleet {
-	f := &fleet{sharers: map[string]*Sharer{}, reports: map[string]map[string]int{}, received: map[string]int{}}
+	f := &fleet{sharers: map[string]*Broadcaster{}, reports: map[string]map[string]int{}, received: map[string]int{}}
 	log := logrus.New()
 	log.SetOutput(io.Discard)
 	for _, node := range nodes {
 		view := viewOf(node, nodes)
 		f.reports[node] = map[string]int{}
-		f.sharers[node] = NewSharer(Options{
+		f.sharers[node] = NewBroadcaster(Options{
 			Node:      node,
 			Messenger: f,
 			View:      func() *membership.View { return view },
-			Take:      func(id string, report *protocol.Report) { f.reports[node][id] = report.Queued },
+			OnReport:  func(id string, report *protocol.Report) { f.reports[node][id] = report.Queued },
 			Log:       log,
 		})
 	}
@@ -122,8 +122,8 @@
 	synctest.Test(t, func(t *testing.T) {
 		nodes := nodesOf(40)
 		f := newFleet(nodes)
-		f.sharers[nodes[7]].Share("a", &protocol.Report{Queued: 3})
-		f.sharers[nodes[7]].Share("b", &protocol.Report{Queued: 4})
+		f.sharers[nodes[7]].Broadcast("a", &protocol.Report{Queued: 3})
+		f.sharers[nodes[7]].Broadcast("b", &protocol.Report{Queued: 4})
 		time.Sleep(time.Second) // fake time of the synctest bubble
 		synctest.Wait()
 		for _, node := range nodes {
--- a/internal/router/membership/detector.go
+++ b/internal/router/membership/detector.go
@@ -2,8 +2,8 @@
 
 import "time"
 
-// Monitors is the number of members that monitor each member.
-const Monitors = 3
+// MonitorCount is the number of members that monitor each member.
+const MonitorCount = 3
 
 // memberState is what this router knows of another member.
 type memberState struct {
@@ -51,8 +51,8 @@
 	Publish []Entry
 	// Probe lists the members to probe, directly and indirectly through other members.
 	Probe []Member
-	// Forget lists the entries to remove from the fleet's records.
-	Forget []Entry
+	// Remove lists the entries to remove from the fleet's records.
+	Remove []Entry
 }
 
 // NewDetector returns a detector that knows only its own member.
@@ -68,8 +68,8 @@
 	return d
 }
 
-// Started sets the time from which the delay of the first tick is measured.
-func (d *Detector) Started(now time.Time) { d.lastTick = now }
+// StartTicking sets the time from which the delay of the first tick is measured.
+func (d *Detector) StartTicking(now time.Time) { d.lastTick = now }
 
 // Self returns this router's own entry, to be published at the start.
 func (d *Detector) Self() Entry { return Entry{Member: d.self, Status: Alive, By: d.self.Node} }
@@ -89,9 +89,9 @@
 	return Entry{Member: d.self, Status: Left, By: d.self.Node}
 }
 
-// Heard records that the member was alive in the given incarnation. It returns true if the member should be told its
+// RecordAlive records that the member was alive in the given incarnation. It returns true if the member should be told its
 // entry: its status is not Alive, or the fleet knows a newer incarnation.
-func (d *Detector) Heard(node string, incarnation uint64, now time.Time) (shouldInform bool) {
+func (d *Detector) RecordAlive(node string, incarnation uint64, now time.Time) (shouldInform bool) {
 	state := d.members[node]
 	if state == nil || incarnation < state.entry.Member.Incarnation {
 		return state != nil
--- a/internal/router/membership/detector_test.go
+++ b/internal/router/membership/detector_test.go
@@ -65,7 +65,7 @@
 	f.t.Helper()
 	for end := f.now.Add(duration); f.now.Before(end); {
 		for _, node := range heard {
-			f.detector.Heard(node, 1, f.now)
+			f.detector.RecordAlive(node, 1, f.now)
 		}
 		assert.Equal(f.t, len(f.tick().Publish), 0)
 	}
@@ -101,7 +101,7 @@
 		actions := f.tick()
 		assert.Equal(t, len(actions.Publish), 0)
 		for _, member := range actions.Probe {
-			f.detector.Heard(member.Node, 1, f.now)
+			f.detector.RecordAlive(member.Node, 1, f.now)
 		}
 	}
 }
@@ -112,7 +112,7 @@
 	f.detector.Refresh(f.now)
 	for range 3 {
 		f.tick()
-		f.detector.Heard("other", 4, f.now)
+		f.detector.RecordAlive("other", 4, f.now)
 	}
 	f.ticksUntil(Suspect)
 }
@@ -121,7 +121,7 @@
 	f := newFixture(t, "other", "monitor")
 	for range 4 {
 		f.tick()
-		f.detector.Heard("monitor", 1, f.now)
+		f.detector.RecordAlive("monitor", 1, f.now)
 	}
 	f.detector.Merge(withStatus(aliveEntry("other", 1), Suspect, "monitor"), f.now)
 	failed := f.ticksUntil(Failed)
@@ -204,9 +204,9 @@
 
 func TestHeardReportsMemberNotAlive(t *testing.T) {
 	f := newFixture(t, "other")
-	assert.Assert(t, !f.detector.Heard("other", 1, f.now))
+	assert.Assert(t, !f.detector.RecordAlive("other", 1, f.now))
 	f.ticksUntil(Failed)
-	assert.Assert(t, f.detector.Heard("other", 1, f.now))
+	assert.Assert(t, f.detector.RecordAlive("other", 1, f.now))
 }
 
 // TestExpiredMemberIsRemoved checks that the removal of a member that failed long ago is requested, by the next member
@@ -216,9 +216,9 @@
 	f.ticksUntil(Failed)
 	f.now = f.now.Add(failedRetention)
 	actions := f.tick()
-	assert.Equal(t, len(actions.Forget), 1)
+	assert.Equal(t, len(actions.Remove), 1)
 	f.detector.Remove("other")
-	assert.Equal(t, len(f.tick().Forget), 0)
+	assert.Equal(t, len(f.tick().Remove), 0)
 	assert.Assert(t, !f.detector.Knows("other"))
 }
 
--- a/internal/router/membership/refresh.go
+++ b/internal/router/membership/refresh.go
@@ -5,8 +5,8 @@
 	"time"
 )
 
-// Changed reports whether the view is out of date.
-func (d *Detector) Changed() bool { return d.viewOutdated }
+// ViewOutdated reports whether the view is out of date.
+func (d *Detector) ViewOutdated() bool { return d.viewOutdated }
 
 // Refresh rebuilds the view if it is out of date.
 func (d *Detector) Refresh(now time.Time) { d.refresh(now) }
@@ -65,7 +65,7 @@
 	for _, state := range before {
 		state.isMonitored = false
 	}
-	for _, member := range d.view.Predecessors(d.self.Node, Monitors) {
+	for _, member := range d.view.Predecessors(d.self.Node, MonitorCount) {
 		state := d.members[member.Node]
 		state.isMonitored = true
 		d.monitored = append(d.monitored, state)
--- a/internal/router/membership/tick.go
+++ b/internal/router/membership/tick.go
@@ -42,8 +42,8 @@
 	}
 }
 
-// Doubting reports whether this router's own observations are unreliable, because it was delayed recently.
-func (d *Detector) Doubting(now time.Time) bool { return now.Before(d.unreliableUntil) }
+// ObservationsUnreliable reports whether this router's own observations are unreliable, because it was delayed recently.
+func (d *Detector) ObservationsUnreliable(now time.Time) bool { return now.Before(d.unreliableUntil) }
 
 func (d *Detector) endFailureDelays(now time.Time) {
 	for _, state := range d.notAlive {
@@ -56,7 +56,7 @@
 
 func (d *Detector) checkAlive(state *memberState, now time.Time, actions *Actions) {
 	silence := now.Sub(state.lastHeard)
-	if silence < probeSilence || d.Doubting(now) {
+	if silence < probeSilence || d.ObservationsUnreliable(now) {
 		return
 	}
 	if silence >= suspectSilence {
@@ -72,7 +72,7 @@
 // checkSuspect fails a suspected member that didn't refute in time. The timeout is shorter if this router is a second
 // monitor that has heard nothing either.
 func (d *Detector) checkSuspect(state *memberState, now time.Time, actions *Actions) {
-	if d.Doubting(now) || now.Sub(state.lastHeard) < suspectSilence && state.isMonitored {
+	if d.ObservationsUnreliable(now) || now.Sub(state.lastHeard) < suspectSilence && state.isMonitored {
 		return
 	}
 	due := refutationTimeout
@@ -103,7 +103,7 @@
 	}
 	first := d.view.Successors(state.entry.Member.Node, 1)
 	if len(first) == 0 || first[0].Node == d.self.Node {
-		actions.Forget = append(actions.Forget, state.entry)
+		actions.Remove = append(actions.Remove, state.entry)
 	}
 }
 
--- a/internal/router/membership/view_test.go
+++ b/internal/router/membership/view_test.go
@@ -86,12 +86,12 @@
 	assert.Equal(t, inZones, len(ring))
 	for i, member := range ring {
 		var after, before []Member
-		for k := 1; k < len(ring) && k <= Monitors; k++ {
+		for k := 1; k < len(ring) && k <= MonitorCount; k++ {
 			after = append(after, ring[(i+k)%len(ring)])
 			before = append(before, ring[(i-k+len(ring))%len(ring)])
 		}
-		assert.Assert(t, slices.Equal(view.Successors(member.Node, Monitors), after))
-		assert.Assert(t, slices.Equal(view.Predecessors(member.Node, Monitors), before))
+		assert.Assert(t, slices.Equal(view.Successors(member.Node, MonitorCount), after))
+		assert.Assert(t, slices.Equal(view.Predecessors(member.Node, MonitorCount), before))
 	}
 }
 
@@ -101,7 +101,7 @@
 		detector, _ := drawDetector(t)
 		view := detector.View()
 		for _, member := range view.Live() {
-			sends := slices.ContainsFunc(view.Successors(member.Node, Monitors), func(m Member) bool {
+			sends := slices.ContainsFunc(view.Successors(member.Node, MonitorCount), func(m Member) bool {
 				return m.Node == detector.self.Node
 			})
 			waits := slices.ContainsFunc(detector.monitored, func(s *memberState) bool { return s.ringKey.node == member.Node })
--- a/internal/router/node/configuration.go
+++ b/internal/router/node/configuration.go
@@ -137,7 +137,7 @@
 	if n.cluster.View().Self().AcceptorID == identity {
 		return
 	}
-	isVolatile := !n.Settings().Acceptor()
+	isVolatile := !n.Settings().IsAcceptor()
 	n.cluster.UpdateSelf(func(self *membership.Member) {
 		self.AcceptorID = identity
 		self.AcceptorVolatile = isVolatile
--- a/internal/router/node/coordinator_test.go
+++ b/internal/router/node/coordinator_test.go
@@ -45,7 +45,7 @@
 		if !ok || reported.Shares.Coordinator == "" || reported.Shares.Term == 0 {
 			return nil, 0
 		}
-		if index > 0 && (reported.Shares.Term != term || !reported.Shares.Leads && !strings.HasPrefix(reported.Shares.Coordinator, coordinator.settings.IP+":")) {
+		if index > 0 && (reported.Shares.Term != term || !reported.Shares.IsCoordinator && !strings.HasPrefix(reported.Shares.Coordinator, coordinator.settings.IP+":")) {
 			return nil, 0
 		}
 		term = reported.Shares.Term
@@ -104,7 +104,7 @@
 	for range 6 {
 		sendRequests(coordinatorLeaseTime/2, "during the partition")
 		reported, ok := coordinator.status()
-		assert.Assert(t, ok && reported.Shares.Leads, "the coordinator has lost its lease: %+v", reported.Shares)
+		assert.Assert(t, ok && reported.Shares.IsCoordinator, "the coordinator has lost its lease: %+v", reported.Shares)
 	}
 	after, laterTerm := fleet.waitForCoordinator()
 	assert.Assert(t, after == coordinator)
--- a/internal/router/node/fakeinstance_test.go
+++ b/internal/router/node/fakeinstance_test.go
@@ -47,7 +47,7 @@
 func (s *fakeInstance) serve(w http.ResponseWriter, r *http.Request) {
 	w.Header().Set(protocol.HeaderRequestID, r.Header.Get(protocol.HeaderRequestID))
 	w.Header().Set(protocol.HeaderInstanceID, s.id)
-	w.Header().Set(protocol.HeaderSignature, "stamp")
+	w.Header().Set(protocol.HeaderResponseSignature, "stamp")
 	switch {
 	case r.URL.Path == protocol.PathReport:
 		_, _ = io.WriteString(w, `{"phase":"both"}`)
--- a/internal/router/node/fleet_test.go
+++ b/internal/router/node/fleet_test.go
@@ -130,7 +130,7 @@
 // applySecondConfiguration changes the fleet from the first to the second configuration.
 func applySecondConfiguration(t *testing.T, n *Node) {
 	t.Helper()
-	postChange(t, n, protocol.PathConfigEdit, firstGeneration, fmt.Sprintf(`{"generation":%d,"upsert":{"backends":[{"name":"other"}]}}`, secondGeneration))
+	postChange(t, n, protocol.PathConfigPatch, firstGeneration, fmt.Sprintf(`{"generation":%d,"upsert":{"backends":[{"name":"other"}]}}`, secondGeneration))
 }
 
 func TestEveryRouterServesClients(t *testing.T) {
--- a/internal/router/node/fleetsize.go
+++ b/internal/router/node/fleetsize.go
@@ -43,7 +43,7 @@
 
 // load opens the store and reads the size that an earlier process saved.
 func (s *fleetSizeStore) load(directory string) (*disk.Disk, error) {
-	folder, err := disk.OpenFolder(filepath.Join(directory, fleetSizeDir))
+	folder, err := disk.OpenDirectory(filepath.Join(directory, fleetSizeDir))
 	if err != nil {
 		return nil, err
 	}
--- a/internal/router/node/floorstore.go
+++ b/internal/router/node/floorstore.go
@@ -17,7 +17,7 @@
 
 // Load opens the store and returns the content saved last.
 func (s *floorStore) Load() ([]byte, error) {
-	folder, err := disk.OpenFolder(filepath.Join(s.dataDir, floorDir))
+	folder, err := disk.OpenDirectory(filepath.Join(s.dataDir, floorDir))
 	if err != nil {
 		return nil, err
 	}
--- a/internal/router/node/front.go
+++ b/internal/router/node/front.go
@@ -23,16 +23,16 @@
 // startFront creates the client-facing server. It listens only if the settings name an address for it.
 func (n *Node) startFront(ctx context.Context, s *settings.Settings) error {
 	n.front = front.New(front.Dependencies{
-		Table:        n.table.Load,
-		Started:      n.readiness.becameReady,
-		Select:       n.selectInstance,
-		Pool:         n.attempts,
-		Connections:  n.connectionLimit,
-		Quota:        n.admit,
-		KeysHold:     n.keyLeaseCheck(),
-		Retry:        n.allowRetry,
-		CountRequest: n.shares.CountRequest,
-		Log:          n.log,
+		Table:           n.table.Load,
+		BecameReady:     n.readiness.becameReady,
+		Select:          n.selectInstance,
+		Pool:            n.attempts,
+		ConnectionLimit: n.connectionLimit,
+		Quota:           n.admit,
+		KeysValid:       n.keyLeaseCheck(),
+		TakeRetry:       n.allowRetry,
+		CountRequest:    n.shares.CountRequest,
+		Log:             n.log,
 	}, front.Options{
 		MaxConnections: int(clientConnectionShare * float64(s.Limits.MaxFDs)),
 		BodyMemory:     int64(bodyMemoryShare * float64(s.Limits.MemoryMB) * (1 << 20)),
--- a/internal/router/node/inspect.go
+++ b/internal/router/node/inspect.go
@@ -22,7 +22,7 @@
 func (i inspector) Status() status.Status {
 	n := i.node
 	view := n.cluster.View()
-	figures := n.front.Figures()
+	figures := n.front.Stats()
 	return status.Status{
 		Node:          n.Settings().Node,
 		Zone:          n.Settings().Zone,
@@ -102,16 +102,16 @@
 // describeShares returns the coordinator that divides the quotas and this router's shares of them. SilentS is -1 if the
 // coordinator has never been heard.
 func (n *Node) describeShares() status.Shares {
-	standing := n.shares.Standing(maxStatusTenants)
+	standing := n.shares.Status(maxStatusTenants)
 	described := status.Shares{
-		Coordinator: standing.Coordinator,
-		Leads:       standing.Leads,
-		Term:        standing.Term,
-		SilentS:     -1,
-		Tenants:     make([]status.TenantShare, len(standing.Tenants)),
+		Coordinator:   standing.Coordinator,
+		IsCoordinator: standing.IsCoordinator,
+		Term:          standing.Term,
+		SilentS:       -1,
+		Tenants:       make([]status.TenantShare, len(standing.Tenants)),
 	}
-	if standing.Heard {
-		described.SilentS = standing.Silence.Seconds()
+	if standing.HasAnswer {
+		described.SilentS = standing.SinceLastAnswer.Seconds()
 	}
 	for index, tenant := range standing.Tenants {
 		described.Tenants[index] = status.TenantShare{
@@ -128,14 +128,14 @@
 // describeReplica returns the state of this router's own replica of the register.
 func (n *Node) describeReplica() status.Replica {
 	switch {
-	case !n.Settings().Acceptor():
+	case !n.Settings().IsAcceptor():
 		return status.ReplicaNone
 	case n.store.Identity() == "":
 		return status.ReplicaOpening
-	case n.store.WriteUnderWay() > diskStallThreshold:
+	case n.store.PendingWriteDuration() > diskStallThreshold:
 		return status.ReplicaStalled
-	case n.store.RefusesWrites():
-		return status.ReplicaRefusing
+	case n.store.LastWriteFailed():
+		return status.ReplicaWriteFailed
 	default:
 		return status.ReplicaOpen
 	}
@@ -216,23 +216,23 @@
 	return count
 }
 
-func countRequests(figures *front.Figures) status.Requests {
+func countRequests(figures *front.Stats) status.Requests {
 	return status.Requests{
-		Succeeded:    figures.Succeeded,
-		ClientErrors: figures.ClientErrors,
-		ServerErrors: figures.ServerErrors,
-		Broken:       figures.Broken,
-		Gone:         figures.Gone,
-		NeverSent:    figures.NeverSent,
-		Rejected:     figures.Rejected,
-		MayHaveRun:   figures.MayHaveRun,
-		Connections:  figures.Connections,
-		BodyBytes:    figures.BodyBytesHeld,
+		Succeeded:         figures.Succeeded,
+		ClientErrors:      figures.ClientErrors,
+		ServerErrors:      figures.ServerErrors,
+		AbortedResponses:  figures.AbortedResponses,
+		ClientDisconnects: figures.ClientDisconnects,
+		NeverSent:         figures.NeverSent,
+		Rejected:          figures.Rejected,
+		MayHaveRun:        figures.MayHaveRun,
+		Connections:       figures.Connections,
+		BodyBytes:         figures.BodyBytesHeld,
 	}
 }
 
 // countCodes lists the counts of result codes in ascending order of the codes.
-func countCodes(figures *front.Figures) []status.CodeCount {
+func countCodes(figures *front.Stats) []status.CodeCount {
 	counts := make([]status.CodeCount, 0, len(figures.Codes))
 	for code, count := range figures.Codes {
 		counts = append(counts, status.CodeCount{Code: int(code), Name: code.String(), Count: count})
--- a/internal/router/node/isolation.go
+++ b/internal/router/node/isolation.go
@@ -34,7 +34,7 @@
 	if limit <= 0 {
 		return nil
 	}
-	guard := &isolationGuard{limit: limit, clock: n.clock, readRegister: n.store.Confirm, onChange: n.logIsolation}
+	guard := &isolationGuard{limit: limit, clock: n.clock, readRegister: n.store.ReadRevision, onChange: n.logIsolation}
 	n.readiness.isolated = guard.isolated.Load
 	n.background.Go(func() { guard.run(ctx) })
 	return nil
--- a/internal/router/node/keylease.go
+++ b/internal/router/node/keylease.go
@@ -41,8 +41,8 @@
 	n.keyLease = &keyLease{
 		lease:         configlease.New(settings.Milliseconds(s.Bounds.RevokeMs)),
 		clock:         n.clock,
-		readRegister:  n.store.Confirm,
-		isCoordinator: func() bool { return n.shares.Holds() },
+		readRegister:  n.store.ReadRevision,
+		isCoordinator: func() bool { return n.shares.IsCoordinator() },
 		hasKeys:       n.hasTenants,
 	}
 	return nil
@@ -60,7 +60,7 @@
 	if n.keyLease == nil {
 		return nil
 	}
-	return func() bool { return n.keyLease.lease.Holds(n.clock.Now()) }
+	return func() bool { return n.keyLease.lease.IsValid(n.clock.Now()) }
 }
 
 // applyRevision records that a revision is in force. A nil receiver is a no-op.
@@ -73,16 +73,18 @@
 // recordConfirmation records that a read started at askedAt returned the given revision. A nil receiver is a no-op.
 func (k *keyLease) recordConfirmation(askedAt time.Duration, revision uint64) {
 	if k != nil {
-		k.Take(askedAt, configlease.Confirmation{Revision: revision})
+		k.Add(askedAt, configlease.Confirmation{Revision: revision})
 	}
 }
 
-// Tell implements shares.Confirmations.
-func (k *keyLease) Tell() (configlease.Confirmation, bool) { return k.lease.Tell(k.clock.Now()) }
+// Latest implements shares.Confirmations.
+func (k *keyLease) Latest() (configlease.Confirmation, bool) {
+	return k.lease.LatestConfirmation(k.clock.Now())
+}
 
-// Take implements shares.Confirmations.
-func (k *keyLease) Take(askedAt time.Duration, told configlease.Confirmation) {
-	k.lease.Confirm(askedAt, told)
+// Add implements shares.Confirmations.
+func (k *keyLease) Add(askedAt time.Duration, told configlease.Confirmation) {
+	k.lease.AddConfirmation(askedAt, told)
 }
 
 // run reads the register whenever a read is due, until the context ends.
--- a/internal/router/node/keylease_test.go
+++ b/internal/router/node/keylease_test.go
@@ -70,7 +70,7 @@
 		suspendedFor = keys.lease.Duration()
 		time.Sleep(steadyclock.SampleEvery)
 		assert.Assert(t, !holds())
-		_, told := keys.Tell()
+		_, told := keys.Latest()
 		assert.Assert(t, !told)
 		keys.recordConfirmation(clock.Now(), 7)
 		assert.Assert(t, holds())
--- a/internal/router/node/node.go
+++ b/internal/router/node/node.go
@@ -170,13 +170,13 @@
 		Node:      s.Node,
 		Directory: s.DataDir,
 		Bootstrap: s.Bootstrap,
-		Initial:   seedAddresses(s),
+		Seeds:     seedAddresses(s),
 		Tolerate:  s.Tolerate.Machines,
 		Caller:    messageCaller{n.transport, messageRegister},
 		Log:       n.log,
 	}
 	if s.ServesTo(settings.ServesControl) {
-		options.Self = &casregister.Acceptor{Address: n.transport.Address(), Volatile: !s.Acceptor()}
+		options.Self = &casregister.Acceptor{Address: n.transport.Address(), Volatile: !s.IsAcceptor()}
 	}
 	store, err := configstore.Open(options)
 	if err != nil {
@@ -197,7 +197,7 @@
 		Region:         s.Region,
 		AcceptorID:     string(n.store.Identity()),
 
-		AcceptorVolatile: !s.Acceptor(),
+		AcceptorVolatile: !s.IsAcceptor(),
 	}
 	n.cluster = cluster.New(cluster.Options{
 		Self:       self,
@@ -236,23 +236,23 @@
 // startSelection creates the instance selector and the exchanges of load reports and sightings that feed it.
 func (n *Node) startSelection(ctx context.Context, s *settings.Settings) error {
 	n.attempts = attempt.NewPool(attempt.Options{})
-	sharer := loadreports.NewSharer(loadreports.Options{
+	sharer := loadreports.NewBroadcaster(loadreports.Options{
 		Node:      s.Node,
 		Kind:      messageLoads,
 		Messenger: n.transport,
 		View:      n.view,
-		Take:      func(id string, report *protocol.Report) { n.selector.TakeReport(id, report) },
+		OnReport:  func(id string, report *protocol.Report) { n.selector.RecordRemoteReport(id, report) },
 		Log:       n.log,
 	})
 	n.sightings = n.newSightings(s)
 	n.selector = selection.New(selection.Options{
-		Zone:      s.Zone,
-		Log:       n.log,
-		Poll:      n.fetchReport,
-		Assigned:  loadreports.NewAssignment(n.view).Mine,
-		Share:     sharer.Share,
-		Sightings: n.sightings.selectionOptions(),
-		Routers:   n.routerCount,
+		Zone:            s.Zone,
+		Log:             n.log,
+		Poll:            n.fetchReport,
+		Assigned:        loadreports.NewAssignment(n.view).IsOwner,
+		BroadcastReport: sharer.Broadcast,
+		Sightings:       n.sightings.selectionOptions(),
+		Routers:         n.routerCount,
 	})
 	n.transport.HandleInline(messageLoads, sharer.Handle)
 	n.startSightings(ctx, s)
--- a/internal/router/node/prefixes.go
+++ b/internal/router/node/prefixes.go
@@ -26,7 +26,7 @@
 		Log:         n.log,
 		Quotas:      n.tenantQuotas,
 		Assignments: n.selector.Assignments,
-		Adopted:     n.selector.SetCommonPrefixes,
+		OnAdopt:     n.selector.SetCommonPrefixes,
 	})
 	n.transport.Handle(messagePrefixes, n.prefixes.HandleRequest)
 	go n.prefixes.Run(ctx)
@@ -73,7 +73,7 @@
 
 // prefixStatus describes the common prefixes for the control API.
 func (n *Node) prefixStatus() *protocol.PrefixStatus {
-	status := &protocol.PrefixStatus{Tenants: map[string]protocol.PrefixUseByName{}}
+	status := &protocol.PrefixStatus{Tenants: map[string]protocol.TenantPrefixUse{}}
 	if n.prefixes == nil {
 		return status
 	}
@@ -86,11 +86,11 @@
 			Tenant:    common.Tenant,
 			Tokens:    common.Tokens,
 			Share:     float64(common.Share) / commonprefix.ShareUnits,
-			Instances: n.selector.CommonHomes(common),
+			Instances: n.selector.CommonPrefixHomes(common),
 		})
 	}
-	for tenant, use := range n.selector.CommonUses() {
-		status.Tenants[tenant] = protocol.PrefixUseByName(use)
+	for tenant, use := range n.selector.CommonPrefixUses() {
+		status.Tenants[tenant] = protocol.TenantPrefixUse(use)
 	}
 	return status
 }
--- a/internal/router/node/settledtracker.go
+++ b/internal/router/node/settledtracker.go
@@ -86,7 +86,7 @@
 	if directory == "" {
 		return nil, errNoDataDir
 	}
-	folder, err := disk.OpenFolder(filepath.Join(directory, settledSetDir))
+	folder, err := disk.OpenDirectory(filepath.Join(directory, settledSetDir))
 	if err != nil {
 		return nil, err
 	}
--- a/internal/router/node/shares.go
+++ b/internal/router/node/shares.go
@@ -15,28 +15,28 @@
 
 // startShares joins the division of tenant quotas and of the retry budget among the routers.
 func (n *Node) startShares(ctx context.Context, s *settings.Settings) error {
-	settled := &settledTracker{currentEpoch: n.store.MovedAt}
+	settled := &settledTracker{currentEpoch: n.store.AddressEpoch}
 	if s.ServesTo(settings.ServesControl) {
 		go settled.run(ctx, s.DataDir, n.log) // Stop does not wait for it, since the disk may hang
 	}
 	options := shares.Options{
-		Node:            s.Node,
-		Address:         n.transport.Address(),
-		Bounds:          s.Bounds,
-		Caller:          messageCaller{n.transport, messageShares},
-		Log:             n.log,
-		Clock:           n.clock,
-		Grantors:        n.grantors,
-		GrantorsKnown:   settled.isKnown,
-		GrantorsSettled: settled.isSettled,
-		Relays:          n.relays,
-		Routers:         n.fleetSize,
-		MayCoordinate:   s.ServesTo(settings.ServesControl),
+		Node:                     s.Node,
+		Address:                  n.transport.Address(),
+		Bounds:                   s.Bounds,
+		Caller:                   messageCaller{n.transport, messageShares},
+		Log:                      n.log,
+		Clock:                    n.clock,
+		Grantors:                 n.grantors,
+		OnlyCurrentGrantorsKnown: settled.isKnown,
+		GrantorsSettled:          settled.isSettled,
+		Relays:                   n.relays,
+		Routers:                  n.fleetSize,
+		MayCoordinate:            s.ServesTo(settings.ServesControl),
 	}
 	if n.keyLease != nil {
 		options.Confirmations = n.keyLease
 	}
-	if s.Acceptor() {
+	if s.IsAcceptor() {
 		options.Floors = &floorStore{dataDir: s.DataDir}
 	}
 	n.shares = shares.New(options)
--- a/internal/router/node/sightings.go
+++ b/internal/router/node/sightings.go
@@ -20,7 +20,7 @@
 // was sent.
 type blockSightings struct {
 	exchange     *sightings.Exchange
-	keeper       *sightings.Keeper
+	keeper       *sightings.Store
 	repeatWindow time.Duration
 }
 
@@ -31,15 +31,15 @@
 	if repeatWindow <= 0 {
 		return nil
 	}
-	created := &blockSightings{keeper: sightings.NewKeeper(repeatWindow / 2), repeatWindow: repeatWindow}
+	created := &blockSightings{keeper: sightings.NewStore(repeatWindow / 2), repeatWindow: repeatWindow}
 	created.exchange = sightings.NewExchange(sightings.Options{
 		Node:      s.Node,
 		Kind:      messageSightings,
 		Messenger: n.transport,
 		View:      n.view,
-		Take: func(now time.Time, list []sightings.Sighting) {
-			n.selector.TakeSightings(now, list)
-			created.keeper.Note(now, list)
+		OnReceive: func(now time.Time, list []sightings.Sighting) {
+			n.selector.RecordRemoteSightings(now, list)
+			created.keeper.Add(now, list)
 		},
 		Recent: created.keeper.Recent,
 		Log:    n.log,
@@ -52,7 +52,7 @@
 	if b == nil {
 		return nil
 	}
-	return &selection.SightingOptions{Announce: b.exchange.Announce, Alive: b.exchange.Alive, Recent: b.keeper.Recent, Again: b.repeatWindow}
+	return &selection.SightingOptions{Announce: b.exchange.Announce, IsCurrent: b.exchange.IsCurrent, Recent: b.keeper.Recent, DuplicateWindow: b.repeatWindow}
 }
 
 // awaitSightings returns once the router has received the recent sightings, or after sightingsTimeout.
@@ -61,12 +61,12 @@
 		return
 	}
 	for begin := time.Now(); time.Since(begin) < sightingsTimeout && ctx.Err() == nil; {
-		if n.sightings.exchange.Informed() {
+		if n.sightings.exchange.Synchronized() {
 			return
 		}
 		sleep(ctx, readinessPollInterval/5)
 	}
-	n.sightings.exchange.SetInformed()
+	n.sightings.exchange.SetSynchronized()
 }
 
 // startSightings runs the exchange, and stores sightings if there is a data directory.
--- a/internal/router/node/summary.go
+++ b/internal/router/node/summary.go
@@ -17,12 +17,12 @@
 
 // startSummary starts the periodic log of result code counts.
 func (n *Node) startSummary(ctx context.Context, _ *settings.Settings) error {
-	n.background.Go(func() { summarize(ctx, n.log, n.front.Figures) })
+	n.background.Go(func() { summarize(ctx, n.log, n.front.Stats) })
 	return nil
 }
 
 // summarize logs a line at each interval in which a count has changed, and a last one when the context ends.
-func summarize(ctx context.Context, log logrus.FieldLogger, figures func() front.Figures) {
+func summarize(ctx context.Context, log logrus.FieldLogger, figures func() front.Stats) {
 	ticker := time.NewTicker(summaryInterval)
 	defer ticker.Stop()
 	var reported summaryCounts
@@ -44,8 +44,8 @@
 }
 
 // log writes a line with the counts since the last one. It writes nothing if no result code was counted.
-func (c *summaryCounts) log(log logrus.FieldLogger, figures front.Figures) {
-	changes := summary.Since(c.codes, figures.Codes)
+func (c *summaryCounts) log(log logrus.FieldLogger, figures front.Stats) {
+	changes := summary.Diff(c.codes, figures.Codes)
 	if len(changes) == 0 {
 		return
 	}
--- a/internal/router/node/summary_test.go
+++ b/internal/router/node/summary_test.go
@@ -20,11 +20,11 @@
 func TestSummaryIsLoggedOnlyAfterChange(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		log, hook := test.NewNullLogger()
-		var counted atomic.Pointer[front.Figures]
+		var counted atomic.Pointer[front.Stats]
 		count := func(succeeded uint64, codes map[resultcode.Code]uint64) {
-			counted.Store(&front.Figures{Succeeded: succeeded, Codes: codes})
+			counted.Store(&front.Stats{Succeeded: succeeded, Codes: codes})
 		}
-		figures := func() front.Figures { return *counted.Load() }
+		figures := func() front.Stats { return *counted.Load() }
 		count(0, nil)
 		ctx, cancel := context.WithCancel(context.Background())
 		go summarize(ctx, log, figures)
--- a/internal/router/prefixagreement/agreement.go
+++ b/internal/router/prefixagreement/agreement.go
@@ -19,7 +19,7 @@
 // verifies with Holds that it is the coordinator.
 type Lease interface {
 	Coordinator(ctx context.Context) (address string, err error)
-	Holds() bool
+	IsCoordinator() bool
 }
 
 // Register changes the replicated state.
@@ -43,8 +43,8 @@
 	Quotas func() commonprefix.Quotas
 	// Assignments returns this router's view of the backends' instances and places.
 	Assignments func() []commonprefix.Assignment
-	// Adopted is called with each new set, in order of versions, while the lock of the Agreement is held.
-	Adopted func(*commonprefix.Set)
+	// OnAdopt is called with each new set, in order of versions, while the lock of the Agreement is held.
+	OnAdopt func(*commonprefix.Set)
 }
 
 // Agreement is a router's participant in the agreement. It is safe for concurrent use.
@@ -108,7 +108,7 @@
 	if a.counter == nil {
 		a.counter = commonprefix.NewCounter(set.Seed, a.options.Quotas())
 	}
-	a.options.Adopted(set)
+	a.options.OnAdopt(set)
 	a.options.Log.WithField("version", set.Version).WithField("prefixes", len(set.Prefixes)).Info("common prefixes in force")
 }
 
--- a/internal/router/prefixagreement/fleet_test.go
+++ b/internal/router/prefixagreement/fleet_test.go
@@ -71,8 +71,8 @@
 	return "", errUnavailable
 }
 
-// Holds implements Lease.
-func (r *router) Holds() bool { return r.fleet.holders[r.name] }
+// IsCoordinator implements Lease.
+func (r *router) IsCoordinator() bool { return r.fleet.holders[r.name] }
 
 // Call implements Caller.
 func (r *router) Call(ctx context.Context, address string, request []byte) ([]byte, error) {
@@ -122,7 +122,7 @@
 		Caller:      r,
 		Log:         log,
 		Quotas:      func() commonprefix.Quotas { return commonprefix.Quotas{"a": 1, "b": 1} },
-		Adopted:     func(set *commonprefix.Set) { r.versions = append(r.versions, set.Version) },
+		OnAdopt:     func(set *commonprefix.Set) { r.versions = append(r.versions, set.Version) },
 		Assignments: func() []commonprefix.Assignment { return []commonprefix.Assignment{{Backend: "service"}} },
 	})
 	ctx, cancel := context.WithCancel(context.Background())
--- a/internal/router/prefixagreement/propose.go
+++ b/internal/router/prefixagreement/propose.go
@@ -29,7 +29,7 @@
 
 // proposeNext proposes the next set if this router holds the lease and the next set differs from the current one.
 func (a *Agreement) proposeNext(ctx context.Context) {
-	if !a.options.Lease.Holds() {
+	if !a.options.Lease.IsCoordinator() {
 		return
 	}
 	current, next := a.nextSet()
--- a/internal/router/prefixagreement/report.go
+++ b/internal/router/prefixagreement/report.go
@@ -59,7 +59,7 @@
 
 // deliver passes a report to the coordinator, which may be this router.
 func (a *Agreement) deliver(ctx context.Context, report reportRequest) error {
-	if a.options.Lease.Holds() {
+	if a.options.Lease.IsCoordinator() {
 		a.mergeReport(report)
 		return nil
 	}
@@ -98,7 +98,7 @@
 	if err := decode(encoded, &report); err != nil {
 		return nil, err
 	}
-	isCoordinator := a.options.Lease.Holds()
+	isCoordinator := a.options.Lease.IsCoordinator()
 	if isCoordinator {
 		a.mergeReport(report)
 	}
--- a/internal/router/prefixcache/block.go
+++ b/internal/router/prefixcache/block.go
@@ -51,16 +51,16 @@
 	return Block{ID: id, Tokens: int(tokens)}, true
 }
 
-// Shared returns the blocks that other requests may have as well: all but the last one.
-func Shared(blocks []Block) []Block {
+// SharedBlocks returns the blocks that other requests may have as well: all but the last one.
+func SharedBlocks(blocks []Block) []Block {
 	if len(blocks) == 0 {
 		return nil
 	}
 	return blocks[:len(blocks)-1]
 }
 
-// Tokens returns the total number of tokens in the blocks.
-func Tokens(blocks []Block) int {
+// TotalTokens returns the total number of tokens in the blocks.
+func TotalTokens(blocks []Block) int {
 	sum := 0
 	for _, block := range blocks {
 		sum += block.Tokens
--- a/internal/router/prefixcache/block_test.go
+++ b/internal/router/prefixcache/block_test.go
@@ -46,8 +46,8 @@
 
 func TestSharedIsAllButTheLast(t *testing.T) {
 	blocks := []Block{{1, 10}, {2, 20}, {3, 30}}
-	assert.DeepEqual(t, Shared(blocks), blocks[:2])
-	assert.Equal(t, len(Shared(blocks[:1])), 0)
-	assert.Equal(t, len(Shared(nil)), 0)
-	assert.Equal(t, Tokens(blocks), 60)
+	assert.DeepEqual(t, SharedBlocks(blocks), blocks[:2])
+	assert.Equal(t, len(SharedBlocks(blocks[:1])), 0)
+	assert.Equal(t, len(SharedBlocks(nil)), 0)
+	assert.Equal(t, TotalTokens(blocks), 60)
 }
--- a/internal/router/prefixcache/cache.go
+++ b/internal/router/prefixcache/cache.go
@@ -10,11 +10,11 @@
 // Key identifies a block in the prefix cache of a model.
 type Key uint64
 
-// KeyOf returns the key of a block of a model, which is given by its HashModel value.
+// KeyOf returns the key of a block of a model, which is given by its HashName value.
 func KeyOf(modelHash uint64, blockID uint64) Key { return Key(mix(modelHash ^ mix(blockID))) }
 
-// HashModel returns the 64-bit FNV-1a hash of a model's name.
-func HashModel(model string) uint64 {
+// HashName returns the 64-bit FNV-1a hash of a model's name.
+func HashName(model string) uint64 {
 	const offset, prime = 14695981039346656037, 1099511628211
 	hash := uint64(offset)
 	for i := 0; i < len(model); i++ {
@@ -75,8 +75,8 @@
 	c.evict()
 }
 
-// Kept returns the number of leading blocks of a prompt that the instance is estimated to hold.
-func (c *Cache) Kept(modelHash uint64, blocks []Block) int {
+// CachedBlocks returns the number of leading blocks of a prompt that the instance is estimated to hold.
+func (c *Cache) CachedBlocks(modelHash uint64, blocks []Block) int {
 	for i, block := range blocks {
 		if _, ok := c.index[KeyOf(modelHash, block.ID)]; !ok {
 			return i
@@ -85,15 +85,15 @@
 	return len(blocks)
 }
 
-// Missing returns the number of tokens in the blocks that the instance would have to compute (prefill).
-func (c *Cache) Missing(modelHash uint64, blocks []Block) int {
-	return Tokens(blocks[c.Kept(modelHash, blocks):])
+// UncachedTokens returns the number of tokens in the blocks that the instance would have to compute (prefill).
+func (c *Cache) UncachedTokens(modelHash uint64, blocks []Block) int {
+	return TotalTokens(blocks[c.CachedBlocks(modelHash, blocks):])
 }
 
-// Used records that this router sent a prompt of these blocks to the instance. Each of the other routers is assumed to
+// RecordUse records that this router sent a prompt of these blocks to the instance. Each of the other routers is assumed to
 // send as many requests, whose last blocks are unknown here, so the last block is charged once for each router. The
 // shared blocks are the same for all routers and are charged once.
-func (c *Cache) Used(modelHash uint64, blocks []Block) {
+func (c *Cache) RecordUse(modelHash uint64, blocks []Block) {
 	// From the last block to the first, so that the later blocks of a prompt, which are useless without the earlier
 	// ones, are evicted first.
 	for i := len(blocks) - 1; i >= 0; i-- {
@@ -106,9 +106,9 @@
 	c.evict()
 }
 
-// Heard records that another router sent a block to the instance. It doesn't make a known block a reused one, because
+// RecordRemoteUse records that another router sent a block to the instance. It doesn't make a known block a reused one, because
 // the same use may be reported more than once; only this router's own requests do.
-func (c *Cache) Heard(key Key, tokens int) {
+func (c *Cache) RecordRemoteUse(key Key, tokens int) {
 	c.touch(key, int64(tokens), false)
 	c.evict()
 }
--- a/internal/router/prefixcache/cache_test.go
+++ b/internal/router/prefixcache/cache_test.go
@@ -8,7 +8,7 @@
 	"pgregory.net/rapid"
 )
 
-var model = HashModel("m")
+var model = HashName("m")
 
 // referenceCache is a simple, slow implementation of Cache: one slice of blocks, the least recently used first.
 type referenceCache struct {
@@ -104,17 +104,17 @@
 		blocks := rapid.SliceOfN(rapid.Custom(func(t *rapid.T) Block {
 			return Block{ID: rapid.Uint64Range(0, 12).Draw(t, "id"), Tokens: rapid.IntRange(0, 400).Draw(t, "tokens")}
 		}), 0, 5)
-		models := rapid.SampledFrom([]uint64{model, HashModel("other")})
+		models := rapid.SampledFrom([]uint64{model, HashName("other")})
 		t.Repeat(map[string]func(*rapid.T){
 			"use": func(t *rapid.T) {
 				modelHash, chain := models.Draw(t, "model"), blocks.Draw(t, "blocks")
-				cache.Used(modelHash, chain)
+				cache.RecordUse(modelHash, chain)
 				reference.used(modelHash, chain)
 			},
 			"remote use": func(t *rapid.T) {
 				key := KeyOf(models.Draw(t, "model"), rapid.Uint64Range(0, 12).Draw(t, "id"))
 				tokens := rapid.IntRange(0, 400).Draw(t, "tokens")
-				cache.Heard(key, tokens)
+				cache.RecordRemoteUse(key, tokens)
 				reference.heard(key, tokens)
 			},
 			"resize": func(t *rapid.T) {
@@ -126,8 +126,8 @@
 				assert.Equal(t, cache.Len(), len(reference.blocks))
 				assert.Equal(t, cache.Size(), reference.size())
 				modelHash, chain := models.Draw(t, "model"), blocks.Draw(t, "blocks")
-				assert.Equal(t, cache.Kept(modelHash, chain), reference.kept(modelHash, chain))
-				assert.Equal(t, cache.Missing(modelHash, chain), Tokens(chain[reference.kept(modelHash, chain):]))
+				assert.Equal(t, cache.CachedBlocks(modelHash, chain), reference.kept(modelHash, chain))
+				assert.Equal(t, cache.UncachedTokens(modelHash, chain), TotalTokens(chain[reference.kept(modelHash, chain):]))
 			},
 		})
 	})
@@ -135,40 +135,40 @@
 
 func TestBlockCountsOnlyAfterItsPredecessors(t *testing.T) {
 	cache := New(1000, 1)
-	cache.Used(model, []Block{{2, 100}, {3, 100}})
-	assert.Equal(t, cache.Missing(model, []Block{{1, 50}, {2, 100}, {3, 100}}), 250)
-	cache.Used(model, []Block{{1, 50}})
-	assert.Equal(t, cache.Missing(model, []Block{{1, 50}, {2, 100}, {3, 100}}), 0)
+	cache.RecordUse(model, []Block{{2, 100}, {3, 100}})
+	assert.Equal(t, cache.UncachedTokens(model, []Block{{1, 50}, {2, 100}, {3, 100}}), 250)
+	cache.RecordUse(model, []Block{{1, 50}})
+	assert.Equal(t, cache.UncachedTokens(model, []Block{{1, 50}, {2, 100}, {3, 100}}), 0)
 }
 
 func TestBlocksOfAnotherModelDoNotCount(t *testing.T) {
 	cache := New(1000, 1)
-	cache.Used(model, []Block{{1, 50}})
-	assert.Equal(t, cache.Missing(HashModel("other"), []Block{{1, 50}}), 50)
+	cache.RecordUse(model, []Block{{1, 50}})
+	assert.Equal(t, cache.UncachedTokens(HashName("other"), []Block{{1, 50}}), 50)
 }
 
 func TestLaterBlocksAreEvictedFirst(t *testing.T) {
 	cache := New(300, 1)
-	cache.Used(model, []Block{{1, 100}, {2, 100}, {3, 100}})
-	cache.Used(model, []Block{{4, 100}})
-	assert.Equal(t, cache.Kept(model, []Block{{1, 100}, {2, 100}, {3, 100}}), 2)
+	cache.RecordUse(model, []Block{{1, 100}, {2, 100}, {3, 100}})
+	cache.RecordUse(model, []Block{{4, 100}})
+	assert.Equal(t, cache.CachedBlocks(model, []Block{{1, 100}, {2, 100}, {3, 100}}), 2)
 }
 
 func TestLastBlockIsChargedForEachRouter(t *testing.T) {
 	cache := New(1000, 9)
-	cache.Used(model, []Block{{1, 100}, {2, 50}})
+	cache.RecordUse(model, []Block{{1, 100}, {2, 50}})
 	assert.Equal(t, cache.Size(), int64(100+9*50))
 }
 
 func TestUniqueBlocksDoNotEvictReusedOnes(t *testing.T) {
 	cache := New(1<<40, 1)
 	for unique := range uint64(100_000) {
-		cache.Used(model, []Block{{unique % 100, 10}, {1000 + unique, 10}})
+		cache.RecordUse(model, []Block{{unique % 100, 10}, {1000 + unique, 10}})
 	}
 	assert.Assert(t, cache.Len() <= maxUsedOnce+100)
 	assert.Assert(t, len(cache.entries) <= maxUsedOnce+102)
 	for shared := range uint64(100) {
-		assert.Equal(t, cache.Kept(model, []Block{{shared, 10}}), 1)
+		assert.Equal(t, cache.CachedBlocks(model, []Block{{shared, 10}}), 1)
 	}
 }
 
@@ -177,8 +177,8 @@
 func TestRemoteUsesDoNotMakeABlockReused(t *testing.T) {
 	cache := New(1<<40, 1)
 	for block := range uint64(10 * maxUsedOnce) {
-		cache.Heard(KeyOf(model, block), 10)
-		cache.Heard(KeyOf(model, block), 10)
+		cache.RecordRemoteUse(KeyOf(model, block), 10)
+		cache.RecordRemoteUse(KeyOf(model, block), 10)
 	}
 	assert.Equal(t, cache.Len(), maxUsedOnce)
 	assert.Equal(t, cache.Size(), int64(10*maxUsedOnce))
@@ -206,7 +206,7 @@
 func homeAmong(instances int, key Key) int {
 	home, best := 0, uint64(0)
 	for i := range instances {
-		if weight := HomeWeight(mix(uint64(i)), key); weight > best {
+		if weight := RendezvousWeight(mix(uint64(i)), key); weight > best {
 			home, best = i, weight
 		}
 	}
@@ -228,6 +228,6 @@
 	next := uint64(1 << 32)
 	for b.Loop() {
 		next++
-		cache.Used(model, []Block{{next % 4, 2520}, {100 + next%742, 3780}, {next, 2890}})
+		cache.RecordUse(model, []Block{{next % 4, 2520}, {100 + next%742, 3780}, {next, 2890}})
 	}
 }
--- a/internal/router/protocol/prefixes.go
+++ b/internal/router/protocol/prefixes.go
@@ -9,7 +9,7 @@
 	// Version is the version of the set that this router uses to select instances.
 	Version  uint64                     `json:"version"`
 	Prefixes []PrefixInfo               `json:"prefixes"`
-	Tenants  map[string]PrefixUseByName `json:"tenants"`
+	Tenants  map[string]TenantPrefixUse `json:"tenants"`
 }
 
 // PrefixInfo describes one common prefix.
@@ -22,11 +22,11 @@
 	Instances []string `json:"instances"`
 }
 
-// PrefixUseByName counts a tenant's requests with a common prefix at this router. Hits are those sent to an instance that
-// this router had sent the prefix to before. TokensReadAgain counts the prefix tokens that instances processed anew for
+// TenantPrefixUse counts a tenant's requests with a common prefix at this router. Hits are those sent to an instance that
+// this router had sent the prefix to before. RecomputedTokens counts the prefix tokens that instances processed anew for
 // the others.
-type PrefixUseByName struct {
-	Requests        uint64 `json:"requests"`
-	Hits            uint64 `json:"hits"`
-	TokensReadAgain uint64 `json:"tokens_read_again"`
+type TenantPrefixUse struct {
+	Requests         uint64 `json:"requests"`
+	Hits             uint64 `json:"hits"`
+	RecomputedTokens uint64 `json:"tokens_read_again"`
 }
--- a/internal/router/quota/admission.go
+++ b/internal/router/quota/admission.go
@@ -79,15 +79,15 @@
 	}
 }
 
-// Keep sets the router's address and the floor table that is on its disk. From the first call on the router reports
+// SetKeptFloors sets the router's address and the floor table that is on its disk. From the first call on the router reports
 // itself as a keeper of floor tables.
-func (a *Admission) Keep(address string, table FloorTable) { a.floors.setKept(address, table) }
+func (a *Admission) SetKeptFloors(address string, table FloorTable) { a.floors.setKept(address, table) }
 
-// Unkept returns the floor table that the coordinator wants written to the disk, or nil if the disk has it.
-func (a *Admission) Unkept() *FloorTable { return a.floors.pending }
+// PendingFloors returns the floor table that the coordinator wants written to the disk, or nil if the disk has it.
+func (a *Admission) PendingFloors() *FloorTable { return a.floors.pending }
 
-// Learn sets the limit of a tenant that the last call of SetLimits did not name.
-func (a *Admission) Learn(tenant string, limit Limit) {
+// AddLimit sets the limit of a tenant that the last call of SetLimits did not name.
+func (a *Admission) AddLimit(tenant string, limit Limit) {
 	if _, known := a.limits[tenant]; known {
 		return
 	}
@@ -96,8 +96,8 @@
 	a.limits = limits
 }
 
-// Urgent reports whether a report is due before its regular time, and resets the mark.
-func (a *Admission) Urgent() bool {
+// TakeUrgent reports whether a report is due before its regular time, and resets the mark.
+func (a *Admission) TakeUrgent() bool {
 	urgent := a.urgent
 	a.urgent = false
 	return urgent
@@ -143,8 +143,8 @@
 	return false, account.retryAfter(amount)
 }
 
-// Demand returns the next report for the coordinator.
-func (a *Admission) Demand(now time.Duration) DemandReport {
+// NextReport returns the next report for the coordinator.
+func (a *Admission) NextReport(now time.Duration) DemandReport {
 	a.sequence++
 	report := DemandReport{
 		Incarnation: a.incarnation,
@@ -189,9 +189,9 @@
 	return named
 }
 
-// Apply applies the answer to the latest report. Answers to earlier reports and those of earlier terms are ignored;
+// ApplyAnswer applies the answer to the latest report. Answers to earlier reports and those of earlier terms are ignored;
 // what they grant is included in a later answer.
-func (a *Admission) Apply(now time.Duration, answer ShareAnswer) {
+func (a *Admission) ApplyAnswer(now time.Duration, answer ShareAnswer) {
 	if answer.Sequence != a.sequence || answer.Term < a.term {
 		return
 	}
@@ -235,8 +235,8 @@
 	a.urgent = true
 }
 
-// Lost records that a report got no answer. The next report names all tenants, since it may reach another coordinator.
-func (a *Admission) Lost() { a.wholeReportDue = true }
+// ReportLost records that a report got no answer. The next report names all tenants, since it may reach another coordinator.
+func (a *Admission) ReportLost() { a.wholeReportDue = true }
 
 // Term returns the term of the last applied answer.
 func (a *Admission) Term() uint64 { return a.term }
--- a/internal/router/quota/admission_test.go
+++ b/internal/router/quota/admission_test.go
@@ -18,7 +18,7 @@
 	a.SetRouters(0, 10, 0)
 	a.SetLimits(map[string]Limit{"tenant": exampleLimit})
 	a.Admit(0, "tenant", 0)
-	a.Demand(0)
+	a.NextReport(0)
 	return a
 }
 
@@ -34,7 +34,7 @@
 		ok, _ := a.Admit(0, tenant, 1e12)
 		assert.Assert(t, ok)
 	}
-	assert.Equal(t, len(a.Demand(0).Tenants), 0)
+	assert.Equal(t, len(a.NextReport(0).Tenants), 0)
 }
 
 // TestRouterThatKnowsNoOtherHasNoPart checks that a router that has just started takes only what the coordinator
@@ -61,8 +61,8 @@
 	a := NewAdmission(exampleRule, 1)
 	a.SetLimits(map[string]Limit{"tenant": exampleLimit})
 	a.Admit(0, "tenant", 1)
-	a.Demand(0)
-	a.Apply(0, ShareAnswer{Term: 1, Sequence: 1, Shares: exampleShares(TenantShare{Granted: 30, Standing: 10, Ceiling: 40})})
+	a.NextReport(0)
+	a.ApplyAnswer(0, ShareAnswer{Term: 1, Sequence: 1, Shares: exampleShares(TenantShare{Granted: 30, Standing: 10, Ceiling: 40})})
 	a.SetRouters(0, 10, 0)
 	account := a.accounts["tenant"]
 	assert.Equal(t, account.balance, 30.0)
@@ -72,19 +72,19 @@
 func TestLateAnswerGrantsNothing(t *testing.T) {
 	a := newExampleAdmission()
 	before := a.accounts["tenant"].balance
-	a.Demand(0)
-	a.Apply(0, ShareAnswer{Term: 1, Sequence: 1, Shares: exampleShares(TenantShare{Granted: 500})})
+	a.NextReport(0)
+	a.ApplyAnswer(0, ShareAnswer{Term: 1, Sequence: 1, Shares: exampleShares(TenantShare{Granted: 500})})
 	assert.Equal(t, a.accounts["tenant"].balance, before)
-	a.Apply(0, ShareAnswer{Term: 1, Sequence: 2, Shares: exampleShares(TenantShare{Granted: 500})})
+	a.ApplyAnswer(0, ShareAnswer{Term: 1, Sequence: 2, Shares: exampleShares(TenantShare{Granted: 500})})
 	assert.Equal(t, a.accounts["tenant"].balance, before+500)
-	a.Demand(0)
-	a.Apply(0, ShareAnswer{Term: 0, Sequence: 3, Shares: exampleShares(TenantShare{Granted: 900})})
+	a.NextReport(0)
+	a.ApplyAnswer(0, ShareAnswer{Term: 0, Sequence: 3, Shares: exampleShares(TenantShare{Granted: 900})})
 	assert.Equal(t, a.accounts["tenant"].balance, before+500)
 }
 
 func TestOverdraftCoversOneRequest(t *testing.T) {
 	a := newExampleAdmission()
-	a.Apply(0, ShareAnswer{Term: 1, Sequence: 1, Shares: exampleShares(TenantShare{Granted: 0, Overdraft: 700})})
+	a.ApplyAnswer(0, ShareAnswer{Term: 1, Sequence: 1, Shares: exampleShares(TenantShare{Granted: 0, Overdraft: 700})})
 	ok, _ := a.Admit(0, "tenant", 600)
 	assert.Assert(t, ok)
 	ok, retryAfter := a.Admit(0, "tenant", 50)
@@ -94,7 +94,7 @@
 
 func TestOverdraftEndsWithoutContact(t *testing.T) {
 	a := newExampleAdmission()
-	a.Apply(0, ShareAnswer{Term: 1, Sequence: 1, Shares: exampleShares(TenantShare{Overdraft: 700})})
+	a.ApplyAnswer(0, ShareAnswer{Term: 1, Sequence: 1, Shares: exampleShares(TenantShare{Overdraft: 700})})
 	ok, _ := a.Admit(overdraftFor, "tenant", 600)
 	assert.Assert(t, !ok)
 }
@@ -103,7 +103,7 @@
 // wait for silenceTimeout.
 func TestShortRouterDrawsItsReserveSoon(t *testing.T) {
 	a := newExampleAdmission()
-	a.Apply(0, ShareAnswer{Term: 1, Sequence: 1, Shares: exampleShares(TenantShare{Standing: 100, Ceiling: 400, Reserve: 150})})
+	a.ApplyAnswer(0, ShareAnswer{Term: 1, Sequence: 1, Shares: exampleShares(TenantShare{Standing: 100, Ceiling: 400, Reserve: 150})})
 	balance := a.accounts["tenant"].balance
 	ok, _ := a.Admit(0, "tenant", balance)
 	assert.Assert(t, ok)
@@ -111,7 +111,7 @@
 	assert.Assert(t, !ok, "an answer may be on its way")
 	ok, _ = a.Admit(reserveAfter, "tenant", 100)
 	assert.Assert(t, ok)
-	assert.Equal(t, a.Demand(reserveAfter).Tenants[0].Drawn, 150.0, "the coordinator learns of it")
+	assert.Equal(t, a.NextReport(reserveAfter).Tenants[0].Drawn, 150.0, "the coordinator learns of it")
 	ok, _ = a.Admit(reserveAfter, "tenant", 100)
 	assert.Assert(t, !ok, "the reserve can be drawn once")
 }
@@ -119,28 +119,28 @@
 func TestSilentRouterDrawsItsReserveOnce(t *testing.T) {
 	a := newExampleAdmission()
 	share := TenantShare{Standing: 100, Ceiling: 400, Reserve: 150}
-	a.Apply(0, ShareAnswer{Term: 1, Sequence: 1, Shares: exampleShares(share)})
+	a.ApplyAnswer(0, ShareAnswer{Term: 1, Sequence: 1, Shares: exampleShares(share)})
 	before := a.accounts["tenant"].balance
-	report := a.Demand(silenceTimeout).Tenants[0]
+	report := a.NextReport(silenceTimeout).Tenants[0]
 	assert.Equal(t, report.Drawn, 150.0)
 	supplied := share.Standing * (silenceTimeout - grantCoverage).Seconds()
 	assert.Equal(t, report.Balance, before+150+supplied)
 	a.Admit(silenceTimeout, "tenant", 100)
-	report = a.Demand(silenceTimeout + time.Millisecond).Tenants[0]
+	report = a.NextReport(silenceTimeout + time.Millisecond).Tenants[0]
 	assert.Equal(t, report.Drawn, 150.0)
-	later := a.Demand(2 * time.Minute).Tenants
+	later := a.NextReport(2 * time.Minute).Tenants
 	assert.Equal(t, len(later), 0, "an idle tenant is removed")
 }
 
 func TestSilentRouterStaysBelowItsCeiling(t *testing.T) {
 	a := newExampleAdmission()
-	a.Apply(0, ShareAnswer{Term: 1, Sequence: 1, Shares: exampleShares(TenantShare{Standing: 100, Ceiling: 300})})
-	assert.Equal(t, a.Demand(20 * time.Second).Tenants[0].Balance, 300.0)
+	a.ApplyAnswer(0, ShareAnswer{Term: 1, Sequence: 1, Shares: exampleShares(TenantShare{Standing: 100, Ceiling: 300})})
+	assert.Equal(t, a.NextReport(20 * time.Second).Tenants[0].Balance, 300.0)
 }
 
 func TestLowerLimitAppliesAtOnce(t *testing.T) {
 	a := newExampleAdmission()
-	a.Apply(0, ShareAnswer{Term: 1, Sequence: 1, Shares: exampleShares(TenantShare{Granted: 600, Standing: 100, Ceiling: 400})})
+	a.ApplyAnswer(0, ShareAnswer{Term: 1, Sequence: 1, Shares: exampleShares(TenantShare{Granted: 600, Standing: 100, Ceiling: 400})})
 	before := *a.accounts["tenant"]
 	lower := Limit{PerSecond: 500, Burst: 500}
 	a.SetLimits(map[string]Limit{"tenant": lower})
@@ -159,7 +159,7 @@
 	for _, demand := range report.Tenants {
 		answer.Shares = append(answer.Shares, TenantShare{Tenant: demand.Tenant, Standing: 10, Ceiling: 1e6, Granted: demand.Granted})
 	}
-	a.Apply(now, answer)
+	a.ApplyAnswer(now, answer)
 }
 
 // TestReportsNameWhatHasChanged checks that a tenant without changes is named only once per refreshInterval, and that
@@ -172,7 +172,7 @@
 	now := time.Duration(0)
 	report := func(whole bool, tenants ...string) {
 		t.Helper()
-		next := a.Demand(now)
+		next := a.NextReport(now)
 		assert.Equal(t, next.Whole, whole)
 		var named []string
 		for _, demand := range next.Tenants {
@@ -186,11 +186,11 @@
 	report(false)
 	a.Admit(now, "busy", 1)
 	report(false, "busy")
-	a.Lost()
+	a.ReportLost()
 	report(true, "busy", "idle")
 	for now < 2*refreshInterval {
 		a.Admit(now, "busy", 1)
-		next := a.Demand(now)
+		next := a.NextReport(now)
 		answerReport(a, now, next)
 		now += 250 * time.Millisecond
 	}
@@ -212,12 +212,12 @@
 	for tenant := range limits {
 		a.Admit(0, tenant, 1)
 	}
-	answerReport(a, 0, a.Demand(0))
+	answerReport(a, 0, a.NextReport(0))
 	now := time.Duration(0)
 	named := map[string]int{}
 	for range tenants / maxRefreshes * 2 {
 		now += 250 * time.Millisecond
-		report := a.Demand(now)
+		report := a.NextReport(now)
 		assert.Assert(t, len(report.Tenants) <= maxRefreshes)
 		for _, demand := range report.Tenants {
 			named[demand.Tenant]++
@@ -233,9 +233,9 @@
 	a := NewAdmission(exampleRule, 1)
 	a.SetLimits(map[string]Limit{"tenant": exampleLimit})
 	a.Admit(0, "tenant", 1)
-	answerReport(a, 0, a.Demand(0))
+	answerReport(a, 0, a.NextReport(0))
 	for now := time.Duration(0); now < refreshInterval; now += 250 * time.Millisecond {
-		answerReport(a, now, a.Demand(now))
+		answerReport(a, now, a.NextReport(now))
 	}
 	assert.Equal(t, a.accounts["tenant"].supplied, 0.0)
 }
@@ -244,10 +244,10 @@
 // of it: the store may be empty by then.
 func TestReserveOfScarceTenantIsDropped(t *testing.T) {
 	a := newExampleAdmission()
-	a.Apply(0, ShareAnswer{Term: 1, Sequence: 1, Shares: exampleShares(TenantShare{Standing: 100, Ceiling: 400, Reserve: 150})})
-	report := a.Demand(time.Millisecond)
+	a.ApplyAnswer(0, ShareAnswer{Term: 1, Sequence: 1, Shares: exampleShares(TenantShare{Standing: 100, Ceiling: 400, Reserve: 150})})
+	report := a.NextReport(time.Millisecond)
 	assert.Equal(t, len(report.Tenants), 0)
-	a.Apply(time.Millisecond, ShareAnswer{Term: 1, Sequence: report.Sequence, Scarce: []string{"tenant"}})
+	a.ApplyAnswer(time.Millisecond, ShareAnswer{Term: 1, Sequence: report.Sequence, Scarce: []string{"tenant"}})
 	assert.Equal(t, a.accounts["tenant"].reserve, 0.0)
 }
 
@@ -255,11 +255,11 @@
 // applied: the next coordinator takes over the state of the earlier term from it.
 func TestWholeReportFollowsRequest(t *testing.T) {
 	a := newExampleAdmission()
-	a.Apply(0, ShareAnswer{Term: 1, Sequence: 1, Shares: exampleShares(TenantShare{Granted: 50})})
-	report := a.Demand(time.Millisecond)
-	a.Apply(time.Millisecond, ShareAnswer{Term: 2, Sequence: report.Sequence, WantsWhole: true})
-	assert.Assert(t, a.Urgent())
-	report = a.Demand(2 * time.Millisecond)
+	a.ApplyAnswer(0, ShareAnswer{Term: 1, Sequence: 1, Shares: exampleShares(TenantShare{Granted: 50})})
+	report := a.NextReport(time.Millisecond)
+	a.ApplyAnswer(time.Millisecond, ShareAnswer{Term: 2, Sequence: report.Sequence, WantsWhole: true})
+	assert.Assert(t, a.TakeUrgent())
+	report = a.NextReport(2 * time.Millisecond)
 	assert.Assert(t, report.Whole)
 	assert.Equal(t, report.Term, uint64(1))
 	assert.Equal(t, report.Tenants[0].Granted, 50.0)
--- a/internal/router/quota/coordinator.go
+++ b/internal/router/quota/coordinator.go
@@ -58,8 +58,8 @@
 	}
 }
 
-// SetKeepers sets the addresses of the keepers, the routers that store floor tables on their disks.
-func (c *Coordinator) SetKeepers(keepers []string) { c.floors.keepers = keepers }
+// SetFloorKeepers sets the addresses of the keepers, the routers that store floor tables on their disks.
+func (c *Coordinator) SetFloorKeepers(keepers []string) { c.floors.keepers = keepers }
 
 // AssumeIdle sets how long the coordinator's router has been running without hearing of a coordinator, if it started
 // recently. If the whole fleet started then, no router was granted anything in that time, and the stores begin with
@@ -97,9 +97,9 @@
 	c.limits = limits
 }
 
-// Report processes a router's report and returns the router's shares. A late report, and one of a router that follows a
+// HandleReport processes a router's report and returns the router's shares. A late report, and one of a router that follows a
 // later coordinator, gets an empty answer.
-func (c *Coordinator) Report(now time.Duration, router string, report DemandReport) ShareAnswer {
+func (c *Coordinator) HandleReport(now time.Duration, router string, report DemandReport) ShareAnswer {
 	answer := ShareAnswer{Term: c.term}
 	if report.Term > c.term {
 		return answer
--- a/internal/router/quota/coordinator_test.go
+++ b/internal/router/quota/coordinator_test.go
@@ -22,9 +22,9 @@
 
 func TestLateReportGetsAnEmptyAnswer(t *testing.T) {
 	c := newExampleCoordinator(1)
-	c.Report(time.Second, "a", exampleReport(2, 0, TenantDemand{}))
-	assert.DeepEqual(t, c.Report(time.Second, "a", exampleReport(2, 0, TenantDemand{})), ShareAnswer{Term: 1})
-	assert.DeepEqual(t, c.Report(time.Second, "a", exampleReport(9, 2, TenantDemand{})), ShareAnswer{Term: 1})
+	c.HandleReport(time.Second, "a", exampleReport(2, 0, TenantDemand{}))
+	assert.DeepEqual(t, c.HandleReport(time.Second, "a", exampleReport(2, 0, TenantDemand{})), ShareAnswer{Term: 1})
+	assert.DeepEqual(t, c.HandleReport(time.Second, "a", exampleReport(9, 2, TenantDemand{})), ShareAnswer{Term: 1})
 }
 
 // TestNextCoordinatorInheritsTheStore checks that the store starts from the latest answer that routers report, less
@@ -32,11 +32,11 @@
 func TestNextCoordinatorInheritsTheStore(t *testing.T) {
 	c := newExampleCoordinator(2)
 	c.SetRouters(0, 2, 0)
-	c.Report(0, "a", exampleReport(1, 1, TenantDemand{Store: 300, Number: 8, Drawn: 20, Standing: 500}))
+	c.HandleReport(0, "a", exampleReport(1, 1, TenantDemand{Store: 300, Number: 8, Drawn: 20, Standing: 500}))
 	assert.Equal(t, c.ledgers["tenant"].totalTokens(), 280.0)
-	c.Report(0, "b", exampleReport(1, 1, TenantDemand{Store: 200, Number: 9, Drawn: 5, Standing: 500}))
+	c.HandleReport(0, "b", exampleReport(1, 1, TenantDemand{Store: 200, Number: 9, Drawn: 5, Standing: 500}))
 	assert.Equal(t, c.ledgers["tenant"].totalTokens(), 175.0)
-	c.Report(0, "b", exampleReport(2, 1, TenantDemand{Store: 200, Number: 9, Drawn: 5, Standing: 500}))
+	c.HandleReport(0, "b", exampleReport(2, 1, TenantDemand{Store: 200, Number: 9, Drawn: 5, Standing: 500}))
 	assert.Equal(t, c.ledgers["tenant"].totalTokens(), 175.0)
 }
 
@@ -56,7 +56,7 @@
 		}
 		demand := TenantDemand{Asked: asked[i], Standing: inForce[i]}
 		term := uint64(min(1, step/routers))
-		answer := c.Report(now, fmt.Sprint(i), exampleReport(uint64(step)+1, term, demand))
+		answer := c.HandleReport(now, fmt.Sprint(i), exampleReport(uint64(step)+1, term, demand))
 		if step%3 != 0 {
 			inForce[i] = answer.Shares[0].Standing
 		}
@@ -73,20 +73,20 @@
 func TestRateInForceStaysReserved(t *testing.T) {
 	c := newExampleCoordinator(1)
 	c.SetRouters(0, 2, 0)
-	c.Report(0, "a", exampleReport(1, 0, TenantDemand{Standing: 900}))
-	c.Report(0, "b", exampleReport(1, 0, TenantDemand{Standing: 0}))
-	c.Report(time.Second, "a", exampleReport(2, 0, TenantDemand{Standing: 900}))
-	answer := c.Report(time.Second, "b", exampleReport(2, 1, TenantDemand{Asked: 5000}))
+	c.HandleReport(0, "a", exampleReport(1, 0, TenantDemand{Standing: 900}))
+	c.HandleReport(0, "b", exampleReport(1, 0, TenantDemand{Standing: 0}))
+	c.HandleReport(time.Second, "a", exampleReport(2, 0, TenantDemand{Standing: 900}))
+	answer := c.HandleReport(time.Second, "b", exampleReport(2, 1, TenantDemand{Asked: 5000}))
 	assert.Assert(t, answer.Shares[0].Standing <= 100.000001, "told %v", answer.Shares[0].Standing)
 }
 
 // TestLeavingRouterFreesItsPart checks that nothing is reserved for a router that has reported that it leaves.
 func TestLeavingRouterFreesItsPart(t *testing.T) {
 	c := newExampleCoordinator(1)
-	c.Report(0, "a", exampleReport(1, 0, TenantDemand{Standing: 500}))
+	c.HandleReport(0, "a", exampleReport(1, 0, TenantDemand{Standing: 500}))
 	leaving := exampleReport(2, 1, TenantDemand{Standing: 500})
 	leaving.Leaving = true
-	c.Report(0, "a", leaving)
+	c.HandleReport(0, "a", leaving)
 	assert.Equal(t, c.ledgers["tenant"].reservedRate, 0.0)
 	assert.Equal(t, len(c.members), 0)
 }
@@ -97,10 +97,10 @@
 	c := NewCoordinator(0, exampleRule, 2)
 	c.SetLimits(0, map[string]Limit{"tenant": exampleLimit})
 	partial := func(now time.Duration, sequence, term uint64) ShareAnswer {
-		return c.Report(now, "router", DemandReport{Incarnation: 1, Sequence: sequence, Term: term, Routers: 1})
+		return c.HandleReport(now, "router", DemandReport{Incarnation: 1, Sequence: sequence, Term: term, Routers: 1})
 	}
 	assert.Assert(t, partial(0, 1, 2).WantsWhole, "a router that has not reported before")
-	c.Report(0, "router", DemandReport{Whole: true, Incarnation: 1, Sequence: 2, Term: 2, Routers: 1})
+	c.HandleReport(0, "router", DemandReport{Whole: true, Incarnation: 1, Sequence: 2, Term: 2, Routers: 1})
 	assert.Assert(t, !partial(time.Millisecond, 3, 2).WantsWhole)
 	assert.Assert(t, partial(2*time.Millisecond, 4, 1).WantsWhole, "a router of an earlier term")
 	assert.Assert(t, partial(time.Millisecond+silenceTimeout, 5, 2).WantsWhole, "a silent router")
@@ -112,19 +112,19 @@
 	c := NewCoordinator(0, exampleRule, 1)
 	c.SetLimits(0, map[string]Limit{"tenant": exampleLimit})
 	report := DemandReport{Whole: true, Incarnation: 1, Sequence: 1, Term: 1, Routers: 1, Tenants: []TenantDemand{{Tenant: "tenant"}}}
-	c.Report(0, "router", report)
+	c.HandleReport(0, "router", report)
 	step := silenceTimeout / 2
 	now := time.Duration(0)
 	for sequence := uint64(2); now < unreportedTimeout-step; sequence++ {
 		now += step
-		c.Report(now, "router", DemandReport{Incarnation: 1, Sequence: sequence, Term: 1, Routers: 1})
+		c.HandleReport(now, "router", DemandReport{Incarnation: 1, Sequence: sequence, Term: 1, Routers: 1})
 		assert.Equal(t, len(c.ledgers["tenant"].entries), 1)
 	}
-	c.Report(now+step, "router", DemandReport{Incarnation: 1, Sequence: 1000, Term: 1, Routers: 1})
+	c.HandleReport(now+step, "router", DemandReport{Incarnation: 1, Sequence: 1000, Term: 1, Routers: 1})
 	assert.Equal(t, len(c.ledgers["tenant"].entries), 0)
 	report.Sequence = 1001
-	c.Report(now+step, "router", report)
+	c.HandleReport(now+step, "router", report)
 	assert.Equal(t, len(c.ledgers["tenant"].entries), 1)
-	c.Report(now+step, "router", DemandReport{Whole: true, Incarnation: 1, Sequence: 1002, Term: 1, Routers: 1})
+	c.HandleReport(now+step, "router", DemandReport{Whole: true, Incarnation: 1, Sequence: 1002, Term: 1, Routers: 1})
 	assert.Equal(t, len(c.ledgers["tenant"].entries), 0)
 }
--- a/internal/router/quota/simulation_test.go
+++ b/internal/router/quota/simulation_test.go
@@ -162,18 +162,18 @@
 	r.admission.SetRouters(s.now, s.liveRouters(s), s.left)
 	r.admission.SetLimits(s.limits)
 	if r.keeper {
-		r.admission.Keep(r.name, r.disk)
+		r.admission.SetKeptFloors(r.name, r.disk)
 	}
 	s.scheduleReport(r, s.now+time.Duration(s.random.Int64N(int64(simReportInterval))))
 }
 
 // leave stops a router for good: it tells the coordinator that it leaves, and the other routers know of it.
 func (s *simulation) leave(r *simRouter) {
-	report := r.admission.Demand(s.now)
+	report := r.admission.NextReport(s.now)
 	report.Leaving = true
 	s.send(r, func() {
 		if s.coordinator != nil && !s.frozen {
-			s.coordinator.Report(s.now, r.name, report)
+			s.coordinator.HandleReport(s.now, r.name, report)
 		}
 	})
 	r.down = true
@@ -192,7 +192,7 @@
 			keepers = append(keepers, r.name)
 		}
 	}
-	s.coordinator.SetKeepers(keepers)
+	s.coordinator.SetFloorKeepers(keepers)
 }
 
 func (s *simulation) scheduleRequest(tenant simTenant) {
@@ -216,7 +216,7 @@
 }
 
 func (s *simulation) reportIfUrgent(r *simRouter) {
-	if r.admission.Urgent() {
+	if r.admission.TakeUrgent() {
 		s.scheduleReport(r, max(s.now, r.lastReportAt+simUrgentInterval))
 	}
 }
@@ -258,7 +258,7 @@
 func (s *simulation) report(r *simRouter) {
 	r.lastReportAt = s.now
 	r.admission.SetRouters(s.now, s.liveRouters(s), s.left)
-	report := r.admission.Demand(s.now)
+	report := r.admission.NextReport(s.now)
 	admission := r.admission
 	s.scheduleReport(r, s.now+simReportInterval)
 	s.send(r, func() {
@@ -266,10 +266,10 @@
 			return
 		}
 		s.coordinator.SetRouters(s.now, s.liveRouters(s), s.left)
-		answer := s.coordinator.Report(s.now, r.name, report)
+		answer := s.coordinator.HandleReport(s.now, r.name, report)
 		s.send(r, func() {
 			if !r.down && r.admission == admission {
-				admission.Apply(s.now, answer)
+				admission.ApplyAnswer(s.now, answer)
 				s.keepFloors(r)
 				s.reportIfUrgent(r)
 			}
@@ -280,7 +280,7 @@
 // keepFloors writes the floor table that the coordinator wants stored, if there is one.
 func (s *simulation) keepFloors(r *simRouter) {
 	admission := r.admission
-	table := admission.Unkept()
+	table := admission.PendingFloors()
 	if table == nil {
 		return
 	}
@@ -289,7 +289,7 @@
 			return
 		}
 		r.disk = *table
-		admission.Keep(r.name, r.disk)
+		admission.SetKeptFloors(r.name, r.disk)
 		s.scheduleReport(r, max(s.now, r.lastReportAt+simUrgentInterval))
 	})
 }
--- a/internal/router/quota/standing.go
+++ b/internal/router/quota/standing.go
@@ -7,8 +7,8 @@
 	"time"
 )
 
-// Standing describes a tenant at a router: its limit, and the router's balance and standing rate.
-type Standing struct {
+// TenantStatus describes a tenant at a router: its limit, and the router's balance and standing rate.
+type TenantStatus struct {
 	Tenant   string
 	Limit    Limit
 	Balance  float64
@@ -17,11 +17,11 @@
 	asked    float64
 }
 
-// Standings returns the tenants with the most requests at this router, at most the given number.
-func (a *Admission) Standings(most int) []Standing {
-	list := make([]Standing, 0, len(a.accounts))
+// BusiestTenants returns the tenants with the most requests at this router, at most the given number.
+func (a *Admission) BusiestTenants(most int) []TenantStatus {
+	list := make([]TenantStatus, 0, len(a.accounts))
 	for tenant, account := range a.accounts {
-		list = append(list, Standing{
+		list = append(list, TenantStatus{
 			Tenant:   tenant,
 			Limit:    a.limits[tenant],
 			Balance:  account.balance,
@@ -30,13 +30,13 @@
 			asked:    account.asked,
 		})
 	}
-	slices.SortFunc(list, func(x, y Standing) int {
+	slices.SortFunc(list, func(x, y TenantStatus) int {
 		return cmp.Or(cmp.Compare(y.asked, x.asked), strings.Compare(x.Tenant, y.Tenant))
 	})
 	return list[:min(most, len(list))]
 }
 
-// Silence returns the time since the last answer, and false if there was none.
-func (a *Admission) Silence(now time.Duration) (time.Duration, bool) {
+// SinceLastAnswer returns the time since the last answer, and false if there was none.
+func (a *Admission) SinceLastAnswer(now time.Duration) (time.Duration, bool) {
 	return now - a.lastAnswerAt, a.hasAnswer
 }
--- a/internal/router/quota/standing_test.go
+++ b/internal/router/quota/standing_test.go
@@ -24,13 +24,13 @@
 			admission.Admit(0, fmt.Sprint("tenant-", i), 1)
 		}
 	}
-	list := admission.Standings(20)
+	list := admission.BusiestTenants(20)
 	assert.Equal(t, len(list), 20)
 	assert.Equal(t, list[0].Tenant, "tenant-29")
 	assert.Equal(t, list[19].Tenant, "tenant-10")
 	assert.Equal(t, list[0].Limit, limit)
 	assert.Equal(t, list[0].Balance, testRule.startBalance(limit, 1)-30)
 	assert.Equal(t, list[0].Standing, limit.PerSecond)
-	_, heard := admission.Silence(time.Second)
+	_, heard := admission.SinceLastAnswer(time.Second)
 	assert.Assert(t, !heard)
 }
--- a/internal/router/registry/registry.go
+++ b/internal/router/registry/registry.go
@@ -131,7 +131,7 @@
 // applyHeartbeat updates the table from a heartbeat and queues a record if it changed anything. The lock must be held.
 func (r *Registry) applyHeartbeat(instance instances.Instance) {
 	now := r.now()
-	result := r.table.Judge(now, &instance)
+	result := r.table.CheckHeartbeat(now, &instance)
 	if result != instances.Stale && instance.State != protocol.StateDraining {
 		delete(r.confirmed, instance.ID)
 	}
@@ -192,7 +192,7 @@
 // mergeRecord merges a record into the table. The lock must be held.
 func (r *Registry) mergeRecord(record softstate.Record) {
 	now := r.now()
-	version := instances.Version{Heartbeat: record.Version.Epoch, Ended: record.Version.Sequence}
+	version := instances.Version{Heartbeat: record.Version.Epoch, Expired: record.Version.Sequence}
 	if record.Removed {
 		if r.table.Remove(now, version, record.Key) {
 			r.updateSnapshot()
@@ -241,7 +241,7 @@
 
 // recordVersion returns the version of the record that carries a registration.
 func recordVersion(version instances.Version) softstate.Version {
-	return softstate.Version{Epoch: version.Heartbeat, Sequence: version.Ended}
+	return softstate.Version{Epoch: version.Heartbeat, Sequence: version.Expired}
 }
 
 // updateSnapshot rebuilds the snapshot for readers. The lock must be held.
@@ -275,7 +275,7 @@
 func (r *Registry) removeSilent(live func(node string) bool, ownsOrphans bool) {
 	now := r.now()
 	if gap := now - r.lastSweep; r.lastSweep > 0 && gap > stallThreshold {
-		r.table.Shift(now, gap)
+		r.table.ExtendLiveness(now, gap)
 	}
 	r.lastSweep = now
 	for _, expiry := range r.table.Expired(now, r.silenceTimeout, live, ownsOrphans) {
--- a/internal/router/relaytree/relaytree.go
+++ b/internal/router/relaytree/relaytree.go
@@ -34,7 +34,7 @@
 	if !ok {
 		return nil
 	}
-	children := childrenInZone(view, rootOf(origin), member)
+	children := childrenOf(view, rootOf(origin), member)
 	if node != origin {
 		return children
 	}
@@ -57,13 +57,13 @@
 	return members[first], true
 }
 
-// Below returns the children of node in its zone's tree with the given root name, nil if the node is not a live member.
-func Below(view *membership.View, root, node string) []membership.Member {
+// ChildrenInZone returns the children of node in its zone's tree with the given root name, nil if the node is not a live member.
+func ChildrenInZone(view *membership.View, root, node string) []membership.Member {
 	member, ok := view.Get(node)
 	if !ok {
 		return nil
 	}
-	return childrenInZone(view, root, member)
+	return childrenOf(view, root, member)
 }
 
 // heads returns the head of each zone in the tree with the given root name.
@@ -77,8 +77,8 @@
 	return list
 }
 
-// childrenInZone returns the member's children in its own zone's tree with the given root name.
-func childrenInZone(view *membership.View, root string, member membership.Member) []membership.Member {
+// childrenOf returns the member's children in its own zone's tree with the given root name.
+func childrenOf(view *membership.View, root string, member membership.Member) []membership.Member {
 	members := view.InZone(member.Zone)
 	first, _ := view.IndexInZone(member.Zone, root)
 	index, _ := view.IndexInZone(member.Zone, member.Node)
--- a/internal/router/resultcode/error.go
+++ b/internal/router/resultcode/error.go
@@ -27,8 +27,8 @@
 	return wrapped
 }
 
-// Of returns the first error with a result code in err's chain, and whether there is one.
-func Of(err error) (*Error, bool) {
+// FromError returns the first error with a result code in err's chain, and whether there is one.
+func FromError(err error) (*Error, bool) {
 	var coded *Error
 	if errors.As(err, &coded) && coded != nil {
 		return coded, true
--- a/internal/router/resultcode/resultcode_test.go
+++ b/internal/router/resultcode/resultcode_test.go
@@ -83,11 +83,11 @@
 
 func TestOfFindsCodeInChain(t *testing.T) {
 	coded := New(UnknownKey, "key")
-	found, ok := Of(errors.Wrap(coded, "outer"))
+	found, ok := FromError(errors.Wrap(coded, "outer"))
 	assert.Assert(t, ok)
 	assert.Equal(t, found, coded)
 	for _, other := range []error{nil, errors.New("plain"), (*Error)(nil)} {
-		_, ok := Of(other)
+		_, ok := FromError(other)
 		assert.Assert(t, !ok)
 	}
 }
--- a/internal/router/retrybudget/budget.go
+++ b/internal/router/retrybudget/budget.go
@@ -49,8 +49,8 @@
 	return false
 }
 
-// Urgent reports whether a report should be sent early, because a retry was rejected since the last call.
-func (b *Budget) Urgent() bool {
+// TakeUrgent reports whether a report should be sent early, because a retry was rejected since the last call.
+func (b *Budget) TakeUrgent() bool {
 	urgent := b.urgent
 	b.urgent = false
 	return urgent
@@ -77,8 +77,8 @@
 	return true
 }
 
-// Demand returns the next report for the coordinator.
-func (b *Budget) Demand(now time.Duration) Report {
+// NextReport returns the next report for the coordinator.
+func (b *Budget) NextReport(now time.Duration) Report {
 	b.sequence++
 	report := Report{Incarnation: b.incarnation, Sequence: b.sequence, Term: b.term}
 	for name, s := range b.services {
@@ -96,8 +96,8 @@
 	return report
 }
 
-// Apply applies the answer to the latest report. It ignores answers to earlier reports and of earlier terms.
-func (b *Budget) Apply(now time.Duration, answer Answer) {
+// ApplyAnswer applies the answer to the latest report. It ignores answers to earlier reports and of earlier terms.
+func (b *Budget) ApplyAnswer(now time.Duration, answer Answer) {
 	if answer.Sequence != b.sequence || answer.Term < b.term {
 		return
 	}
--- a/internal/router/retrybudget/coordinator_test.go
+++ b/internal/router/retrybudget/coordinator_test.go
@@ -27,25 +27,25 @@
 	c := NewCoordinator(0, testRule, 1)
 	pool := lentShare * testRule.Slack
 	demand := ServiceUse{Wanted: 1000}
-	first := lentTo(t, c.Report(afterStart, "a", report(1, 1, demand)))
+	first := lentTo(t, c.HandleReport(afterStart, "a", report(1, 1, demand)))
 	assert.Equal(t, first, pool/2)
-	returned := c.Report(afterStart, "a", report(1, 2, ServiceUse{Lent: first}))
+	returned := c.HandleReport(afterStart, "a", report(1, 2, ServiceUse{Lent: first}))
 	assert.Equal(t, lentTo(t, returned), 0.0)
 	for sequence := range uint64(20) {
-		other := lentTo(t, c.Report(afterStart, "b", report(2, sequence+1, ServiceUse{Wanted: 1000, Lent: pool - first})))
+		other := lentTo(t, c.HandleReport(afterStart, "b", report(2, sequence+1, ServiceUse{Wanted: 1000, Lent: pool - first})))
 		assert.Assert(t, other <= pool-first, "lent %v", other)
 	}
-	c.Report(afterStart, "a", report(1, 3, ServiceUse{}))
-	other := lentTo(t, c.Report(afterStart, "b", report(2, 30, ServiceUse{Wanted: 1000, Lent: pool - first})))
+	c.HandleReport(afterStart, "a", report(1, 3, ServiceUse{}))
+	other := lentTo(t, c.HandleReport(afterStart, "b", report(2, 30, ServiceUse{Wanted: 1000, Lent: pool - first})))
 	assert.Assert(t, other > pool-first)
 }
 
 // TestLateReport checks that a repeated report gets an empty answer.
 func TestLateReport(t *testing.T) {
 	c := NewCoordinator(0, testRule, 1)
-	c.Report(afterStart, "a", report(1, 5, ServiceUse{Wanted: 1}))
-	assert.DeepEqual(t, c.Report(afterStart, "a", report(1, 5, ServiceUse{Wanted: 1})), Answer{Term: 1})
-	assert.Equal(t, c.Report(afterStart, "a", report(2, 1, ServiceUse{Wanted: 1})).Sequence, uint64(1))
+	c.HandleReport(afterStart, "a", report(1, 5, ServiceUse{Wanted: 1}))
+	assert.DeepEqual(t, c.HandleReport(afterStart, "a", report(1, 5, ServiceUse{Wanted: 1})), Answer{Term: 1})
+	assert.Equal(t, c.HandleReport(afterStart, "a", report(2, 1, ServiceUse{Wanted: 1})).Sequence, uint64(1))
 }
 
 // TestReportOfALaterTerm checks that a coordinator doesn't lend to a router that has applied an answer of a later term.
@@ -53,7 +53,7 @@
 	c := NewCoordinator(0, testRule, 1)
 	late := report(1, 1, ServiceUse{Wanted: 1})
 	late.Term = 2
-	assert.DeepEqual(t, c.Report(afterStart, "a", late), Answer{Term: 1})
+	assert.DeepEqual(t, c.HandleReport(afterStart, "a", late), Answer{Term: 1})
 }
 
 // TestLateAnswer checks that answers to earlier reports and of earlier terms are ignored.
@@ -61,15 +61,15 @@
 	b := NewBudget(testRule, 1)
 	b.SetRouters(1000)
 	assert.Assert(t, !b.Allow(0, testService))
-	late := b.Demand(0)
-	b.Demand(0)
+	late := b.NextReport(0)
+	b.NextReport(0)
 	share := []ServiceShare{{Service: testService, Lent: 5}}
-	b.Apply(0, Answer{Term: 3, Sequence: late.Sequence, Services: share})
+	b.ApplyAnswer(0, Answer{Term: 3, Sequence: late.Sequence, Services: share})
 	assert.Assert(t, !b.Allow(0, testService))
-	b.Apply(0, Answer{Term: 3, Sequence: late.Sequence + 1, Services: share})
+	b.ApplyAnswer(0, Answer{Term: 3, Sequence: late.Sequence + 1, Services: share})
 	assert.Assert(t, b.Allow(0, testService))
-	b.Demand(0)
-	b.Apply(0, Answer{Term: 2, Sequence: late.Sequence + 2})
+	b.NextReport(0)
+	b.ApplyAnswer(0, Answer{Term: 2, Sequence: late.Sequence + 2})
 	assert.Assert(t, b.Allow(0, testService))
 }
 
--- a/internal/router/retrybudget/fleet_test.go
+++ b/internal/router/retrybudget/fleet_test.go
@@ -105,15 +105,15 @@
 	if (step+r.offset)%ticksPerReport != 0 {
 		return
 	}
-	report := r.budget.Demand(f.now)
+	report := r.budget.NextReport(f.now)
 	if r.isolated || f.random.Float64() < f.loss {
 		return
 	}
-	answer := f.coordinator.Report(f.now, r.name, report)
+	answer := f.coordinator.HandleReport(f.now, r.name, report)
 	if f.random.Float64() < f.loss {
 		return
 	}
-	r.budget.Apply(f.now, answer)
+	r.budget.ApplyAnswer(f.now, answer)
 }
 
 // worstWindow returns the largest number of retries within any window, as a fraction of the limit.
--- a/internal/router/selection/backend.go
+++ b/internal/router/selection/backend.go
@@ -67,7 +67,7 @@
 	for name, config := range s.configs {
 		b := previous[name]
 		if b == nil {
-			b = &backend{popularity: newPopularity(), isMixed: s.options.Mixed}
+			b = &backend{popularity: newPopularity(), isMixed: s.options.NoStreamSet}
 		}
 		b.config = config
 		b.targets = nil
--- a/internal/router/selection/choose.go
+++ b/internal/router/selection/choose.go
@@ -54,7 +54,7 @@
 	return pickContext{
 		backend:     b,
 		request:     request,
-		modelHash:   prefixcache.HashModel(request.Model),
+		modelHash:   prefixcache.HashName(request.Model),
 		performance: performance,
 		waitTime:    fromMilliseconds(b.firstByteMs.value),
 		serviceTime: fromMilliseconds(performance.ServiceMs),
@@ -114,20 +114,20 @@
 func (s *Selector) pickWidth(c *pickContext, candidates int) int {
 	widths := s.options.Widths
 	if c.isStream {
-		return min(candidates, max(c.backend.streamPickWidth(), widths.Rest))
+		return min(candidates, max(c.backend.streamPickWidth(), widths.Normal))
 	}
 	if !c.backend.sharesPrefix(c.request) {
 		return widths.K(candidates, s.isBurst, false)
 	}
 	if byPopularity := c.expected.homes.byPopularity; byPopularity > 1 {
-		return max(widths.Rest, byPopularity/2)
+		return max(widths.Normal, byPopularity/2)
 	}
-	return min(widths.K(candidates, s.isBurst, true), max(widths.Rest, c.withoutDuplicates))
+	return min(widths.K(candidates, s.isBurst, true), max(widths.Normal, c.withoutDuplicates))
 }
 
 // sharesPrefix reports whether instances cache parts of the prompt that other requests may share.
 func (b *backend) sharesPrefix(request *Request) bool {
-	return b.config.HasEngine && len(prefixcache.Shared(request.Prefix)) > 0
+	return b.config.HasEngine && len(prefixcache.SharedBlocks(request.Prefix)) > 0
 }
 
 // meanLoad is the mean load of the instances whose load is known. It stands for the load of the others.
--- a/internal/router/selection/commonprefixes.go
+++ b/internal/router/selection/commonprefixes.go
@@ -88,7 +88,7 @@
 	if len(b.replicas) == 0 {
 		return 1
 	}
-	shared := prefixcache.Shared(request.Prefix)
+	shared := prefixcache.SharedBlocks(request.Prefix)
 	key := commonprefix.Hash(s.commonPrefixes.Seed, request.Backend, request.Model, shared)
 	return max(1, b.replicas[key])
 }
--- a/internal/router/selection/commonprefixes_test.go
+++ b/internal/router/selection/commonprefixes_test.go
@@ -18,13 +18,13 @@
 // each instance.
 func commonSet(chain uint64, share int, ids ...string) *commonprefix.Set {
 	request := engineRequest(chain, 0, testStart)
-	shared := prefixcache.Shared(request.Prefix)
-	home, _ := prefixcache.HomeKey(prefixcache.HashModel(request.Model), request.Prefix)
+	shared := prefixcache.SharedBlocks(request.Prefix)
+	home, _ := prefixcache.HomeKey(prefixcache.HashName(request.Model), request.Prefix)
 	set := &commonprefix.Set{Version: 2, Seed: commonSeed, Prefixes: []commonprefix.Common{{
 		Key:     commonprefix.Hash(commonSeed, "b", request.Model, shared),
 		Home:    home,
 		Backend: "b",
-		Tokens:  prefixcache.Tokens(shared),
+		Tokens:  prefixcache.TotalTokens(shared),
 		Share:   share,
 	}}}
 	for number, id := range ids {
@@ -92,8 +92,8 @@
 		cached[homes.contains(candidate)]++
 	}
 	assert.DeepEqual(t, cached, map[bool]int{true: 2, false: 6})
-	assert.Equal(t, len(s.CommonHomes(set.Prefixes[0])), 2)
-	for _, id := range s.CommonHomes(set.Prefixes[0]) {
+	assert.Equal(t, len(s.CommonPrefixHomes(set.Prefixes[0])), 2)
+	for _, id := range s.CommonPrefixHomes(set.Prefixes[0]) {
 		assert.Assert(t, homes.contains(s.byID[id]))
 	}
 }
@@ -109,11 +109,11 @@
 	request = engineRequest(2, 2, testStart)
 	request.Tenant = "b"
 	mustSelect(t, s, request)
-	uses := s.CommonUses()
+	uses := s.CommonPrefixUses()
 	assert.Equal(t, len(uses), 1)
 	assert.Equal(t, uses["a"].Requests, uint64(2))
 	assert.Equal(t, uses["a"].Hits, uint64(1))
-	assert.Assert(t, uses["a"].TokensReadAgain > 0)
+	assert.Assert(t, uses["a"].RecomputedTokens > 0)
 }
 
 func TestEmptySetChangesNoPick(t *testing.T) {
--- a/internal/router/selection/commonuse.go
+++ b/internal/router/selection/commonuse.go
@@ -11,11 +11,11 @@
 // maxCommonUseTenants limits the tenants whose use of common prefixes is counted.
 const maxCommonUseTenants = 512
 
-// CommonUse counts a tenant's requests that carried a common prefix.
-type CommonUse struct {
-	Requests        uint64
-	Hits            uint64 // sent to an instance that is estimated to cache the prefix
-	TokensReadAgain uint64 // tokens of the prefix that the other requests had to prefill
+// CommonPrefixUse counts a tenant's requests that carried a common prefix.
+type CommonPrefixUse struct {
+	Requests         uint64
+	Hits             uint64 // sent to an instance that is estimated to cache the prefix
+	RecomputedTokens uint64 // tokens of the prefix that the other requests had to prefill
 }
 
 // countCommonUse counts a pick if its request begins with a common prefix. It is called before the pick is entered into
@@ -24,7 +24,7 @@
 	if chosen.cache == nil || len(b.replicas) == 0 {
 		return
 	}
-	shared := prefixcache.Shared(request.Prefix)
+	shared := prefixcache.SharedBlocks(request.Prefix)
 	if !b.isCommon(s.commonPrefixes.Seed, request, shared) {
 		return
 	}
@@ -33,8 +33,8 @@
 		return
 	}
 	use.Requests++
-	uncached := chosen.cache.Missing(prefixcache.HashModel(request.Model), shared)
-	use.TokensReadAgain += uint64(uncached)
+	uncached := chosen.cache.UncachedTokens(prefixcache.HashName(request.Model), shared)
+	use.RecomputedTokens += uint64(uncached)
 	if uncached == 0 {
 		use.Hits++
 	}
@@ -46,28 +46,28 @@
 }
 
 // commonUseFor finds or adds a tenant's counts. It returns nil if there are too many tenants.
-func (s *Selector) commonUseFor(tenant string) *CommonUse {
+func (s *Selector) commonUseFor(tenant string) *CommonPrefixUse {
 	use := s.commonUse[tenant]
 	if use == nil && len(s.commonUse) < maxCommonUseTenants {
-		use = &CommonUse{}
+		use = &CommonPrefixUse{}
 		s.commonUse[tenant] = use
 	}
 	return use
 }
 
-// CommonUses returns the use of common prefixes by tenant.
-func (s *Selector) CommonUses() map[string]CommonUse {
+// CommonPrefixUses returns the use of common prefixes by tenant.
+func (s *Selector) CommonPrefixUses() map[string]CommonPrefixUse {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
-	uses := make(map[string]CommonUse, len(s.commonUse))
+	uses := make(map[string]CommonPrefixUse, len(s.commonUse))
 	for tenant, use := range maps.All(s.commonUse) {
 		uses[tenant] = *use
 	}
 	return uses
 }
 
-// CommonHomes lists the ids of the instances that should cache a common prefix, best ranked first.
-func (s *Selector) CommonHomes(common commonprefix.Common) []string {
+// CommonPrefixHomes lists the ids of the instances that should cache a common prefix, best ranked first.
+func (s *Selector) CommonPrefixHomes(common commonprefix.Common) []string {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	b := s.backends[common.Backend]
