--- a/internal/router/selection/expectation.go
+++ b/internal/router/selection/expectation.go
@@ -17,7 +17,7 @@
 // expectCached goes by the sightings of the other routers. Without these, all shared blocks are presumed to be cached
 // by their homes.
 func (s *Selector) expectCached(c *pickContext, candidates []*target) cacheExpectation {
-	shared, now := prefixcache.Shared(c.request.Prefix), c.request.Now
+	shared, now := prefixcache.SharedBlocks(c.request.Prefix), c.request.Now
 	if s.recentBlocks.isCurrent(now) {
 		return cacheExpectation{
 			used:     s.recentBlocks.usedDepth(now, c.modelHash, shared),
@@ -30,17 +30,17 @@
 // uncachedTokens estimates the prompt tokens that the instance would have to prefill for a request, and how many of
 // them duplicate a recent prefill on another instance. A home is presumed to cache all shared blocks.
 func (t *target) uncachedTokens(request *Request, modelHash uint64, expected *cacheExpectation) (total, duplicate float64) {
-	cached := max(expected.frequent, t.cache.Kept(modelHash, request.Prefix))
-	sharedBlocks := prefixcache.Shared(request.Prefix)
+	cached := max(expected.frequent, t.cache.CachedBlocks(modelHash, request.Prefix))
+	sharedBlocks := prefixcache.SharedBlocks(request.Prefix)
 	firstUncached := min(cached, len(sharedBlocks))
 	if expected.homes.contains(t) {
 		firstUncached = len(sharedBlocks)
 	}
-	uncachedShared := prefixcache.Tokens(sharedBlocks[firstUncached:])
-	duplicateTokens := prefixcache.Tokens(sharedBlocks[firstUncached:max(firstUncached, expected.used)])
-	other := request.PromptTokens - prefixcache.Tokens(sharedBlocks)
+	uncachedShared := prefixcache.TotalTokens(sharedBlocks[firstUncached:])
+	duplicateTokens := prefixcache.TotalTokens(sharedBlocks[firstUncached:max(firstUncached, expected.used)])
+	other := request.PromptTokens - prefixcache.TotalTokens(sharedBlocks)
 	if cached == len(request.Prefix) && cached > 0 {
-		other = request.PromptTokens - prefixcache.Tokens(request.Prefix)
+		other = request.PromptTokens - prefixcache.TotalTokens(request.Prefix)
 	}
 	return float64(uncachedShared + max(0, other)), float64(duplicateTokens)
 }
--- a/internal/router/selection/home.go
+++ b/internal/router/selection/home.go
@@ -46,7 +46,7 @@
 // homeScore ranks the instance as a home of a key by weighted rendezvous hashing: its chance to rank first is
 // proportional to its homeShare, and few homes move when one instance's share changes.
 func (t *target) homeScore(key prefixcache.Key) float64 {
-	uniform := (float64(prefixcache.HomeWeight(t.homeHash, key)>>uniformShift) + 0.5) / (1 << uniformBits)
+	uniform := (float64(prefixcache.RendezvousWeight(t.homeHash, key)>>uniformShift) + 0.5) / (1 << uniformBits)
 	return t.homeShare() / -math.Log(uniform)
 }
 
--- a/internal/router/selection/pick.go
+++ b/internal/router/selection/pick.go
@@ -57,9 +57,9 @@
 	own.pendingTokens += uncachedTokens
 	t.backend.performance.ObservePrompt(float64(request.PromptTokens))
 	if t.cache != nil {
-		modelHash := prefixcache.HashModel(request.Model)
-		t.cache.Used(modelHash, request.Prefix)
-		s.recentBlocks.record(request.Now, t, modelHash, prefixcache.Shared(request.Prefix))
+		modelHash := prefixcache.HashName(request.Model)
+		t.cache.RecordUse(modelHash, request.Prefix)
+		s.recentBlocks.record(request.Now, t, modelHash, prefixcache.SharedBlocks(request.Prefix))
 	}
 	return &Pick{
 		selector: s, target: t, instance: t.instance, sentAt: request.Now,
--- a/internal/router/selection/poll.go
+++ b/internal/router/selection/poll.go
@@ -135,8 +135,8 @@
 	pollCtx, cancel := context.WithTimeout(ctx, pollTimeout)
 	defer cancel()
 	report, err := s.options.Poll(pollCtx, instance)
-	if err == nil && s.options.Share != nil && s.options.Assigned(instance) {
-		s.options.Share(instance.ID, report)
+	if err == nil && s.options.BroadcastReport != nil && s.options.Assigned(instance) {
+		s.options.BroadcastReport(instance.ID, report)
 	}
 	now := s.options.Clock()
 	s.mutex.Lock()
@@ -157,8 +157,8 @@
 	s.recordReport(t, now, report)
 }
 
-// TakeReport records a report that another router has polled. It ignores unknown instances.
-func (s *Selector) TakeReport(id string, report *protocol.Report) {
+// RecordRemoteReport records a report that another router has polled. It ignores unknown instances.
+func (s *Selector) RecordRemoteReport(id string, report *protocol.Report) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	t := s.byID[id]
--- a/internal/router/selection/poll_test.go
+++ b/internal/router/selection/poll_test.go
@@ -128,7 +128,7 @@
 		s := New(Options{
 			Poll:     counter.poll,
 			Assigned: func(instance *instances.Instance) bool { return instance.ID == "a" },
-			Share: func(id string, report *protocol.Report) {
+			BroadcastReport: func(id string, report *protocol.Report) {
 				mutex.Lock()
 				defer mutex.Unlock()
 				shared[id]++
@@ -145,7 +145,7 @@
 		sendRequests(t, s, 2*DefaultRefreshInterval)
 		assert.Assert(t, counter.count("c") > 0, "an unassigned instance of unknown load is polled while in use")
 		before := counter.count("c")
-		s.TakeReport("c", &protocol.Report{Queued: 7, Running: 2})
+		s.RecordRemoteReport("c", &protocol.Report{Queued: 7, Running: 2})
 		assert.Equal(t, loadOf(s, "c").queued, 7.0)
 		sendRequests(t, s, 2*DefaultRefreshInterval)
 		assert.Equal(t, counter.count("c"), before, "a report from another router replaces a poll")
--- a/internal/router/selection/popularity.go
+++ b/internal/router/selection/popularity.go
@@ -23,20 +23,20 @@
 
 // popularity counts this router's recent requests by the key that determines a prompt's homes.
 type popularity struct {
-	byKey *sightings.Recent[prefixcache.Key]
-	all   *sightings.Recent[struct{}]
+	byKey *sightings.WindowCounter[prefixcache.Key]
+	all   *sightings.WindowCounter[struct{}]
 }
 
 func newPopularity() popularity {
 	return popularity{
-		byKey: sightings.NewRecent[prefixcache.Key](popularityPeriod, maxPopularityKeys),
-		all:   sightings.NewRecent[struct{}](popularityPeriod, maxPopularityKeys),
+		byKey: sightings.NewWindowCounter[prefixcache.Key](popularityPeriod, maxPopularityKeys),
+		all:   sightings.NewWindowCounter[struct{}](popularityPeriod, maxPopularityKeys),
 	}
 }
 
 // record counts a request if it has shared blocks. Retries do not count.
 func (p *popularity) record(request *Request) {
-	key, ok := prefixcache.HomeKey(prefixcache.HashModel(request.Model), request.Prefix)
+	key, ok := prefixcache.HomeKey(prefixcache.HashName(request.Model), request.Prefix)
 	if !ok || len(request.Excluded) > 0 {
 		return
 	}
--- a/internal/router/selection/selection.go
+++ b/internal/router/selection/selection.go
@@ -37,17 +37,17 @@
 	Widths          balance.Widths   // K at rest and in bursts; zero: balance.DefaultWidths
 	Weights         *balance.Weights // of the cost; nil: balance.DefaultWeights
 	NoHomes         bool             // no instance is presumed to cache shared blocks
-	Mixed           bool             // streams are not separated from prompts: there is no stream set
+	NoStreamSet     bool             // streams are not separated from prompts: there is no stream set
 	Detector        Detector         // detects bursts; nil: internal/burst
 	Poll            PollFunc         // nil: no polling
 	// Assigned reports whether this router polls an instance for all routers. If nil, each router polls for itself.
 	Assigned func(instance *instances.Instance) bool
-	// Share sends the report of an assigned instance to the other routers. It is not called if nil.
-	Share     func(id string, report *protocol.Report)
-	Sightings *SightingOptions // nil: routers do not tell each other where they send shared blocks
-	Routers   func() int       // number of routers that share the instances, this one included; nil: 1
-	Random    func() uint64    // nil: a generator with a random seed
-	Clock     func() time.Time // used by the polling loop; nil: time.Now
+	// BroadcastReport sends the report of an assigned instance to the other routers. It is not called if nil.
+	BroadcastReport func(id string, report *protocol.Report)
+	Sightings       *SightingOptions // nil: routers do not tell each other where they send shared blocks
+	Routers         func() int       // number of routers that share the instances, this one included; nil: 1
+	Random          func() uint64    // nil: a generator with a random seed
+	Clock           func() time.Time // used by the polling loop; nil: time.Now
 }
 
 // BackendConfig is the operator's configuration of a backend.
@@ -91,7 +91,7 @@
 	snapshot        *instances.Snapshot
 	configs         map[string]BackendConfig
 	commonPrefixes  *commonprefix.Set // nil: no set agreed on
-	commonUse       map[string]*CommonUse
+	commonUse       map[string]*CommonPrefixUse
 	scratch         scratch
 }
 
@@ -134,7 +134,7 @@
 		recentBlocks: newRecentBlocks(options.Sightings),
 		snapshot:     &instances.Snapshot{},
 		configs:      map[string]BackendConfig{},
-		commonUse:    map[string]*CommonUse{},
+		commonUse:    map[string]*CommonPrefixUse{},
 	}
 }
 
--- a/internal/router/selection/selection_test.go
+++ b/internal/router/selection/selection_test.go
@@ -186,7 +186,7 @@
 	assert.DeepEqual(t, countPicks(t, s, testStart), map[string]int{"far": 200}) // one request outweighs the zone
 }
 
-var testModel = prefixcache.HashModel("m")
+var testModel = prefixcache.HashName("m")
 
 var engineConfig = BackendConfig{Slots: 64, KVCapacity: 1_000_000, HasEngine: true}
 
--- a/internal/router/selection/sightings.go
+++ b/internal/router/selection/sightings.go
@@ -12,12 +12,12 @@
 type SightingOptions struct {
 	// Announce sends a sighting to the other routers.
 	Announce func(sighting sightings.Sighting)
-	// Alive reports whether this router receives the sightings of the others.
-	Alive func(now time.Time) bool
+	// IsCurrent reports whether this router receives the sightings of the others.
+	IsCurrent func(now time.Time) bool
 	// Recent lists the recent sightings, including those of instances that this router did not know at the time.
 	Recent func(now time.Time) []sightings.Sighting
-	// Again is the time within which a second prefill of a block counts as duplicate work.
-	Again time.Duration
+	// DuplicateWindow is the time within which a second prefill of a block counts as duplicate work.
+	DuplicateWindow time.Duration
 }
 
 const (
@@ -43,26 +43,26 @@
 // record may be called on nil, which tracks nothing.
 type recentBlocks struct {
 	options      SightingOptions
-	byAnyRouter  *sightings.Recent[prefixcache.Key]
-	byThisRouter *sightings.Recent[prefixcache.Key] // sent by this router alone
-	announced    *sightings.Recent[blockLocation]   // by any router
+	byAnyRouter  *sightings.WindowCounter[prefixcache.Key]
+	byThisRouter *sightings.WindowCounter[prefixcache.Key] // sent by this router alone
+	announced    *sightings.WindowCounter[blockLocation]   // by any router
 }
 
 func newRecentBlocks(options *SightingOptions) *recentBlocks {
 	if options == nil {
 		return nil
 	}
-	period := func(share float64) time.Duration { return time.Duration(share * float64(options.Again)) }
+	period := func(share float64) time.Duration { return time.Duration(share * float64(options.DuplicateWindow)) }
 	return &recentBlocks{
 		options:      *options,
-		byAnyRouter:  sightings.NewRecent[prefixcache.Key](period(usedPeriodShare), maxRecentBlocks),
-		byThisRouter: sightings.NewRecent[prefixcache.Key](period(usedPeriodShare), maxRecentBlocks),
-		announced:    sightings.NewRecent[blockLocation](period(announcedPeriodShare), maxRecentBlocks),
+		byAnyRouter:  sightings.NewWindowCounter[prefixcache.Key](period(usedPeriodShare), maxRecentBlocks),
+		byThisRouter: sightings.NewWindowCounter[prefixcache.Key](period(usedPeriodShare), maxRecentBlocks),
+		announced:    sightings.NewWindowCounter[blockLocation](period(announcedPeriodShare), maxRecentBlocks),
 	}
 }
 
 // isCurrent reports whether this router knows what the others send. If not, it goes by the homes of prefixes.
-func (r *recentBlocks) isCurrent(now time.Time) bool { return r != nil && r.options.Alive(now) }
+func (r *recentBlocks) isCurrent(now time.Time) bool { return r != nil && r.options.IsCurrent(now) }
 
 // frequentDepth counts the leading blocks that this router sends so often that every instance may as well prefill them:
 // requests with them will soon reach each instance anyway.
@@ -104,8 +104,8 @@
 	}
 }
 
-// TakeSightings records the sightings of other routers.
-func (s *Selector) TakeSightings(now time.Time, list []sightings.Sighting) {
+// RecordRemoteSightings records the sightings of other routers.
+func (s *Selector) RecordRemoteSightings(now time.Time, list []sightings.Sighting) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	if s.recentBlocks == nil {
@@ -122,7 +122,7 @@
 func (s *Selector) applySightings(list []sightings.Sighting) {
 	for _, sighting := range list {
 		if t := s.byHash[sighting.Instance]; t != nil && t.cache != nil {
-			t.cache.Heard(sighting.Block, sighting.Tokens)
+			t.cache.RecordRemoteUse(sighting.Block, sighting.Tokens)
 		}
 	}
 }
--- a/internal/router/selection/sightings_test.go
+++ b/internal/router/selection/sightings_test.go
@@ -24,10 +24,10 @@
 func newSightingFixture(ids ...string) *sightingFixture {
 	fixture := &sightingFixture{alive: true}
 	fixture.selector = New(Options{Zone: "z", Sightings: &SightingOptions{
-		Announce: func(sighting sightings.Sighting) { fixture.announced = append(fixture.announced, sighting) },
-		Alive:    func(time.Time) bool { return fixture.alive },
-		Recent:   func(time.Time) []sightings.Sighting { return fixture.announced },
-		Again:    testDuplicateWindow,
+		Announce:        func(sighting sightings.Sighting) { fixture.announced = append(fixture.announced, sighting) },
+		IsCurrent:       func(time.Time) bool { return fixture.alive },
+		Recent:          func(time.Time) []sightings.Sighting { return fixture.announced },
+		DuplicateWindow: testDuplicateWindow,
 	}})
 	fixture.selector.SetBackends(map[string]BackendConfig{"b": engineConfig})
 	fixture.selector.SetInstances(zonedSnapshot(ids...))
@@ -56,8 +56,8 @@
 
 func sightingAt(id string, chain uint64) sightings.Sighting {
 	return sightings.Sighting{
-		Instance: prefixcache.HashModel(id),
-		Block:    prefixcache.KeyOf(prefixcache.HashModel("m"), chain),
+		Instance: prefixcache.HashName(id),
+		Block:    prefixcache.KeyOf(prefixcache.HashName("m"), chain),
 		Tokens:   4000,
 	}
 }
@@ -65,7 +65,7 @@
 func TestBlockIsSentToTheInstanceThatCachesIt(t *testing.T) {
 	fixture := newSightingFixture("a", "c", "X", "Y")
 	for chain := range uint64(20) {
-		fixture.selector.TakeSightings(testStart, []sightings.Sighting{sightingAt("Y", chain)})
+		fixture.selector.RecordRemoteSightings(testStart, []sightings.Sighting{sightingAt("Y", chain)})
 		assert.Equal(t, fixture.send(t, chain, chain, testStart), "Y")
 	}
 }
@@ -83,13 +83,13 @@
 // another zone: a second prefill after that time is no duplicate work.
 func TestOldSightingDoesNotOutweighZoneCost(t *testing.T) {
 	fixture := newSightingFixture("a", "Y")
-	fixture.selector.TakeSightings(testStart, []sightings.Sighting{sightingAt("Y", 1)})
+	fixture.selector.RecordRemoteSightings(testStart, []sightings.Sighting{sightingAt("Y", 1)})
 	request := engineRequest(1, 1, testStart.Add(2*testDuplicateWindow))
 	request.Bytes = 1 << 20
 	assert.Equal(t, mustSelect(t, fixture.selector, request).Instance().ID, "a")
 	request.Now = testStart.Add(testDuplicateWindow / 2)
 	fresh := newSightingFixture("a", "Y")
-	fresh.selector.TakeSightings(testStart, []sightings.Sighting{sightingAt("Y", 1)})
+	fresh.selector.RecordRemoteSightings(testStart, []sightings.Sighting{sightingAt("Y", 1)})
 	request.Bytes = 0
 	assert.Equal(t, mustSelect(t, fresh.selector, request).Instance().ID, "Y")
 }
@@ -115,7 +115,7 @@
 	assert.DeepEqual(t, fixture.announced, []sightings.Sighting{sightingAt("a", 1)})
 	fixture.send(t, 1, 3, testStart.Add(testDuplicateWindow/2))
 	assert.Equal(t, len(fixture.announced), 2)
-	fixture.selector.TakeSightings(testStart, []sightings.Sighting{sightingAt("a", 2)})
+	fixture.selector.RecordRemoteSightings(testStart, []sightings.Sighting{sightingAt("a", 2)})
 	fixture.send(t, 2, 1, testStart)
 	assert.Equal(t, len(fixture.announced), 2, "the other routers know it already")
 }
@@ -141,7 +141,7 @@
 	s.options.Detector = constantDetector{burst: true}
 	s.isBurst = true
 	for chain := range uint64(30) {
-		s.TakeSightings(testStart, []sightings.Sighting{sightingAt("c", chain)})
+		s.RecordRemoteSightings(testStart, []sightings.Sighting{sightingAt("c", chain)})
 		assert.Equal(t, fixture.send(t, chain, chain, testStart), "c")
 	}
 }
@@ -151,7 +151,7 @@
 func TestSightingsApplyToInstancesAddedLater(t *testing.T) {
 	fixture := newSightingFixture("a")
 	fixture.announced = []sightings.Sighting{sightingAt("Y", 1)}
-	fixture.selector.TakeSightings(testStart, fixture.announced)
+	fixture.selector.RecordRemoteSightings(testStart, fixture.announced)
 	fixture.selector.SetInstances(zonedSnapshot("a", "Y"))
 	assert.Equal(t, fixture.send(t, 1, 1, testStart), "Y")
 }
--- a/internal/router/selection/streamset_test.go
+++ b/internal/router/selection/streamset_test.go
@@ -200,7 +200,7 @@
 func TestPopularPrefixGetsMoreHomes(t *testing.T) {
 	p := newPopularity()
 	hot := Request{Prefix: []prefixcache.Block{{ID: 1, Tokens: 100}, {ID: 2, Tokens: 5}}, Now: testStart}
-	key, _ := prefixcache.HomeKey(prefixcache.HashModel(""), hot.Prefix)
+	key, _ := prefixcache.HomeKey(prefixcache.HashName(""), hot.Prefix)
 	assert.Equal(t, p.homeCount(testStart, key, 48), 1, "no request yet")
 	p.record(&hot)
 	assert.Equal(t, p.homeCount(testStart, key, 48), 1, "a single request")
--- a/internal/router/selection/target.go
+++ b/internal/router/selection/target.go
@@ -36,7 +36,7 @@
 }
 
 func newTarget(id string) *target {
-	hash := prefixcache.HashModel(id)
+	hash := prefixcache.HashName(id)
 	return &target{hash: hash, homeHash: hash, canBeHome: true, slowness: 1}
 }
 
--- a/internal/router/settings/settings.go
+++ b/internal/router/settings/settings.go
@@ -106,8 +106,8 @@
 // ServesTo reports whether the process serves the given kind of callers: ServesEdge or ServesControl.
 func (s *Settings) ServesTo(audience string) bool { return slices.Contains(s.Serves, audience) }
 
-// Acceptor reports whether the process holds a replica of the configuration register.
-func (s *Settings) Acceptor() bool {
+// IsAcceptor reports whether the process holds a replica of the configuration register.
+func (s *Settings) IsAcceptor() bool {
 	return s.CountsForQuorum && s.DataDir != "" && s.ServesTo(ServesControl)
 }
 
--- a/internal/router/settings/settings_test.go
+++ b/internal/router/settings/settings_test.go
@@ -43,7 +43,7 @@
 	assert.Equal(t, s.Bounds.GraceS, 7.0)
 	assert.Equal(t, s.Bounds.QuotaSlack, 90000.0)
 	assert.Equal(t, s.HeartbeatMs, 900)
-	assert.Assert(t, s.Bootstrap && s.Acceptor())
+	assert.Assert(t, s.Bootstrap && s.IsAcceptor())
 }
 
 func TestFaultsNameTheirKeys(t *testing.T) {
--- a/internal/router/shares/coordination.go
+++ b/internal/router/shares/coordination.go
@@ -84,8 +84,8 @@
 	}
 	c.ensureCoordinators(now, rules, uint64(term))
 	return exchangeAnswer{
-		Quota: c.quota.Report(now, report.Node, report.Quota),
-		Retry: c.retries.Report(now, report.Node, report.Retry),
+		Quota: c.quota.HandleReport(now, report.Node, report.Quota),
+		Retry: c.retries.HandleReport(now, report.Node, report.Retry),
 	}, true
 }
 
@@ -99,7 +99,7 @@
 		c.quota.AssumeIdle(now)
 	}
 	c.quota.SetLimits(now, c.limits)
-	c.quota.SetKeepers(c.floorKeepers)
+	c.quota.SetFloorKeepers(c.floorKeepers)
 	c.quota.SetRouters(now, c.liveRouters, c.departedRouters)
 	c.retries = retrybudget.NewCoordinator(now, rules.retry, term)
 }
--- a/internal/router/shares/exchangeloop.go
+++ b/internal/router/shares/exchangeloop.go
@@ -57,7 +57,7 @@
 	}
 	s.apply(*reply.Answer)
 	if confirmation := reply.Answer.Confirmation; confirmation != nil && s.options.Confirmations != nil {
-		s.options.Confirmations.Take(askedAt, *confirmation)
+		s.options.Confirmations.Add(askedAt, *confirmation)
 	}
 	return nil
 }
@@ -68,7 +68,7 @@
 	s.setKnownCoordinator(coordinator)
 	s.local.Lock()
 	defer s.local.Unlock()
-	s.local.admission.Lost()
+	s.local.admission.ReportLost()
 }
 
 func (s *Shares) makeReport() exchangeReport {
@@ -77,8 +77,8 @@
 	now := s.now()
 	return exchangeReport{
 		Node:  s.options.Node,
-		Quota: s.local.admission.Demand(now),
-		Retry: s.local.budget.Demand(now),
+		Quota: s.local.admission.NextReport(now),
+		Retry: s.local.budget.NextReport(now),
 	}
 }
 
@@ -87,10 +87,10 @@
 	s.local.Lock()
 	defer s.local.Unlock()
 	now := s.now()
-	s.local.admission.Apply(now, result.Quota)
-	s.local.budget.Apply(now, result.Retry)
-	s.wakeExchangeIf(s.local.admission.Urgent())
-	if s.local.admission.Unkept() != nil {
+	s.local.admission.ApplyAnswer(now, result.Quota)
+	s.local.budget.ApplyAnswer(now, result.Retry)
+	s.wakeExchangeIf(s.local.admission.TakeUrgent())
+	if s.local.admission.PendingFloors() != nil {
 		s.wakeFloors()
 	}
 }
--- a/internal/router/shares/explore_test.go
+++ b/internal/router/shares/explore_test.go
@@ -174,8 +174,8 @@
 		coordinator.quota.SetLimits(model.now, map[string]quota.Limit{testTenant: modelLimit})
 	}
 	coordinator.quota.SetRouters(model.now, len(model.routers), 0)
-	answer := coordinator.quota.Report(model.now, reporter.name, reporter.admission.Demand(model.now))
-	reporter.admission.Apply(model.now, answer)
+	answer := coordinator.quota.HandleReport(model.now, reporter.name, reporter.admission.NextReport(model.now))
+	reporter.admission.ApplyAnswer(model.now, answer)
 	return true
 }
 
--- a/internal/router/shares/fleet_test.go
+++ b/internal/router/shares/fleet_test.go
@@ -71,7 +71,7 @@
 }
 
 // holds reports whether the router considers itself the coordinator.
-func (r *router) holds() bool { return r.shares.Holds() }
+func (r *router) holds() bool { return r.shares.IsCoordinator() }
 
 func newFleet(voters int) *fleet {
 	f := &fleet{routers: map[string]*router{}, isolated: map[string]bool{}, newcomers: map[string]bool{}}
@@ -92,18 +92,18 @@
 	ctx, stop := context.WithCancel(context.Background())
 	r := &router{address: address, stop: stop, stopped: make(chan struct{})}
 	r.shares = New(Options{
-		Node:            address,
-		Address:         address,
-		Bounds:          testBounds,
-		Caller:          &caller{fleet: f, from: address},
-		Log:             log,
-		Clock:           steadyclock.NewWithSource(r.bootTime),
-		Grantors:        f.grantors,
-		GrantorsKnown:   func() bool { return true },
-		GrantorsSettled: f.grantorsSettled,
-		Relays:          f.getRelays,
-		Routers:         func() FleetSize { return f.size(address) },
-		MayCoordinate:   true,
+		Node:                     address,
+		Address:                  address,
+		Bounds:                   testBounds,
+		Caller:                   &caller{fleet: f, from: address},
+		Log:                      log,
+		Clock:                    steadyclock.NewWithSource(r.bootTime),
+		Grantors:                 f.grantors,
+		OnlyCurrentGrantorsKnown: func() bool { return true },
+		GrantorsSettled:          f.grantorsSettled,
+		Relays:                   f.getRelays,
+		Routers:                  func() FleetSize { return f.size(address) },
+		MayCoordinate:            true,
 	})
 	r.shares.SetLimits(map[string]quota.Limit{testTenant: testLimit})
 	f.mutex.Lock()
--- a/internal/router/shares/floors.go
+++ b/internal/router/shares/floors.go
@@ -67,7 +67,7 @@
 // saveFloors writes the table that the coordinator wants stored, if any, and triggers a report that confirms it.
 func (s *Shares) saveFloors() error {
 	s.local.Lock()
-	table := s.local.admission.Unkept()
+	table := s.local.admission.PendingFloors()
 	s.local.Unlock()
 	if table == nil {
 		return nil
@@ -88,7 +88,7 @@
 func (s *Shares) confirmFloors(table quota.FloorTable) {
 	s.local.Lock()
 	defer s.local.Unlock()
-	s.local.admission.Keep(s.options.Address, table)
+	s.local.admission.SetKeptFloors(s.options.Address, table)
 }
 
 // wakeFloors makes runFloors save the table that the coordinator wants stored.
--- a/internal/router/shares/handle.go
+++ b/internal/router/shares/handle.go
@@ -62,7 +62,7 @@
 	if s.options.Confirmations == nil {
 		return nil
 	}
-	confirmation, ok := s.options.Confirmations.Tell()
+	confirmation, ok := s.options.Confirmations.Latest()
 	if !ok {
 		return nil
 	}
--- a/internal/router/shares/leaseloop.go
+++ b/internal/router/shares/leaseloop.go
@@ -60,7 +60,7 @@
 
 // refreshGrantors applies the acceptors in force, and returns the ones that act as grantors. All acceptors store quota floors.
 func (s *Shares) refreshGrantors() []string {
-	known, settled := s.options.GrantorsKnown(), s.options.GrantorsSettled()
+	known, settled := s.options.OnlyCurrentGrantorsKnown(), s.options.GrantorsSettled()
 	voters, previous := s.options.Grantors()
 	grantors, previousGrantors := lease.OddSubset(voters), lease.OddSubset(previous)
 	s.coordination.Lock()
@@ -68,10 +68,10 @@
 	s.coordination.grantor.SetGrantors(grantors, previousGrantors)
 	s.coordination.candidate.SetGrantors(s.now(), grantors, previousGrantors)
 	s.coordination.candidate.AllowProof(settled && len(previous) == 0)
-	s.coordination.candidate.SetGrantorsKnown(known)
+	s.coordination.candidate.SetOnlyCurrentGrantorsKnown(known)
 	s.coordination.floorKeepers = voters
 	if s.coordination.quota != nil {
-		s.coordination.quota.SetKeepers(voters)
+		s.coordination.quota.SetFloorKeepers(voters)
 	}
 	return grantors
 }
--- a/internal/router/shares/shares.go
+++ b/internal/router/shares/shares.go
@@ -46,8 +46,8 @@
 	Clock *steadyclock.Clock
 	// Grantors returns the addresses of the acceptors in force and, during a joint change, of the previous ones.
 	Grantors func() (voters, previous []string)
-	// GrantorsKnown reports whether this process, its disk included, knows of no acceptors other than those in force.
-	GrantorsKnown func() bool
+	// OnlyCurrentGrantorsKnown reports whether this process, its disk included, knows of no acceptors other than those in force.
+	OnlyCurrentGrantorsKnown func() bool
 	// GrantorsSettled reports whether the acceptors have been in force at their addresses for so long that no lease can
 	// depend on earlier ones.
 	GrantorsSettled func() bool
@@ -65,10 +65,10 @@
 
 // Confirmations provides the configuration confirmations that the coordinator sends to all routers, each with its age.
 type Confirmations interface {
-	// Tell returns the confirmation that this router sends as the coordinator; false if it has none.
-	Tell() (configlease.Confirmation, bool)
-	// Take receives a confirmation of the coordinator. The call that it answers began at askedAt by Options.Clock.
-	Take(askedAt time.Duration, confirmation configlease.Confirmation)
+	// Latest returns the confirmation that this router sends as the coordinator; false if it has none.
+	Latest() (configlease.Confirmation, bool)
+	// Add receives a confirmation of the coordinator. The call that it answers began at askedAt by Options.Clock.
+	Add(askedAt time.Duration, confirmation configlease.Confirmation)
 }
 
 // FleetSize is the number of routers in the fleet as one of them knows it.
@@ -155,9 +155,9 @@
 	}
 	s.local.Lock()
 	defer s.local.Unlock()
-	s.local.admission.Learn(tenant, limit)
+	s.local.admission.AddLimit(tenant, limit)
 	ok, retryAfter := s.local.admission.Admit(s.sinceStart(now), tenant, amount)
-	s.wakeExchangeIf(s.local.admission.Urgent())
+	s.wakeExchangeIf(s.local.admission.TakeUrgent())
 	return ok, retryAfter
 }
 
@@ -192,7 +192,7 @@
 	s.local.Lock()
 	defer s.local.Unlock()
 	allowed := s.local.budget.Allow(s.sinceStart(now), service)
-	s.wakeExchangeIf(s.local.budget.Urgent())
+	s.wakeExchangeIf(s.local.budget.TakeUrgent())
 	return allowed
 }
 
--- a/internal/router/sightings/benchmark_test.go
+++ b/internal/router/sightings/benchmark_test.go
@@ -36,12 +36,12 @@
 
 // BenchmarkKeeper adds a batch of sightings in each interval.
 func BenchmarkKeeper(b *testing.B) {
-	k := NewKeeper(time.Second)
+	k := NewStore(time.Second)
 	all := benchmarkSightings(200)
 	now := time.Unix(1000, 0)
 	for b.Loop() {
 		now = now.Add(flushInterval)
-		k.Note(now, all)
+		k.Add(now, all)
 	}
 	b.ReportMetric(float64(b.Elapsed().Nanoseconds())/float64(b.N*len(all)), "ns/sighting")
 }
--- a/internal/router/sightings/exchange.go
+++ b/internal/router/sightings/exchange.go
@@ -34,8 +34,8 @@
 	Kind      transport.Kind
 	Messenger transport.Messenger
 	View      func() *membership.View
-	// Take receives the sightings of all routers, which may include this router's own.
-	Take func(now time.Time, sightings []Sighting)
+	// OnReceive receives the sightings of all routers, which may include this router's own.
+	OnReceive func(now time.Time, sightings []Sighting)
 	// Recent returns the recent sightings, which are sent to routers that have just started.
 	Recent func(now time.Time) []Sighting
 	Log    logrus.FieldLogger
@@ -53,9 +53,9 @@
 	remotePending  []Sighting
 	lastActiveAt   time.Time
 	lastReceivedAt time.Time
-	// informed means that this router has the sightings from before its start, from disk or from another router, or
+	// synchronized means that this router has the sightings from before its start, from disk or from another router, or
 	// that it has stopped waiting for them.
-	informed bool
+	synchronized bool
 }
 
 // NewExchange returns an exchange without any sightings.
@@ -76,32 +76,32 @@
 // Restore passes sightings that an earlier process has saved to this router and the others.
 func (e *Exchange) Restore(saved []Sighting) {
 	e.receive(saved)
-	e.SetInformed()
+	e.SetSynchronized()
 	e.mutex.Lock()
 	defer e.mutex.Unlock()
 	e.ownPending = appendBounded(e.ownPending, saved...)
 }
 
-// SetInformed ends the wait for the sightings from before this router's start.
-func (e *Exchange) SetInformed() {
+// SetSynchronized ends the wait for the sightings from before this router's start.
+func (e *Exchange) SetSynchronized() {
 	e.mutex.Lock()
 	defer e.mutex.Unlock()
-	e.informed = true
+	e.synchronized = true
 }
 
-// Informed reports whether the wait for the sightings from before this router's start is over.
-func (e *Exchange) Informed() bool {
+// Synchronized reports whether the wait for the sightings from before this router's start is over.
+func (e *Exchange) Synchronized() bool {
 	e.mutex.Lock()
 	defer e.mutex.Unlock()
-	return e.informed
+	return e.synchronized
 }
 
-// Alive reports whether this router knows the recent sightings of all routers: the wait for those from before its start
+// IsCurrent reports whether this router knows the recent sightings of all routers: the wait for those from before its start
 // is over, and it has received a message within aliveTimeout.
-func (e *Exchange) Alive(now time.Time) bool {
+func (e *Exchange) IsCurrent(now time.Time) bool {
 	e.mutex.Lock()
 	defer e.mutex.Unlock()
-	return e.informed && !e.lastReceivedAt.IsZero() && now.Sub(e.lastReceivedAt) < aliveTimeout
+	return e.synchronized && !e.lastReceivedAt.IsZero() && now.Sub(e.lastReceivedAt) < aliveTimeout
 }
 
 // Handle handles a message from another router.
@@ -119,12 +119,12 @@
 		e.relayToChildren(body)
 		e.receive(received)
 	case recentRequest:
-		if e.Informed() {
+		if e.Synchronized() {
 			e.send(m.From, recentResponse, e.options.Recent(time.Now()))
 		}
 	case recentResponse:
 		e.receive(received)
-		e.SetInformed()
+		e.SetSynchronized()
 	}
 	return nil, nil
 }
@@ -141,7 +141,7 @@
 	e.mutex.Lock()
 	e.lastReceivedAt = now
 	e.mutex.Unlock()
-	e.options.Take(now, received)
+	e.options.OnReceive(now, received)
 }
 
 // requestRecent requests the sightings from before this router's start from a random router of its zone and a random
@@ -152,7 +152,7 @@
 	inZone := slices.DeleteFunc(slices.Clone(view.InZone(self.Zone)), isSelf)
 	all := slices.DeleteFunc(slices.Clone(view.Live()), isSelf)
 	if len(all) == 0 {
-		e.SetInformed()
+		e.SetSynchronized()
 		return
 	}
 	body, err := encodeFrom(self.Address, recentRequest, nil)
@@ -172,7 +172,7 @@
 func (e *Exchange) flush(now time.Time) {
 	view := e.options.View()
 	self := view.Self()
-	if !e.Informed() {
+	if !e.Synchronized() {
 		e.requestRecent(view)
 	}
 	collector, found := relaytree.Head(view, self.Zone, treeName)
@@ -235,7 +235,7 @@
 }
 
 func (e *Exchange) relayToChildren(body []byte) {
-	for _, child := range relaytree.Below(e.options.View(), treeName, e.options.Node) {
+	for _, child := range relaytree.ChildrenInZone(e.options.View(), treeName, e.options.Node) {
 		e.options.Messenger.Send(child.Address, e.options.Kind, body)
 	}
 }
--- a/internal/router/sightings/exchange_test.go
+++ b/internal/router/sightings/exchange_test.go
@@ -34,7 +34,7 @@
 
 type testRouter struct {
 	exchange *Exchange
-	keeper   *Keeper
+	keeper   *Store
 	stop     context.CancelFunc
 }
 
@@ -52,12 +52,12 @@
 func (f *fleet) start(node string) {
 	log := logrus.New()
 	log.SetOutput(io.Discard)
-	r := &testRouter{keeper: NewKeeper(time.Minute)}
+	r := &testRouter{keeper: NewStore(time.Minute)}
 	r.exchange = NewExchange(Options{
 		Node:      node,
 		Messenger: f,
 		View:      func() *membership.View { return f.view(node) },
-		Take:      r.keeper.Note,
+		OnReceive: r.keeper.Add,
 		Recent:    r.keeper.Recent,
 		Log:       log,
 	})
@@ -121,7 +121,7 @@
 // informAll ends the wait of the routers for sightings from before their start: they are the first to start.
 func (f *fleet) informAll() {
 	for _, r := range f.routers {
-		r.exchange.SetInformed()
+		r.exchange.SetSynchronized()
 	}
 }
 
@@ -155,7 +155,7 @@
 		time.Sleep(propagationTime)
 		for _, node := range f.nodes {
 			assert.Equal(t, len(f.routers[node].keeper.Recent(time.Now())), len(f.nodes), "%s", node)
-			assert.Assert(t, f.routers[node].exchange.Alive(time.Now()))
+			assert.Assert(t, f.routers[node].exchange.IsCurrent(time.Now()))
 		}
 	})
 }
@@ -187,7 +187,7 @@
 	withFleet(t, 9, func(t *testing.T, f *fleet) {
 		time.Sleep(time.Minute)
 		assert.Equal(t, len(f.messages), 0)
-		assert.Assert(t, !f.routers[f.nodes[0]].exchange.Alive(time.Now()), "no router has sent anything")
+		assert.Assert(t, !f.routers[f.nodes[0]].exchange.IsCurrent(time.Now()), "no router has sent anything")
 	})
 }
 
@@ -218,11 +218,11 @@
 		f.kill(f.nodes[5])
 		f.start(f.nodes[5])
 		restarted := f.routers[f.nodes[5]]
-		assert.Assert(t, !restarted.exchange.Informed())
-		assert.Assert(t, !restarted.exchange.Alive(time.Now()))
+		assert.Assert(t, !restarted.exchange.Synchronized())
+		assert.Assert(t, !restarted.exchange.IsCurrent(time.Now()))
 		time.Sleep(2 * flushInterval)
-		assert.Assert(t, restarted.exchange.Informed())
-		assert.Assert(t, restarted.exchange.Alive(time.Now()))
+		assert.Assert(t, restarted.exchange.Synchronized())
+		assert.Assert(t, restarted.exchange.IsCurrent(time.Now()))
 		assert.Assert(t, restarted.knows(sightingOf(1)))
 	})
 }
@@ -235,12 +235,12 @@
 		defer f.stopAll()
 		time.Sleep(10 * flushInterval)
 		for node, r := range f.routers {
-			assert.Assert(t, !r.exchange.Informed(), "%s was informed by a router that has no sightings", node)
+			assert.Assert(t, !r.exchange.Synchronized(), "%s was informed by a router that has no sightings", node)
 		}
 		f.routers[f.nodes[3]].exchange.Restore([]Sighting{sightingOf(1)})
 		time.Sleep(10 * flushInterval)
 		for node, r := range f.routers {
-			assert.Assert(t, r.exchange.Informed(), "%s", node)
+			assert.Assert(t, r.exchange.Synchronized(), "%s", node)
 			assert.Assert(t, r.knows(sightingOf(1)), "%s", node)
 		}
 	})
@@ -251,7 +251,7 @@
 		f := newFleet(1)
 		defer f.stopAll()
 		time.Sleep(2 * flushInterval)
-		assert.Assert(t, f.routers[f.nodes[0]].exchange.Informed())
+		assert.Assert(t, f.routers[f.nodes[0]].exchange.Synchronized())
 	})
 }
 
--- a/internal/router/sightings/keeper.go
+++ b/internal/router/sightings/store.go
@@ -19,21 +19,21 @@
 	maxSaved = 1 << 13
 )
 
-// Keeper saves recent sightings on disk. If all routers restart at once, no running router can tell them which blocks
+// Store saves recent sightings on disk. If all routers restart at once, no running router can tell them which blocks
 // the instances have computed shortly before. It is safe for concurrent use.
-type Keeper struct {
+type Store struct {
 	mutex   sync.Mutex
-	recent  *Recent[Sighting]
+	recent  *WindowCounter[Sighting]
 	changed bool
 }
 
-// NewKeeper returns a keeper that forgets sightings when they are between one and two periods old.
-func NewKeeper(period time.Duration) *Keeper {
-	return &Keeper{recent: NewRecent[Sighting](period, maxSaved)}
+// NewStore returns a keeper that forgets sightings when they are between one and two periods old.
+func NewStore(period time.Duration) *Store {
+	return &Store{recent: NewWindowCounter[Sighting](period, maxSaved)}
 }
 
-// Note adds sightings.
-func (k *Keeper) Note(now time.Time, sightings []Sighting) {
+// Add adds sightings.
+func (k *Store) Add(now time.Time, sightings []Sighting) {
 	k.mutex.Lock()
 	defer k.mutex.Unlock()
 	for _, sighting := range sightings {
@@ -43,7 +43,7 @@
 }
 
 // Recent returns the recent sightings.
-func (k *Keeper) Recent(now time.Time) []Sighting {
+func (k *Store) Recent(now time.Time) []Sighting {
 	k.mutex.Lock()
 	defer k.mutex.Unlock()
 	return k.recent.Members(now)
@@ -51,8 +51,8 @@
 
 // Run passes the sightings that an earlier process has saved to restore, and then saves new ones until the context is
 // canceled. If the disk fails or hangs, sightings don't survive a restart; nothing else is affected.
-func (k *Keeper) Run(ctx context.Context, directory string, restore func([]Sighting), log logrus.FieldLogger) {
-	folder, err := disk.OpenFolder(directory)
+func (k *Store) Run(ctx context.Context, directory string, restore func([]Sighting), log logrus.FieldLogger) {
+	folder, err := disk.OpenDirectory(directory)
 	if err != nil {
 		log.WithError(err).Info("sightings of prompt blocks aren't kept across restarts")
 		return
@@ -81,7 +81,7 @@
 	restore(saved)
 }
 
-func (k *Keeper) save(to *disk.Disk, now time.Time) error {
+func (k *Store) save(to *disk.Disk, now time.Time) error {
 	list, changed := k.snapshot(now)
 	if !changed {
 		return nil
@@ -94,7 +94,7 @@
 }
 
 // snapshot returns the recent sightings if any were added since the last call; otherwise changed is false.
-func (k *Keeper) snapshot(now time.Time) (list []Sighting, changed bool) {
+func (k *Store) snapshot(now time.Time) (list []Sighting, changed bool) {
 	k.mutex.Lock()
 	defer k.mutex.Unlock()
 	changed = k.changed
--- a/internal/router/sightings/keeper_test.go
+++ b/internal/router/sightings/store_test.go
@@ -14,7 +14,7 @@
 )
 
 // runKeeper runs a keeper for the given time and returns the restored sightings, and whether restore was called.
-func runKeeper(t *testing.T, k *Keeper, directory string, span time.Duration) (restored []Sighting, called bool) {
+func runKeeper(t *testing.T, k *Store, directory string, span time.Duration) (restored []Sighting, called bool) {
 	t.Helper()
 	log := logrus.New()
 	log.SetOutput(io.Discard)
@@ -27,11 +27,11 @@
 func TestSightingsSurviveARestart(t *testing.T) {
 	directory := filepath.Join(t.TempDir(), "sightings")
 	synctest.Test(t, func(t *testing.T) {
-		first := NewKeeper(time.Minute)
-		first.Note(time.Now(), []Sighting{sightingOf(1), sightingOf(2)})
+		first := NewStore(time.Minute)
+		first.Add(time.Now(), []Sighting{sightingOf(1), sightingOf(2)})
 		_, called := runKeeper(t, first, directory, 3*saveInterval)
 		assert.Assert(t, !called, "there was nothing to restore")
-		restored, _ := runKeeper(t, NewKeeper(time.Minute), directory, saveInterval/2)
+		restored, _ := runKeeper(t, NewStore(time.Minute), directory, saveInterval/2)
 		assert.Equal(t, len(restored), 2)
 	})
 }
@@ -39,8 +39,8 @@
 func TestAnUnchangedKeeperDoesNotWrite(t *testing.T) {
 	directory := filepath.Join(t.TempDir(), "sightings")
 	synctest.Test(t, func(t *testing.T) {
-		k := NewKeeper(time.Minute)
-		k.Note(time.Now(), []Sighting{sightingOf(1)})
+		k := NewStore(time.Minute)
+		k.Add(time.Now(), []Sighting{sightingOf(1)})
 		runKeeper(t, k, directory, 3*saveInterval)
 		before, err := os.ReadDir(directory)
 		assert.NilError(t, err)
@@ -54,7 +54,7 @@
 
 func TestAKeeperWithoutADiskRestoresNothing(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		_, called := runKeeper(t, NewKeeper(time.Minute), "/dev/null/none", 3*saveInterval)
+		_, called := runKeeper(t, NewStore(time.Minute), "/dev/null/none", 3*saveInterval)
 		assert.Assert(t, !called)
 	})
 }
--- a/internal/router/sightings/recent.go
+++ b/internal/router/sightings/windowcounter.go
@@ -6,9 +6,9 @@
 	"time"
 )
 
-// Recent counts how often each member was added recently. It counts everything added within the last period and nothing
+// WindowCounter counts how often each member was added recently. It counts everything added within the last period and nothing
 // older than two periods. The number of members is limited. It is not safe for concurrent use.
-type Recent[K comparable] struct {
+type WindowCounter[K comparable] struct {
 	period   time.Duration
 	limit    int
 	rotateAt time.Time
@@ -16,13 +16,13 @@
 	previous map[K]int
 }
 
-// NewRecent returns a Recent that holds at most limit members.
-func NewRecent[K comparable](period time.Duration, limit int) *Recent[K] {
-	return &Recent[K]{period: period, limit: limit, current: map[K]int{}}
+// NewWindowCounter returns a Recent that holds at most limit members.
+func NewWindowCounter[K comparable](period time.Duration, limit int) *WindowCounter[K] {
+	return &WindowCounter[K]{period: period, limit: limit, current: map[K]int{}}
 }
 
 // Add increments the count of a member. If the limit is reached, the older half of the members is dropped.
-func (r *Recent[K]) Add(now time.Time, member K) {
+func (r *WindowCounter[K]) Add(now time.Time, member K) {
 	r.rotateIfDue(now)
 	if len(r.current) >= r.limit/2 {
 		r.rotate()
@@ -31,16 +31,16 @@
 }
 
 // Count returns how often a member was added recently.
-func (r *Recent[K]) Count(now time.Time, member K) int {
+func (r *WindowCounter[K]) Count(now time.Time, member K) int {
 	r.rotateIfDue(now)
 	return r.current[member] + r.previous[member]
 }
 
 // Has reports whether a member was added recently.
-func (r *Recent[K]) Has(now time.Time, member K) bool { return r.Count(now, member) > 0 }
+func (r *WindowCounter[K]) Has(now time.Time, member K) bool { return r.Count(now, member) > 0 }
 
 // Members returns the recently added members in no particular order.
-func (r *Recent[K]) Members(now time.Time) []K {
+func (r *WindowCounter[K]) Members(now time.Time) []K {
 	r.rotateIfDue(now)
 	members := slices.Collect(maps.Keys(r.current))
 	for member := range r.previous {
@@ -51,7 +51,7 @@
 	return members
 }
 
-func (r *Recent[K]) rotateIfDue(now time.Time) {
+func (r *WindowCounter[K]) rotateIfDue(now time.Time) {
 	if now.Before(r.rotateAt) {
 		return
 	}
@@ -64,7 +64,7 @@
 	r.rotateAt = now.Add(r.period)
 }
 
-func (r *Recent[K]) rotate() {
+func (r *WindowCounter[K]) rotate() {
 	r.previous = r.current
 	r.current = make(map[K]int, len(r.previous))
 }
--- a/internal/router/sightings/recent_test.go
+++ b/internal/router/sightings/windowcounter_test.go
@@ -31,7 +31,7 @@
 // TestRecentForgetsBetweenOneAndTwoPeriods compares the counts with the bounds that the reference implementation gives.
 func TestRecentForgetsBetweenOneAndTwoPeriods(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		recent := NewRecent[int](testPeriod, 1<<20)
+		recent := NewWindowCounter[int](testPeriod, 1<<20)
 		var reference referenceRecent
 		now := testStart
 		members := rapid.IntRange(0, 4)
@@ -67,7 +67,7 @@
 
 func TestRecentIsBounded(t *testing.T) {
 	const limit = 100
-	recent := NewRecent[int](time.Hour, limit)
+	recent := NewWindowCounter[int](time.Hour, limit)
 	for member := range 10 * limit {
 		recent.Add(testStart, member)
 		assert.Assert(t, len(recent.Members(testStart)) <= limit)
--- a/internal/router/softstate/record.go
+++ b/internal/router/softstate/record.go
@@ -27,8 +27,8 @@
 	return cmp.Compare(v.Sequence, other.Sequence)
 }
 
-// Zero reports whether the version is unset.
-func (v Version) Zero() bool { return v.Epoch == 0 && v.Sequence == 0 }
+// IsZero reports whether the version is unset.
+func (v Version) IsZero() bool { return v.Epoch == 0 && v.Sequence == 0 }
 
 // Next returns the smallest version after v within its epoch.
 func (v Version) Next() Version { return Version{Epoch: v.Epoch, Sequence: v.Sequence + 1} }
--- a/internal/router/softstate/table.go
+++ b/internal/router/softstate/table.go
@@ -155,8 +155,8 @@
 	return list
 }
 
-// Learned returns the time at which the record of a key was merged.
-func (t *Table) Learned(id ID) (at time.Time, known bool) {
+// MergedAt returns the time at which the record of a key was merged.
+func (t *Table) MergedAt(id ID) (at time.Time, known bool) {
 	e := t.lookup(id)
 	if e == nil {
 		return time.Time{}, false
@@ -164,8 +164,8 @@
 	return e.mergedAt, true
 }
 
-// Passed reports whether the table had the hash after one of its latest changes.
-func (t *Table) Passed(hash uint64) bool { return slices.Contains(t.recentHashes[:], hash) }
+// HadRecentHash reports whether the table had the hash after one of its latest changes.
+func (t *Table) HadRecentHash(hash uint64) bool { return slices.Contains(t.recentHashes[:], hash) }
 
 // LastChange returns the time at which a record was last merged.
 func (t *Table) LastChange() time.Time { return t.lastChange }
--- a/internal/router/status/status.go
+++ b/internal/router/status/status.go
@@ -55,8 +55,8 @@
 	ReplicaOpen    Replica = "open"
 	// ReplicaStalled means that a write to the disk has been pending for more than one second.
 	ReplicaStalled Replica = "stalled"
-	// ReplicaRefusing means that the last write to the disk failed.
-	ReplicaRefusing Replica = "refusing"
+	// ReplicaWriteFailed means that the last write to the disk failed.
+	ReplicaWriteFailed Replica = "refusing"
 )
 
 // Shares describes how the quotas and the retry budget are divided among the routers: the coordinator that divides them,
@@ -64,8 +64,8 @@
 type Shares struct {
 	// Coordinator is the transport address of the last known coordinator; empty if none is known.
 	Coordinator string `json:"coordinator"`
-	// Leads reports whether this router is the coordinator.
-	Leads bool `json:"leads"`
+	// IsCoordinator reports whether this router is the coordinator.
+	IsCoordinator bool `json:"leads"`
 	// Term is the last known lease term of the coordinator.
 	Term uint64 `json:"term"`
 	// SilentS is the time since the last response of the coordinator, in seconds; negative if there was none since the
@@ -116,9 +116,9 @@
 	Succeeded    uint64 `json:"succeeded"`
 	ClientErrors uint64 `json:"client_errors"`
 	ServerErrors uint64 `json:"server_errors"`
-	// Broken counts responses that were aborted midway. Gone counts requests whose client disconnected.
-	Broken uint64 `json:"broken"`
-	Gone   uint64 `json:"gone"`
+	// AbortedResponses counts responses that were aborted midway. Gone counts requests whose client disconnected.
+	AbortedResponses  uint64 `json:"broken"`
+	ClientDisconnects uint64 `json:"gone"`
 	// NeverSent, Rejected and MayHaveRun count attempts without a response, by what is known of their execution.
 	NeverSent  uint64 `json:"attempts_never_sent"`
 	Rejected   uint64 `json:"attempts_rejected"`
--- a/internal/router/summary/summary.go
+++ b/internal/router/summary/summary.go
@@ -29,8 +29,8 @@
 // Counts holds the number of requests per result code.
 type Counts map[resultcode.Code]uint64
 
-// Since returns the increase from earlier to now. Codes whose count did not increase are omitted.
-func Since(earlier, now Counts) Counts {
+// Diff returns the increase from earlier to now. Codes whose count did not increase are omitted.
+func Diff(earlier, now Counts) Counts {
 	changes := Counts{}
 	for code, count := range now {
 		if count > earlier[code] {
--- a/internal/router/summary/summary_test.go
+++ b/internal/router/summary/summary_test.go
@@ -15,8 +15,8 @@
 func TestSinceReturnsIncreases(t *testing.T) {
 	earlier := Counts{resultcode.NoRoute: 2, resultcode.QuotaExceeded: 7}
 	now := Counts{resultcode.NoRoute: 2, resultcode.QuotaExceeded: 9, resultcode.NoInstance: 1}
-	assert.DeepEqual(t, Since(earlier, now), Counts{resultcode.QuotaExceeded: 2, resultcode.NoInstance: 1})
-	assert.Equal(t, len(Since(now, now)), 0)
+	assert.DeepEqual(t, Diff(earlier, now), Counts{resultcode.QuotaExceeded: 2, resultcode.NoInstance: 1})
+	assert.Equal(t, len(Diff(now, now)), 0)
 }
 
 func TestFormatOrdersByCode(t *testing.T) {
