--- a/internal/router/balance/choose.go
+++ b/internal/router/balance/choose.go
@@ -4,7 +4,7 @@
 
 import "math"
 
-// Widths set K, the number of candidates among which the pick is uniform, at rest and during a burst.
+// Widths set K, the number of candidates among which the pick is uniform, outside of bursts and during one.
 type Widths struct {
 	Normal      int     // K outside of bursts; the design's ths
 	BurstShare  float64 // K in a burst (the design's thl) as a share of the candidates, rounded up
--- a/internal/router/balance/cost_test.go
+++ b/internal/router/balance/cost_test.go
@@ -28,7 +28,7 @@
 func TestCostOfEngines(t *testing.T) {
 	assert.Equal(t, costOf(Candidate{Slots: 64, UncachedTokens: 3000}, enginePerformance), 10.0)
 	assert.Equal(t, costOf(Candidate{Slots: 64, PendingTokens: 3000, UncachedTokens: 3000}, enginePerformance), 20.0)
-	// Duplicate prefill costs an additional ReadAgain times its duration.
+	// Duplicate prefill costs an additional DuplicatePrefill times its duration.
 	assert.Equal(t, costOf(Candidate{Slots: 64, UncachedTokens: 3000, DuplicateTokens: 300}, enginePerformance), 10+DefaultWeights.DuplicatePrefill)
 	assert.Equal(t, costOf(Candidate{Slots: 64, Running: 32}, enginePerformance), DefaultWeights.EngineOccupancy*30/2)
 	ignoring := Weights{IgnorePrompt: true}
--- a/internal/router/casregister/doc.go
+++ b/internal/router/casregister/doc.go
@@ -40,9 +40,9 @@
 // # Recovery of volatile acceptors
 //
 // An acceptor that stores its record in memory alone ends permanently with its process. A reply from another acceptor
-// without a disk at its address proves that it has ended and will never reply again (Ended). If so many voters of a
-// list have ended that the remaining ones are no majority, a proposal may be a recovery: its quorum in such a list is
-// all remaining members, of which there must be at least one.
+// without a disk at its address proves that it has ended and will never reply again (EndedAcceptors). If so many voters
+// of a list have ended that the remaining ones are no majority, a proposal may be a recovery: its quorum in such a list
+// is all remaining members, of which there must be at least one.
 //
 // The set of ended acceptors is fixed before the recovery's ballot is generated, and that ballot is far above all known
 // ones (NextRecovery). A proposer with a higher ballot therefore started after these acceptors had ended, and none of
--- a/internal/router/casregister/proposer.go
+++ b/internal/router/casregister/proposer.go
@@ -32,7 +32,7 @@
 // Replication says how far a chosen state is replicated beyond its quorum.
 type Replication uint8
 
-// The spreads. ReplicationPending: some voters have not replied yet.
+// The values of Replication. ReplicationPending: some voters have not replied yet.
 const (
 	ReplicationPending Replication = iota
 	// ReplicationComplete: all voters that have not ended have accepted it.
@@ -108,8 +108,8 @@
 // IsAccepting reports whether the accept round has begun.
 func (proposer *Proposer) IsAccepting() bool { return proposer.proposed != nil }
 
-// Receive processes an acceptor's reply. After the end of the proposal, replies update only Spread,
-// Higher and HasVolatile.
+// Receive processes an acceptor's reply. After the end of the proposal, replies update only Replication,
+// HigherBallot and HasVolatile.
 func (proposer *Proposer) Receive(reply Reply) {
 	proposer.hasVolatile = proposer.hasVolatile || reply.IsVolatile
 	if proposer.result.Outcome != Pending {
--- a/internal/router/casregister/proposer_test.go
+++ b/internal/router/casregister/proposer_test.go
@@ -194,9 +194,9 @@
 	assert.Assert(t, isChosen)
 }
 
-// TestSpread checks the reported spread of a chosen value beyond its quorum, and that a rewrite reaches the acceptor
-// that had promised a higher ballot.
-func TestSpread(t *testing.T) {
+// TestReplication checks what is reported of the replication of a chosen value beyond its quorum, and that a rewrite
+// reaches the acceptor that had promised a higher ballot.
+func TestReplication(t *testing.T) {
 	acceptors := newCluster("abc")
 	set := plainSet("abc")
 	proposer := NewProposer(Proposal{Ballot: ballotOf(1), Start: set, Change: setPayload("1")})
--- a/internal/router/casregister/set.go
+++ b/internal/router/casregister/set.go
@@ -25,8 +25,8 @@
 	Epoch    uint64     `msgpack:"e"`
 	Voters   []Acceptor `msgpack:"v"`
 	Previous []Acceptor `msgpack:"o,omitempty"`
-	// AddressEpoch is the epoch at which the members' addresses last changed. An acceptor with an empty disk that replaces an
-	// earlier one at the same address changes the set, but not the addresses.
+	// AddressEpoch is the epoch at which the members' addresses last changed. An acceptor with an empty disk that
+	// replaces an earlier one at the same address changes the set, but not the addresses.
 	AddressEpoch uint64 `msgpack:"m,omitempty"`
 }
 
--- a/internal/router/configlease/lease.go
+++ b/internal/router/configlease/lease.go
@@ -67,8 +67,8 @@
 	l.pending = remaining
 }
 
-// AddConfirmation adds a confirmation that answers a request sent at askedAt. It takes effect once its revision is applied; its age
-// counts in any case.
+// AddConfirmation adds a confirmation that answers a request sent at askedAt. It takes effect once its revision is
+// applied; its age counts in any case.
 func (l *Lease) AddConfirmation(askedAt time.Duration, confirmation Confirmation) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
--- a/internal/router/configstore/changes.go
+++ b/internal/router/configstore/changes.go
@@ -33,9 +33,9 @@
 	ChangeForgotten
 )
 
-// ChangeStatus returns what the state knows about a change on the generation base. A generation is the base of at most one
-// applied change, and bases increase. A change that is not listed has therefore not been applied, unless its base is
-// below ForgottenBelow.
+// ChangeStatus returns what the state knows about a change on the generation base. A generation is the base of at most
+// one applied change, and bases increase. A change that is not listed has therefore not been applied, unless its base
+// is below ForgottenBelow.
 func (state State) ChangeStatus(base int64, id ChangeID) ChangeStatus {
 	switch {
 	case state.HasChange(id):
--- a/internal/router/configstore/faults_test.go
+++ b/internal/router/configstore/faults_test.go
@@ -17,8 +17,8 @@
 // isolationTime is how long a machine stays isolated in these tests.
 const isolationTime = 20 * time.Second
 
-// assertNoQuorum checks that a change and a read at a router fail with ErrOutcomeUnknown: the change is neither confirmed nor
-// rejected.
+// assertNoQuorum checks that a change and a read at a router fail with ErrOutcomeUnknown: the change is neither
+// confirmed nor rejected.
 func (router *router) assertNoQuorum(base, generation int64) {
 	t := router.fleet.t
 	t.Helper()
@@ -258,8 +258,8 @@
 	})
 }
 
-// TestDiskHealthIsReported makes a disk hang in a write, and then fail one. PendingWriteDuration and LastWriteFailed must
-// report this.
+// TestDiskHealthIsReported makes a disk hang in a write, and then fail one. PendingWriteDuration and LastWriteFailed
+// must report this.
 func TestDiskHealthIsReported(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		fleet := newFleet(t, "a", "b", "c")
--- a/internal/router/configstore/options.go
+++ b/internal/router/configstore/options.go
@@ -11,8 +11,8 @@
 	"pewterrudder/internal/router/disk"
 )
 
-// ErrOutcomeUnknown is returned when no quorum has answered in time. The proposed change may have been chosen, may be chosen
-// later, or never.
+// ErrOutcomeUnknown is returned when no quorum has answered in time. The proposed change may have been chosen, may be
+// chosen later, or never.
 var ErrOutcomeUnknown = errors.New("configstore: no quorum answered in time, the outcome is unknown")
 
 // ErrClosed is returned by calls after Close.
--- a/internal/router/configstore/propose.go
+++ b/internal/router/configstore/propose.go
@@ -24,7 +24,8 @@
 
 // Propose changes the state. The change function may be called several times, each time with the state on which its
 // result must be based; the store sets the revision. An error of the function is returned only once the state that it
-// was called with is known to be chosen. The returned state is chosen. ErrOutcomeUnknown means that the context ended first.
+// was called with is known to be chosen. The returned state is chosen. ErrOutcomeUnknown means that the context ended
+// first.
 func (store *Store) Propose(ctx context.Context, change func(State) (State, error)) (State, error) {
 	chosen, err := store.propose(ctx, func(base casregister.Value) (casregister.Value, error) {
 		return changeState(base, change)
--- a/internal/router/configstore/read.go
+++ b/internal/router/configstore/read.go
@@ -16,7 +16,8 @@
 var errUnresolved = errors.New("configstore: the newest state is not known to be chosen")
 
 // Read returns a state that includes every change acknowledged before the call. It queries a quorum, and makes a
-// proposal only if the newest state found is not known to be chosen. ErrOutcomeUnknown means that the context ended first.
+// proposal only if the newest state found is not known to be chosen. ErrOutcomeUnknown means that the context ended
+// first.
 func (store *Store) Read(ctx context.Context) (State, error) {
 	chosen, err := store.read(ctx)
 	if err != nil {
@@ -36,8 +37,8 @@
 	return store.propose(ctx, keepValue)
 }
 
-// ReadRevision returns a revision that was the newest at a quorum at some time during the call. The store's current state
-// is then at least as new. Unlike Read, Confirm writes nothing: it fails if the newest state found is not known to be
+// ReadRevision returns a revision that was the newest at a quorum at some time during the call. The store's current
+// state is then at least as new. Unlike Read, it writes nothing: it fails if the newest state found is not known to be
 // chosen.
 func (store *Store) ReadRevision(ctx context.Context) (uint64, error) {
 	state, err := store.readQuorum(ctx)
--- a/internal/router/configstore/replication.go
+++ b/internal/router/configstore/replication.go
@@ -10,10 +10,10 @@
 // replicationTimeout is how long a chosen proposal waits for the voters beyond its quorum if some voters are volatile.
 const replicationTimeout = 250 * time.Millisecond
 
-// replicateChosenState waits, for replicationTimeout at most, until all voters that answer hold the chosen state. It does so
-// only if some voters are volatile: those of the quorum may all end and lose their memory, and a recovery then relies
-// on the state of the others. If a voter has promised a higher ballot, the state is proposed again under a ballot
-// above that one.
+// replicateChosenState waits, for replicationTimeout at most, until all voters that answer hold the chosen state. It
+// does so only if some voters are volatile: those of the quorum may all end and lose their memory, and a recovery then
+// relies on the state of the others. If a voter has promised a higher ballot, the state is proposed again under a
+// ballot above that one.
 func (store *Store) replicateChosenState(round *round, proposer *casregister.Proposer) {
 	if !proposer.HasVolatile() {
 		return
@@ -48,8 +48,8 @@
 // awaitReplication receives replies until all voters have answered or the round ends.
 func (store *Store) awaitReplication(round *round, proposer *casregister.Proposer) casregister.Replication {
 	for round.ctx.Err() == nil {
-		if spread := proposer.Replication(); spread != casregister.ReplicationPending {
-			return spread
+		if replication := proposer.Replication(); replication != casregister.ReplicationPending {
+			return replication
 		}
 		select {
 		case reply := <-round.replies:
--- a/internal/router/configstore/store_test.go
+++ b/internal/router/configstore/store_test.go
@@ -301,7 +301,8 @@
 	})
 }
 
-// TestFullDisk fills two of three disks. Changes must fail with ErrOutcomeUnknown, and succeed once there is space again.
+// TestFullDisk fills two of three disks. Changes must fail with ErrOutcomeUnknown, and succeed once there is space
+// again.
 func TestFullDisk(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		fleet := newFleet(t, "a", "b", "c")
--- a/internal/router/front/attempts_test.go
+++ b/internal/router/front/attempts_test.go
@@ -240,10 +240,10 @@
 	f := newTestFront(t, nil, newFakeInstance(t, "i-1", respondRejected), newFakeInstance(t, "i-2", respondOK))
 	f.exchange(t, requestText("GET", "/once/"))
 	f.exchange(t, requestText("GET", "/no/"))
-	figures := f.server.Stats()
-	assert.Equal(t, figures.Succeeded, uint64(1))
-	assert.Equal(t, figures.Rejected, uint64(1))
-	assert.Equal(t, figures.ClientErrors, uint64(1))
-	assert.Equal(t, figures.Codes[1001], uint64(1))
+	stats := f.server.Stats()
+	assert.Equal(t, stats.Succeeded, uint64(1))
+	assert.Equal(t, stats.Rejected, uint64(1))
+	assert.Equal(t, stats.ClientErrors, uint64(1))
+	assert.Equal(t, stats.Codes[1001], uint64(1))
 	_ = attempt.Rejected
 }
--- a/internal/router/front/counters.go
+++ b/internal/router/front/counters.go
@@ -65,7 +65,7 @@
 // Stats returns a snapshot of the counters.
 func (s *Server) Stats() Stats {
 	c := &s.counters
-	figures := Stats{
+	stats := Stats{
 		Succeeded:         c.statuses[2].Load(),
 		Redirected:        c.statuses[3].Load(),
 		ClientErrors:      c.statuses[4].Load(),
@@ -80,8 +80,8 @@
 	}
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
-	figures.Codes = maps.Clone(c.codes)
-	return figures
+	stats.Codes = maps.Clone(c.codes)
+	return stats
 }
 
 // failureLogInterval is the minimum time between two log lines about failed attempts.
--- a/internal/router/front/front.go
+++ b/internal/router/front/front.go
@@ -39,19 +39,21 @@
 type Dependencies struct {
 	// Table returns the current routing table, or nil if there is none yet.
 	Table func() *routing.Table
-	// BecameReady is closed once the router knows its configuration and the instances. Nil means that it is already started.
+	// BecameReady is closed once the router knows its configuration and the instances. Nil means that it is already
+	// started.
 	BecameReady <-chan struct{}
 	// Select picks an instance for an attempt. It returns an error if none is available.
 	Select func(request selection.Request) (Pick, error)
 	// Pool makes the attempts.
 	Pool *attempt.Pool
-	// ConnectionLimit returns the maximum number of this router's connections to one instance of the backend; 0 means no
-	// limit.
+	// ConnectionLimit returns the maximum number of this router's connections to one instance of the backend; 0 means
+	// no limit.
 	ConnectionLimit func(backend *routing.Backend) int
 	// Quota charges a request of the given cost, in the unit of the tenant's quota, and reports whether it is within the
 	// quota. If not, retryAfter is the time to wait.
 	Quota func(now time.Time, tenant *routing.Tenant, cost int) (ok bool, retryAfter time.Duration)
-	// KeysValid reports whether the API keys of the current configuration are still known to be valid; nil means always.
+	// KeysValid reports whether the API keys of the current configuration are still known to be valid; nil means
+	// always.
 	KeysValid func() bool
 	// TakeRetry takes one retry from the fleet's retry budget and reports whether one was left.
 	TakeRetry func(now time.Time, backend string) bool
--- a/internal/router/front/random_faults_test.go
+++ b/internal/router/front/random_faults_test.go
@@ -147,11 +147,11 @@
 		clients.Go(func() { runFaultClient(t, f, log, router*faultTestClients+i, requests/faultTestClients) })
 	}
 	clients.Wait()
-	figures := f.server.Stats()
-	assert.Check(t, int(figures.Succeeded) > requests*200/faultTestRequests, "%+v", figures)
-	assert.Check(t, int(figures.MayHaveRun) > requests*50/faultTestRequests && int(figures.Rejected) > requests*50/faultTestRequests, "%+v", figures)
+	stats := f.server.Stats()
+	assert.Check(t, int(stats.Succeeded) > requests*200/faultTestRequests, "%+v", stats)
+	assert.Check(t, int(stats.MayHaveRun) > requests*50/faultTestRequests && int(stats.Rejected) > requests*50/faultTestRequests, "%+v", stats)
 	waitFor(t, "no body held", func() bool { return f.server.Stats().BodyBytesHeld == 0 })
-	t.Logf("router %d: %d requests succeeded, %d attempts rejected, %d may have run", router, figures.Succeeded, figures.Rejected, figures.MayHaveRun)
+	t.Logf("router %d: %d requests succeeded, %d attempts rejected, %d may have run", router, stats.Succeeded, stats.Rejected, stats.MayHaveRun)
 }
 
 // chooseRandom picks a random instance among those that are not excluded.
--- a/internal/router/instances/table.go
+++ b/internal/router/instances/table.go
@@ -25,7 +25,7 @@
 	Holder string `msgpack:"holder"`
 }
 
-// Version orders the registrations and removals of one instance, first by Heartbeat, then by Ended.
+// Version orders the registrations and removals of one instance, first by Heartbeat, then by Expired.
 type Version struct {
 	// Heartbeat is the sequence number of the heartbeat, plus 1.
 	Heartbeat uint64
@@ -34,8 +34,8 @@
 }
 
 const (
-	endedNever     = 0
-	endedBySilence = 1
+	neverExpired     = 0
+	expiredBySilence = 1
 	// finalHeartbeat is the heartbeat number of a deregistration. No version follows it.
 	finalHeartbeat = ^uint64(0)
 )
@@ -51,7 +51,7 @@
 // AliveVersion returns the version of a registration by a heartbeat. It is never zero, since the cluster replaces a
 // zero version by one of its own.
 func AliveVersion(sequence int64) Version {
-	return Version{Heartbeat: uint64(max(sequence, 0)) + 1, Expired: endedNever}
+	return Version{Heartbeat: uint64(max(sequence, 0)) + 1, Expired: neverExpired}
 }
 
 // DeregisteredVersion returns the version of a removal at the instance's own request.
@@ -78,8 +78,8 @@
 // NewTable returns an empty table for the router with the given node name.
 func NewTable(self string) *Table { return &Table{self: self, entries: map[string]*entry{}} }
 
-// CheckHeartbeat records the time of a heartbeat that this router has received and tells what it changes. If the result is
-// Changed, the caller must Register the instance.
+// CheckHeartbeat records the time of a heartbeat that this router has received and tells what it changes. If the result
+// is Changed, the caller must Register the instance.
 func (t *Table) CheckHeartbeat(now time.Duration, instance *Instance) HeartbeatResult {
 	e := t.entries[instance.ID]
 	if e == nil {
@@ -165,8 +165,8 @@
 	return wasPresent
 }
 
-// ExtendLiveness moves the times of the last signs of life forward by a span in which this router did not run, but not beyond
-// now. Without it, instances would expire for heartbeats that the router could not receive.
+// ExtendLiveness moves the times of the last signs of life forward by a span in which this router did not run, but not
+// beyond now. Without it, instances would expire for heartbeats that the router could not receive.
 func (t *Table) ExtendLiveness(now, span time.Duration) {
 	for _, e := range t.entries {
 		e.lastAliveAt = min(e.lastAliveAt+span, now)
@@ -193,7 +193,7 @@
 			continue
 		}
 		if isOwn || forLostHolders {
-			version := Version{Heartbeat: e.version.Heartbeat, Expired: endedBySilence}
+			version := Version{Heartbeat: e.version.Heartbeat, Expired: expiredBySilence}
 			expired = append(expired, Expiry{ID: id, Version: version})
 		}
 	}
--- a/internal/router/instances/table_test.go
+++ b/internal/router/instances/table_test.go
@@ -70,7 +70,7 @@
 	id := rapid.SampledFrom(testIDs).Draw(t, "id")
 	version := DeregisteredVersion()
 	if rapid.IntRange(0, 3).Draw(t, "expiry") > 0 {
-		version = Version{Heartbeat: rapid.Uint64Range(1, 13).Draw(t, "after"), Expired: endedBySilence}
+		version = Version{Heartbeat: rapid.Uint64Range(1, 13).Draw(t, "after"), Expired: expiredBySilence}
 	}
 	m.table.Remove(m.now, version, id)
 	m.reference.add(referenceEvent{at: m.now, id: id, version: version})
@@ -146,7 +146,7 @@
 			instance := drawInstance(t)
 			var changed bool
 			if rapid.IntRange(0, 3).Draw(t, "end") == 0 {
-				changed = table.Remove(0, Version{Heartbeat: AliveVersion(instance.Seq).Heartbeat, Expired: endedBySilence}, instance.ID)
+				changed = table.Remove(0, Version{Heartbeat: AliveVersion(instance.Seq).Heartbeat, Expired: expiredBySilence}, instance.ID)
 			} else {
 				changed = table.Register(0, AliveVersion(instance.Seq), Registration{Instance: *instance, Holder: "other-1"})
 			}
@@ -190,7 +190,7 @@
 func TestNextHeartbeatRevivesWronglyExpiredInstance(t *testing.T) {
 	table := NewTable("self")
 	register(table, 0, "i-1", "other-1")
-	table.Remove(0, Version{Heartbeat: AliveVersion(1).Heartbeat, Expired: endedBySilence}, "i-1")
+	table.Remove(0, Version{Heartbeat: AliveVersion(1).Heartbeat, Expired: expiredBySilence}, "i-1")
 	assert.Equal(t, table.CheckHeartbeat(0, &Instance{ID: "i-1", Seq: 1}), Stale)
 	assert.Equal(t, table.CheckHeartbeat(0, &Instance{ID: "i-1", Seq: 2}), Changed)
 }
--- a/internal/router/lease/candidate.go
+++ b/internal/router/lease/candidate.go
@@ -42,9 +42,9 @@
 	earliestRoundAt time.Duration
 	pendingReleases []Message
 
-	proofAllowed  bool
-	grantorsKnown bool
-	prober        prober
+	proofAllowed             bool
+	onlyCurrentGrantorsKnown bool
+	prober                   prober
 }
 
 // round is one attempt to get grants from majorities of the grantor sets.
--- a/internal/router/lease/probe.go
+++ b/internal/router/lease/probe.go
@@ -53,16 +53,17 @@
 // member of them.
 func (c *Candidate) AllowProof(allowed bool) { c.proofAllowed = allowed }
 
-// SetOnlyCurrentGrantorsKnown sets whether this process knows of no grantor sets other than those in force, after reading what its disk
-// says of them. A majority of each set's grantors knows of the next one. So at least one member of an outdated set does not
-// report that it is idle, unless more members have lost their disks than the system tolerates.
-func (c *Candidate) SetOnlyCurrentGrantorsKnown(known bool) { c.grantorsKnown = known }
+// SetOnlyCurrentGrantorsKnown sets whether this process knows of no grantor sets other than those in force, after
+// reading what its disk says of them. A majority of each set's grantors knows of the next one. So at least one member
+// of an outdated set does not report that it is idle, unless more members have lost their disks than the system
+// tolerates.
+func (c *Candidate) SetOnlyCurrentGrantorsKnown(known bool) { c.onlyCurrentGrantorsKnown = known }
 
 // Idle reports whether the candidate counts no grant made until now, and knows the same grantor sets as the sender of the
 // probe. Grants to the sender itself block nobody. The value set by AllowProof is not used here: it decides whose responses
 // the sender needs, and a candidate whose disk was lost may not know it.
 func (c *Candidate) Idle(now time.Duration, request Request) bool {
-	if !c.grantorsKnown || !slices.EqualFunc(c.sets.activeAt(now).memberLists(), request.Sets, slices.Equal) {
+	if !c.onlyCurrentGrantorsKnown || !slices.EqualFunc(c.sets.activeAt(now).memberLists(), request.Sets, slices.Equal) {
 		return false
 	}
 	_, held := c.Held(now)
--- a/internal/router/loadreports/broadcaster.go
+++ b/internal/router/loadreports/broadcaster.go
@@ -21,7 +21,7 @@
 	maxOrigins = 4096
 )
 
-// Options configures a Sharer.
+// Options configures a Broadcaster.
 type Options struct {
 	Node      string
 	Kind      transport.Kind
@@ -49,7 +49,7 @@
 	lastSequences map[origin]uint64
 }
 
-// NewBroadcaster returns a sharer with a new random epoch.
+// NewBroadcaster returns a broadcaster with a new random epoch.
 func NewBroadcaster(options Options) *Broadcaster {
 	return &Broadcaster{options: options, epoch: rand.Uint64(), lastSequences: map[origin]uint64{}}
 }
--- a/internal/router/loadreports/loadreports_test.go
+++ b/internal/router/loadreports/loadreports_test.go
@@ -85,9 +85,9 @@
 	}
 }
 
-// fleet is a set of sharers whose messages are delivered immediately.
+// fleet is a set of broadcasters whose messages are delivered immediately.
 type fleet struct {
-	sharers  map[string]*Broadcaster
+	broadcasters  map[string]*Broadcaster
 	reports  map[string]map[string]int // last reported number of queued requests by node and instance
 	received map[string]int
 }
@@ -95,19 +95,19 @@
 // Send delivers a message to the router at the address.
 func (f *fleet) Send(address string, _ transport.Kind, body []byte) {
 	f.received[address]++
-	if _, err := f.sharers[address].Handle(nil, body); err != nil {
+	if _, err := f.broadcasters[address].Handle(nil, body); err != nil {
 		panic(err)
 	}
 }
 
 func newFleet(nodes []string) *fleet {
-	f := &fleet{sharers: map[string]*Broadcaster{}, reports: map[string]map[string]int{}, received: map[string]int{}}
+	f := &fleet{broadcasters: map[string]*Broadcaster{}, reports: map[string]map[string]int{}, received: map[string]int{}}
 	log := logrus.New()
 	log.SetOutput(io.Discard)
 	for _, node := range nodes {
 		view := viewOf(node, nodes)
 		f.reports[node] = map[string]int{}
-		f.sharers[node] = NewBroadcaster(Options{
+		f.broadcasters[node] = NewBroadcaster(Options{
 			Node:      node,
 			Messenger: f,
 			View:      func() *membership.View { return view },
@@ -122,8 +122,8 @@
 	synctest.Test(t, func(t *testing.T) {
 		nodes := nodesOf(40)
 		f := newFleet(nodes)
-		f.sharers[nodes[7]].Broadcast("a", &protocol.Report{Queued: 3})
-		f.sharers[nodes[7]].Broadcast("b", &protocol.Report{Queued: 4})
+		f.broadcasters[nodes[7]].Broadcast("a", &protocol.Report{Queued: 3})
+		f.broadcasters[nodes[7]].Broadcast("b", &protocol.Report{Queued: 4})
 		time.Sleep(time.Second) // fake time of the synctest bubble
 		synctest.Wait()
 		for _, node := range nodes {
@@ -139,7 +139,7 @@
 
 func TestAnOlderMessageIsIgnored(t *testing.T) {
 	f := newFleet(nodesOf(3))
-	receiver := f.sharers["router-1-1"]
+	receiver := f.broadcasters["router-1-1"]
 	send := func(epoch, sequence uint64, queued int) {
 		m := &message{Origin: "elsewhere", Epoch: epoch, Sequence: sequence, Reports: []figures{{ID: "a", Queued: queued}}}
 		body, err := m.encode()
@@ -159,6 +159,6 @@
 
 func TestAMalformedMessageIsAnError(t *testing.T) {
 	f := newFleet(nodesOf(2))
-	_, err := f.sharers["router-0-0"].Handle(nil, []byte{0xc1})
+	_, err := f.broadcasters["router-0-0"].Handle(nil, []byte{0xc1})
 	assert.ErrorContains(t, err, "load reports")
 }
--- a/internal/router/membership/detector.go
+++ b/internal/router/membership/detector.go
@@ -89,8 +89,8 @@
 	return Entry{Member: d.self, Status: Left, By: d.self.Node}
 }
 
-// RecordAlive records that the member was alive in the given incarnation. It returns true if the member should be told its
-// entry: its status is not Alive, or the fleet knows a newer incarnation.
+// RecordAlive records that the member was alive in the given incarnation. It returns true if the member should be told
+// its entry: its status is not Alive, or the fleet knows a newer incarnation.
 func (d *Detector) RecordAlive(node string, incarnation uint64, now time.Time) (shouldInform bool) {
 	state := d.members[node]
 	if state == nil || incarnation < state.entry.Member.Incarnation {
--- a/internal/router/membership/tick.go
+++ b/internal/router/membership/tick.go
@@ -42,7 +42,8 @@
 	}
 }
 
-// ObservationsUnreliable reports whether this router's own observations are unreliable, because it was delayed recently.
+// ObservationsUnreliable reports whether this router's own observations are unreliable, because it was delayed
+// recently.
 func (d *Detector) ObservationsUnreliable(now time.Time) bool { return now.Before(d.unreliableUntil) }
 
 func (d *Detector) endFailureDelays(now time.Time) {
--- a/internal/router/node/inspect.go
+++ b/internal/router/node/inspect.go
@@ -102,18 +102,18 @@
 // describeShares returns the coordinator that divides the quotas and this router's shares of them. SilentS is -1 if the
 // coordinator has never been heard.
 func (n *Node) describeShares() status.Shares {
-	standing := n.shares.Status(maxStatusTenants)
+	current := n.shares.Status(maxStatusTenants)
 	described := status.Shares{
-		Coordinator:   standing.Coordinator,
-		IsCoordinator: standing.IsCoordinator,
-		Term:          standing.Term,
+		Coordinator:   current.Coordinator,
+		IsCoordinator: current.IsCoordinator,
+		Term:          current.Term,
 		SilentS:       -1,
-		Tenants:       make([]status.TenantShare, len(standing.Tenants)),
+		Tenants:       make([]status.TenantShare, len(current.Tenants)),
 	}
-	if standing.HasAnswer {
-		described.SilentS = standing.SinceLastAnswer.Seconds()
+	if current.HasAnswer {
+		described.SilentS = current.SinceLastAnswer.Seconds()
 	}
-	for index, tenant := range standing.Tenants {
+	for index, tenant := range current.Tenants {
 		described.Tenants[index] = status.TenantShare{
 			Tenant:       tenant.Tenant,
 			PerS:         tenant.Limit.PerSecond,
--- a/internal/router/node/node.go
+++ b/internal/router/node/node.go
@@ -236,7 +236,7 @@
 // startSelection creates the instance selector and the exchanges of load reports and sightings that feed it.
 func (n *Node) startSelection(ctx context.Context, s *settings.Settings) error {
 	n.attempts = attempt.NewPool(attempt.Options{})
-	sharer := loadreports.NewBroadcaster(loadreports.Options{
+	broadcaster := loadreports.NewBroadcaster(loadreports.Options{
 		Node:      s.Node,
 		Kind:      messageLoads,
 		Messenger: n.transport,
@@ -250,11 +250,11 @@
 		Log:             n.log,
 		Poll:            n.fetchReport,
 		Assigned:        loadreports.NewAssignment(n.view).IsOwner,
-		BroadcastReport: sharer.Broadcast,
+		BroadcastReport: broadcaster.Broadcast,
 		Sightings:       n.sightings.selectionOptions(),
 		Routers:         n.routerCount,
 	})
-	n.transport.HandleInline(messageLoads, sharer.Handle)
+	n.transport.HandleInline(messageLoads, broadcaster.Handle)
 	n.startSightings(ctx, s)
 	go n.selector.Run(ctx)
 	return nil
--- a/internal/router/node/sightings.go
+++ b/internal/router/node/sightings.go
@@ -19,19 +19,19 @@
 // blockSightings exchanges sightings with the other routers. A sighting records to which instance a shared prompt block
 // was sent.
 type blockSightings struct {
-	exchange     *sightings.Exchange
-	keeper       *sightings.Store
-	repeatWindow time.Duration
+	exchange        *sightings.Exchange
+	store           *sightings.Store
+	duplicateWindow time.Duration
 }
 
 // newSightings returns nil if the settings do not define the time within which processing a block again is wasteful
 // (bounds.again_s): sightings are then not exchanged.
 func (n *Node) newSightings(s *settings.Settings) *blockSightings {
-	repeatWindow := settings.Seconds(s.Bounds.AgainS)
-	if repeatWindow <= 0 {
+	duplicateWindow := settings.Seconds(s.Bounds.AgainS)
+	if duplicateWindow <= 0 {
 		return nil
 	}
-	created := &blockSightings{keeper: sightings.NewStore(repeatWindow / 2), repeatWindow: repeatWindow}
+	created := &blockSightings{store: sightings.NewStore(duplicateWindow / 2), duplicateWindow: duplicateWindow}
 	created.exchange = sightings.NewExchange(sightings.Options{
 		Node:      s.Node,
 		Kind:      messageSightings,
@@ -39,9 +39,9 @@
 		View:      n.view,
 		OnReceive: func(now time.Time, list []sightings.Sighting) {
 			n.selector.RecordRemoteSightings(now, list)
-			created.keeper.Add(now, list)
+			created.store.Add(now, list)
 		},
-		Recent: created.keeper.Recent,
+		Recent: created.store.Recent,
 		Log:    n.log,
 	})
 	return created
@@ -52,7 +52,7 @@
 	if b == nil {
 		return nil
 	}
-	return &selection.SightingOptions{Announce: b.exchange.Announce, IsCurrent: b.exchange.IsCurrent, Recent: b.keeper.Recent, DuplicateWindow: b.repeatWindow}
+	return &selection.SightingOptions{Announce: b.exchange.Announce, IsCurrent: b.exchange.IsCurrent, Recent: b.store.Recent, DuplicateWindow: b.duplicateWindow}
 }
 
 // awaitSightings returns once the router has received the recent sightings, or after sightingsTimeout.
@@ -78,6 +78,6 @@
 	n.transport.HandleInline(messageSightings, current.exchange.Handle)
 	go current.exchange.Run(ctx)
 	if s.DataDir != "" { // Stop does not wait for it, since the disk may hang
-		go current.keeper.Run(ctx, filepath.Join(s.DataDir, sightingsDir), current.exchange.Restore, n.log)
+		go current.store.Run(ctx, filepath.Join(s.DataDir, sightingsDir), current.exchange.Restore, n.log)
 	}
 }
--- a/internal/router/prefixagreement/agreement.go
+++ b/internal/router/prefixagreement/agreement.go
@@ -16,7 +16,7 @@
 )
 
 // Lease determines the coordinator. The result of Coordinator may be out of date: a router that receives a report
-// verifies with Holds that it is the coordinator.
+// verifies with IsCoordinator that it is the coordinator.
 type Lease interface {
 	Coordinator(ctx context.Context) (address string, err error)
 	IsCoordinator() bool
--- a/internal/router/prefixcache/cache.go
+++ b/internal/router/prefixcache/cache.go
@@ -90,9 +90,9 @@
 	return TotalTokens(blocks[c.CachedBlocks(modelHash, blocks):])
 }
 
-// RecordUse records that this router sent a prompt of these blocks to the instance. Each of the other routers is assumed to
-// send as many requests, whose last blocks are unknown here, so the last block is charged once for each router. The
-// shared blocks are the same for all routers and are charged once.
+// RecordUse records that this router sent a prompt of these blocks to the instance. Each of the other routers is
+// assumed to send as many requests, whose last blocks are unknown here, so the last block is charged once for each
+// router. The shared blocks are the same for all routers and are charged once.
 func (c *Cache) RecordUse(modelHash uint64, blocks []Block) {
 	// From the last block to the first, so that the later blocks of a prompt, which are useless without the earlier
 	// ones, are evicted first.
@@ -106,8 +106,8 @@
 	c.evict()
 }
 
-// RecordRemoteUse records that another router sent a block to the instance. It doesn't make a known block a reused one, because
-// the same use may be reported more than once; only this router's own requests do.
+// RecordRemoteUse records that another router sent a block to the instance. It doesn't make a known block a reused one,
+// because the same use may be reported more than once; only this router's own requests do.
 func (c *Cache) RecordRemoteUse(key Key, tokens int) {
 	c.touch(key, int64(tokens), false)
 	c.evict()
--- a/internal/router/protocol/prefixes.go
+++ b/internal/router/protocol/prefixes.go
@@ -22,9 +22,9 @@
 	Instances []string `json:"instances"`
 }
 
-// TenantPrefixUse counts a tenant's requests with a common prefix at this router. Hits are those sent to an instance that
-// this router had sent the prefix to before. RecomputedTokens counts the prefix tokens that instances processed anew for
-// the others.
+// TenantPrefixUse counts a tenant's requests with a common prefix at this router. Hits are those sent to an instance
+// that this router had sent the prefix to before. RecomputedTokens counts the prefix tokens that instances processed
+// anew for the others.
 type TenantPrefixUse struct {
 	Requests         uint64 `json:"requests"`
 	Hits             uint64 `json:"hits"`
--- a/internal/router/quota/admission.go
+++ b/internal/router/quota/admission.go
@@ -79,8 +79,8 @@
 	}
 }
 
-// SetKeptFloors sets the router's address and the floor table that is on its disk. From the first call on the router reports
-// itself as a keeper of floor tables.
+// SetKeptFloors sets the router's address and the floor table that is on its disk. From the first call on the router
+// reports itself as a keeper of floor tables.
 func (a *Admission) SetKeptFloors(address string, table FloorTable) { a.floors.setKept(address, table) }
 
 // PendingFloors returns the floor table that the coordinator wants written to the disk, or nil if the disk has it.
@@ -189,8 +189,8 @@
 	return named
 }
 
-// ApplyAnswer applies the answer to the latest report. Answers to earlier reports and those of earlier terms are ignored;
-// what they grant is included in a later answer.
+// ApplyAnswer applies the answer to the latest report. Answers to earlier reports and those of earlier terms are
+// ignored; what they grant is included in a later answer.
 func (a *Admission) ApplyAnswer(now time.Duration, answer ShareAnswer) {
 	if answer.Sequence != a.sequence || answer.Term < a.term {
 		return
@@ -235,7 +235,8 @@
 	a.urgent = true
 }
 
-// ReportLost records that a report got no answer. The next report names all tenants, since it may reach another coordinator.
+// ReportLost records that a report got no answer. The next report names all tenants, since it may reach another
+// coordinator.
 func (a *Admission) ReportLost() { a.wholeReportDue = true }
 
 // Term returns the term of the last applied answer.
--- a/internal/router/quota/coordinator.go
+++ b/internal/router/quota/coordinator.go
@@ -97,8 +97,8 @@
 	c.limits = limits
 }
 
-// HandleReport processes a router's report and returns the router's shares. A late report, and one of a router that follows a
-// later coordinator, gets an empty answer.
+// HandleReport processes a router's report and returns the router's shares. A late report, and one of a router that
+// follows a later coordinator, gets an empty answer.
 func (c *Coordinator) HandleReport(now time.Duration, router string, report DemandReport) ShareAnswer {
 	answer := ShareAnswer{Term: c.term}
 	if report.Term > c.term {
--- a/internal/router/quota/standing_test.go
+++ b/internal/router/quota/tenantstatus_test.go
@@ -8,9 +8,9 @@
 	"gotest.tools/v3/assert"
 )
 
-// TestStandingsNameTheBusiestTenants checks that Standings returns the tenants with the most requests, and what the
+// TestBusiestTenants checks that BusiestTenants returns the tenants with the most requests, and what the
 // router has of each.
-func TestStandingsNameTheBusiestTenants(t *testing.T) {
+func TestBusiestTenants(t *testing.T) {
 	admission := NewAdmission(testRule, 1)
 	admission.SetRouters(0, 1, 0)
 	limit := Limit{PerSecond: 1000, Burst: 1000}
--- a/internal/router/relaytree/relaytree.go
+++ b/internal/router/relaytree/relaytree.go
@@ -57,7 +57,8 @@
 	return members[first], true
 }
 
-// ChildrenInZone returns the children of node in its zone's tree with the given root name, nil if the node is not a live member.
+// ChildrenInZone returns the children of node in its zone's tree with the given root name, nil if the node is not a
+// live member.
 func ChildrenInZone(view *membership.View, root, node string) []membership.Member {
 	member, ok := view.Get(node)
 	if !ok {
--- a/internal/router/retrybudget/coordinator.go
+++ b/internal/router/retrybudget/coordinator.go
@@ -47,8 +47,8 @@
 	}
 }
 
-// HandleReport processes a router's report and returns the router's loans. The answer is empty if the report is repeated or
-// out of order, or if the router has already applied an answer of a later term.
+// HandleReport processes a router's report and returns the router's loans. The answer is empty if the report is
+// repeated or out of order, or if the router has already applied an answer of a later term.
 func (c *Coordinator) HandleReport(now time.Duration, router string, report Report) Answer {
 	answer := Answer{Term: c.term}
 	c.removeExpired(now)
--- a/internal/router/selection/commonuse.go
+++ b/internal/router/selection/commonprefixuse.go
@@ -9,7 +9,7 @@
 )
 
 // maxCommonUseTenants limits the tenants whose use of common prefixes is counted.
-const maxCommonUseTenants = 512
+const maxCommonPrefixUseTenants = 512
 
 // CommonPrefixUse counts a tenant's requests that carried a common prefix.
 type CommonPrefixUse struct {
@@ -20,7 +20,7 @@
 
 // countCommonUse counts a pick if its request begins with a common prefix. It is called before the pick is entered into
 // the cache estimate.
-func (s *Selector) countCommonUse(b *backend, chosen *target, request *Request) {
+func (s *Selector) countCommonPrefixUse(b *backend, chosen *target, request *Request) {
 	if chosen.cache == nil || len(b.replicas) == 0 {
 		return
 	}
@@ -28,7 +28,7 @@
 	if !b.isCommon(s.commonPrefixes.Seed, request, shared) {
 		return
 	}
-	use := s.commonUseFor(request.Tenant)
+	use := s.commonPrefixUseFor(request.Tenant)
 	if use == nil {
 		return
 	}
@@ -46,11 +46,11 @@
 }
 
 // commonUseFor finds or adds a tenant's counts. It returns nil if there are too many tenants.
-func (s *Selector) commonUseFor(tenant string) *CommonPrefixUse {
-	use := s.commonUse[tenant]
-	if use == nil && len(s.commonUse) < maxCommonUseTenants {
+func (s *Selector) commonPrefixUseFor(tenant string) *CommonPrefixUse {
+	use := s.commonPrefixUse[tenant]
+	if use == nil && len(s.commonPrefixUse) < maxCommonPrefixUseTenants {
 		use = &CommonPrefixUse{}
-		s.commonUse[tenant] = use
+		s.commonPrefixUse[tenant] = use
 	}
 	return use
 }
@@ -59,8 +59,8 @@
 func (s *Selector) CommonPrefixUses() map[string]CommonPrefixUse {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
-	uses := make(map[string]CommonPrefixUse, len(s.commonUse))
-	for tenant, use := range maps.All(s.commonUse) {
+	uses := make(map[string]CommonPrefixUse, len(s.commonPrefixUse))
+	for tenant, use := range maps.All(s.commonPrefixUse) {
 		uses[tenant] = *use
 	}
 	return uses
--- a/internal/router/selection/selection.go
+++ b/internal/router/selection/selection.go
@@ -34,7 +34,7 @@
 	Zone            string
 	Log             logrus.FieldLogger
 	RefreshInterval time.Duration    // D; 0: DefaultRefreshInterval
-	Widths          balance.Widths   // K at rest and in bursts; zero: balance.DefaultWidths
+	Widths          balance.Widths   // K outside of bursts and in them; zero: balance.DefaultWidths
 	Weights         *balance.Weights // of the cost; nil: balance.DefaultWeights
 	NoHomes         bool             // no instance is presumed to cache shared blocks
 	NoStreamSet     bool             // streams are not separated from prompts: there is no stream set
@@ -91,7 +91,7 @@
 	snapshot        *instances.Snapshot
 	configs         map[string]BackendConfig
 	commonPrefixes  *commonprefix.Set // nil: no set agreed on
-	commonUse       map[string]*CommonPrefixUse
+	commonPrefixUse map[string]*CommonPrefixUse
 	scratch         scratch
 }
 
@@ -124,17 +124,17 @@
 		random = rand.NewPCG(rand.Uint64(), rand.Uint64()).Uint64
 	}
 	return &Selector{
-		options:      options,
-		weights:      weights,
-		random:       random,
-		created:      options.Clock(),
-		backends:     map[string]*backend{},
-		byID:         map[string]*target{},
-		byHash:       map[uint64]*target{},
-		recentBlocks: newRecentBlocks(options.Sightings),
-		snapshot:     &instances.Snapshot{},
-		configs:      map[string]BackendConfig{},
-		commonUse:    map[string]*CommonPrefixUse{},
+		options:         options,
+		weights:         weights,
+		random:          random,
+		created:         options.Clock(),
+		backends:        map[string]*backend{},
+		byID:            map[string]*target{},
+		byHash:          map[uint64]*target{},
+		recentBlocks:    newRecentBlocks(options.Sightings),
+		snapshot:        &instances.Snapshot{},
+		configs:         map[string]BackendConfig{},
+		commonPrefixUse: map[string]*CommonPrefixUse{},
 	}
 }
 
@@ -153,7 +153,7 @@
 	if chosen == nil {
 		return nil, ErrNoInstance
 	}
-	s.countCommonUse(b, chosen, &request)
+	s.countCommonPrefixUse(b, chosen, &request)
 	return s.startPick(chosen, &request, uncachedTokens), nil
 }
 
--- a/internal/router/selection/sightings.go
+++ b/internal/router/selection/sightings.go
@@ -12,7 +12,7 @@
 type SightingOptions struct {
 	// Announce sends a sighting to the other routers.
 	Announce func(sighting sightings.Sighting)
-	// IsCurrent reports whether this router receives the sightings of the others.
+	// IsCurrent reports whether this router knows the recent sightings of the others.
 	IsCurrent func(now time.Time) bool
 	// Recent lists the recent sightings, including those of instances that this router did not know at the time.
 	Recent func(now time.Time) []sightings.Sighting
@@ -21,13 +21,14 @@
 }
 
 const (
-	// usedPeriodShare is the share of Again for which a block counts as used at least; it counts for at most twice
-	// that.
+	// usedPeriodShare is the share of DuplicateWindow for which a block counts as used at least; it counts for at most
+	// twice that.
 	usedPeriodShare = 0.7
 	// announcedPeriodShare is the same for sightings that need not be announced again. It is short enough for the other
 	// routers' entries to stay fresh.
 	announcedPeriodShare = 0.25
-	// minFrequentUses is how often this router must have sent a block within Again for it to count as frequent.
+	// minFrequentUses is how often this router must have sent a block within DuplicateWindow for it to count as
+	// frequent.
 	minFrequentUses = 4
 	// maxRecentBlocks limits the blocks and the sightings that are remembered.
 	maxRecentBlocks = 1 << 16
--- a/internal/router/selection/sightings_test.go
+++ b/internal/router/selection/sightings_test.go
@@ -79,8 +79,8 @@
 	assert.Equal(t, counts["a"]+counts["c"], 50)
 }
 
-// TestOldSightingDoesNotOutweighZoneCost checks that a sighting older than Again no longer draws a large request to
-// another zone: a second prefill after that time is no duplicate work.
+// TestOldSightingDoesNotOutweighZoneCost checks that a sighting older than DuplicateWindow no longer draws a large
+// request to another zone: a second prefill after that time is no duplicate work.
 func TestOldSightingDoesNotOutweighZoneCost(t *testing.T) {
 	fixture := newSightingFixture("a", "Y")
 	fixture.selector.RecordRemoteSightings(testStart, []sightings.Sighting{sightingAt("Y", 1)})
--- a/internal/router/shares/shares.go
+++ b/internal/router/shares/shares.go
@@ -46,7 +46,8 @@
 	Clock *steadyclock.Clock
 	// Grantors returns the addresses of the acceptors in force and, during a joint change, of the previous ones.
 	Grantors func() (voters, previous []string)
-	// OnlyCurrentGrantorsKnown reports whether this process, its disk included, knows of no acceptors other than those in force.
+	// OnlyCurrentGrantorsKnown reports whether this process, its disk included, knows of no acceptors other than those
+	// in force.
 	OnlyCurrentGrantorsKnown func() bool
 	// GrantorsSettled reports whether the acceptors have been in force at their addresses for so long that no lease can
 	// depend on earlier ones.
@@ -67,7 +68,7 @@
 type Confirmations interface {
 	// Latest returns the confirmation that this router sends as the coordinator; false if it has none.
 	Latest() (configlease.Confirmation, bool)
-	// Add receives a confirmation of the coordinator. The call that it answers began at askedAt by Options.Clock.
+	// Add records a confirmation of the coordinator. The call that it answers began at askedAt by Options.Clock.
 	Add(askedAt time.Duration, confirmation configlease.Confirmation)
 }
 
--- a/internal/router/shares/standing.go
+++ b/internal/router/shares/status.go
@@ -14,24 +14,25 @@
 	IsCoordinator bool
 	// Term is that of the coordinator that answered last.
 	Term uint64
-	// SinceLastAnswer is the time since the coordinator's last answer. Heard is false if there was none.
+	// SinceLastAnswer is the time since the coordinator's last answer. HasAnswer is false if there was none.
 	SinceLastAnswer time.Duration
 	HasAnswer       bool
 	// Tenants are the tenants with the most requests at this router.
 	Tenants []quota.TenantStatus
 }
 
-// Status returns this router's view of the distribution, with at most the given number of tenants. It sends no messages.
+// Status returns this router's view of the distribution, with at most the given number of tenants. It sends no
+// messages.
 func (s *Shares) Status(tenants int) Status {
-	standing := Status{Coordinator: s.getKnownCoordinator(), IsCoordinator: s.IsCoordinator()}
-	if standing.IsCoordinator {
-		standing.Coordinator = s.options.Address
+	current := Status{Coordinator: s.getKnownCoordinator(), IsCoordinator: s.IsCoordinator()}
+	if current.IsCoordinator {
+		current.Coordinator = s.options.Address
 	}
 	now := s.now()
 	s.local.Lock()
 	defer s.local.Unlock()
-	standing.Term = s.local.admission.Term()
-	standing.SinceLastAnswer, standing.HasAnswer = s.local.admission.SinceLastAnswer(now)
-	standing.Tenants = s.local.admission.BusiestTenants(tenants)
-	return standing
+	current.Term = s.local.admission.Term()
+	current.SinceLastAnswer, current.HasAnswer = s.local.admission.SinceLastAnswer(now)
+	current.Tenants = s.local.admission.BusiestTenants(tenants)
+	return current
 }
--- a/internal/router/sightings/benchmark_test.go
+++ b/internal/router/sightings/benchmark_test.go
@@ -35,7 +35,7 @@
 }
 
 // BenchmarkKeeper adds a batch of sightings in each interval.
-func BenchmarkKeeper(b *testing.B) {
+func BenchmarkStore(b *testing.B) {
 	k := NewStore(time.Second)
 	all := benchmarkSightings(200)
 	now := time.Unix(1000, 0)
--- a/internal/router/sightings/exchange.go
+++ b/internal/router/sightings/exchange.go
@@ -34,7 +34,7 @@
 	Kind      transport.Kind
 	Messenger transport.Messenger
 	View      func() *membership.View
-	// OnReceive receives the sightings of all routers, which may include this router's own.
+	// OnReceive is called with the sightings of all routers, which may include this router's own.
 	OnReceive func(now time.Time, sightings []Sighting)
 	// Recent returns the recent sightings, which are sent to routers that have just started.
 	Recent func(now time.Time) []Sighting
@@ -96,8 +96,8 @@
 	return e.synchronized
 }
 
-// IsCurrent reports whether this router knows the recent sightings of all routers: the wait for those from before its start
-// is over, and it has received a message within aliveTimeout.
+// IsCurrent reports whether this router knows the recent sightings of all routers: the wait for those from before its
+// start is over, and it has received a message within aliveTimeout.
 func (e *Exchange) IsCurrent(now time.Time) bool {
 	e.mutex.Lock()
 	defer e.mutex.Unlock()
--- a/internal/router/sightings/exchange_test.go
+++ b/internal/router/sightings/exchange_test.go
@@ -34,7 +34,7 @@
 
 type testRouter struct {
 	exchange *Exchange
-	keeper   *Store
+	store    *Store
 	stop     context.CancelFunc
 }
 
@@ -52,13 +52,13 @@
 func (f *fleet) start(node string) {
 	log := logrus.New()
 	log.SetOutput(io.Discard)
-	r := &testRouter{keeper: NewStore(time.Minute)}
+	r := &testRouter{store: NewStore(time.Minute)}
 	r.exchange = NewExchange(Options{
 		Node:      node,
 		Messenger: f,
 		View:      func() *membership.View { return f.view(node) },
-		OnReceive: r.keeper.Add,
-		Recent:    r.keeper.Recent,
+		OnReceive: r.store.Add,
+		Recent:    r.store.Recent,
 		Log:       log,
 	})
 	ctx, cancel := context.WithCancel(context.Background())
@@ -130,7 +130,7 @@
 }
 
 func (r *testRouter) knows(sighting Sighting) bool {
-	for _, known := range r.keeper.Recent(time.Now()) {
+	for _, known := range r.store.Recent(time.Now()) {
 		if known == sighting {
 			return true
 		}
@@ -154,7 +154,7 @@
 		}
 		time.Sleep(propagationTime)
 		for _, node := range f.nodes {
-			assert.Equal(t, len(f.routers[node].keeper.Recent(time.Now())), len(f.nodes), "%s", node)
+			assert.Equal(t, len(f.routers[node].store.Recent(time.Now())), len(f.nodes), "%s", node)
 			assert.Assert(t, f.routers[node].exchange.IsCurrent(time.Now()))
 		}
 	})
@@ -235,7 +235,7 @@
 		defer f.stopAll()
 		time.Sleep(10 * flushInterval)
 		for node, r := range f.routers {
-			assert.Assert(t, !r.exchange.Synchronized(), "%s was informed by a router that has no sightings", node)
+			assert.Assert(t, !r.exchange.Synchronized(), "%s was synchronized by a router that has no sightings", node)
 		}
 		f.routers[f.nodes[3]].exchange.Restore([]Sighting{sightingOf(1)})
 		time.Sleep(10 * flushInterval)
--- a/internal/router/sightings/store.go
+++ b/internal/router/sightings/store.go
@@ -27,7 +27,7 @@
 	changed bool
 }
 
-// NewStore returns a keeper that forgets sightings when they are between one and two periods old.
+// NewStore returns a store that forgets sightings when they are between one and two periods old.
 func NewStore(period time.Duration) *Store {
 	return &Store{recent: NewWindowCounter[Sighting](period, maxSaved)}
 }
--- a/internal/router/sightings/store_test.go
+++ b/internal/router/sightings/store_test.go
@@ -13,8 +13,8 @@
 	"gotest.tools/v3/assert"
 )
 
-// runKeeper runs a keeper for the given time and returns the restored sightings, and whether restore was called.
-func runKeeper(t *testing.T, k *Store, directory string, span time.Duration) (restored []Sighting, called bool) {
+// runStore runs a store for the given time and returns the restored sightings, and whether restore was called.
+func runStore(t *testing.T, k *Store, directory string, span time.Duration) (restored []Sighting, called bool) {
 	t.Helper()
 	log := logrus.New()
 	log.SetOutput(io.Discard)
@@ -29,22 +29,22 @@
 	synctest.Test(t, func(t *testing.T) {
 		first := NewStore(time.Minute)
 		first.Add(time.Now(), []Sighting{sightingOf(1), sightingOf(2)})
-		_, called := runKeeper(t, first, directory, 3*saveInterval)
+		_, called := runStore(t, first, directory, 3*saveInterval)
 		assert.Assert(t, !called, "there was nothing to restore")
-		restored, _ := runKeeper(t, NewStore(time.Minute), directory, saveInterval/2)
+		restored, _ := runStore(t, NewStore(time.Minute), directory, saveInterval/2)
 		assert.Equal(t, len(restored), 2)
 	})
 }
 
-func TestAnUnchangedKeeperDoesNotWrite(t *testing.T) {
+func TestAnUnchangedStoreDoesNotWrite(t *testing.T) {
 	directory := filepath.Join(t.TempDir(), "sightings")
 	synctest.Test(t, func(t *testing.T) {
 		k := NewStore(time.Minute)
 		k.Add(time.Now(), []Sighting{sightingOf(1)})
-		runKeeper(t, k, directory, 3*saveInterval)
+		runStore(t, k, directory, 3*saveInterval)
 		before, err := os.ReadDir(directory)
 		assert.NilError(t, err)
-		runKeeper(t, k, directory, 10*saveInterval)
+		runStore(t, k, directory, 10*saveInterval)
 		after, err := os.ReadDir(directory)
 		assert.NilError(t, err)
 		assert.Equal(t, len(after), len(before))
@@ -52,9 +52,9 @@
 	})
 }
 
-func TestAKeeperWithoutADiskRestoresNothing(t *testing.T) {
+func TestAStoreWithoutADiskRestoresNothing(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		_, called := runKeeper(t, NewStore(time.Minute), "/dev/null/none", 3*saveInterval)
+		_, called := runStore(t, NewStore(time.Minute), "/dev/null/none", 3*saveInterval)
 		assert.Assert(t, !called)
 	})
 }
--- a/internal/router/sightings/windowcounter.go
+++ b/internal/router/sightings/windowcounter.go
@@ -6,8 +6,8 @@
 	"time"
 )
 
-// WindowCounter counts how often each member was added recently. It counts everything added within the last period and nothing
-// older than two periods. The number of members is limited. It is not safe for concurrent use.
+// WindowCounter counts how often each member was added recently. It counts everything added within the last period and
+// nothing older than two periods. The number of members is limited. It is not safe for concurrent use.
 type WindowCounter[K comparable] struct {
 	period   time.Duration
 	limit    int
@@ -16,7 +16,7 @@
 	previous map[K]int
 }
 
-// NewWindowCounter returns a Recent that holds at most limit members.
+// NewWindowCounter returns a counter that holds at most limit members.
 func NewWindowCounter[K comparable](period time.Duration, limit int) *WindowCounter[K] {
 	return &WindowCounter[K]{period: period, limit: limit, current: map[K]int{}}
 }
--- a/internal/router/sightings/windowcounter_test.go
+++ b/internal/router/sightings/windowcounter_test.go
@@ -12,13 +12,14 @@
 
 const testPeriod = time.Second
 
-// referenceRecent is a simple, slow implementation of Recent: a list of all members ever added, with their times.
-type referenceRecent []struct {
+// referenceRecent is a simple, slow implementation of WindowCounter: a list of all members ever added, with their
+// times.
+type referenceCounter []struct {
 	member int
 	at     time.Time
 }
 
-func (p referenceRecent) since(member int, from time.Time) int {
+func (p referenceCounter) since(member int, from time.Time) int {
 	count := 0
 	for _, added := range p {
 		if added.member == member && !added.at.Before(from) {
@@ -28,11 +29,12 @@
 	return count
 }
 
-// TestRecentForgetsBetweenOneAndTwoPeriods compares the counts with the bounds that the reference implementation gives.
-func TestRecentForgetsBetweenOneAndTwoPeriods(t *testing.T) {
+// TestWindowCounterForgetsBetweenOneAndTwoPeriods compares the counts with the bounds that the reference implementation
+// gives.
+func TestWindowCounterForgetsBetweenOneAndTwoPeriods(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		recent := NewWindowCounter[int](testPeriod, 1<<20)
-		var reference referenceRecent
+		var reference referenceCounter
 		now := testStart
 		members := rapid.IntRange(0, 4)
 		t.Repeat(map[string]func(*rapid.T){
