--- a/internal/router/cluster/merge.go
+++ b/internal/router/cluster/merge.go
@@ -85,8 +85,8 @@
 // delivering them to the peer.
 func (c *Cluster) withoutFreshLargeLocked(records []softstate.Record) []softstate.Record {
 	return slices.DeleteFunc(records, func(record softstate.Record) bool {
-		learned, _ := c.table.MergedAt(record.ID())
-		return len(record.Payload) > largePayloadBytes && time.Since(learned) < largeSettleTime
+		mergedAt, _ := c.table.MergedAt(record.ID())
+		return len(record.Payload) > largePayloadBytes && time.Since(mergedAt) < largeSettleTime
 	})
 }
 
--- a/internal/router/front/counters.go
+++ b/internal/router/front/counters.go
@@ -21,7 +21,7 @@
 type counters struct {
 	statuses          [statusClasses]atomic.Uint64
 	outcomes          [attempt.Answered + 1]atomic.Uint64
-	truncated         atomic.Uint64
+	abortedResponses  atomic.Uint64
 	clientDisconnects atomic.Uint64
 
 	mutex sync.Mutex
@@ -70,7 +70,7 @@
 		Redirected:        c.statuses[3].Load(),
 		ClientErrors:      c.statuses[4].Load(),
 		ServerErrors:      c.statuses[5].Load(),
-		AbortedResponses:  c.truncated.Load(),
+		AbortedResponses:  c.abortedResponses.Load(),
 		ClientDisconnects: c.clientDisconnects.Load(),
 		NeverSent:         c.outcomes[attempt.NeverSent].Load(),
 		Rejected:          c.outcomes[attempt.Rejected].Load(),
--- a/internal/router/front/response.go
+++ b/internal/router/front/response.go
@@ -72,7 +72,7 @@
 			return
 		}
 		if err != nil {
-			c.server.counters.truncated.Add(1)
+			c.server.counters.abortedResponses.Add(1)
 			panic(http.ErrAbortHandler)
 		}
 	}
@@ -122,7 +122,7 @@
 // sends the last failure of an instance or, if there is none, an error.
 func (c *call) respondWithFailure() {
 	if c.headerSent {
-		c.server.counters.truncated.Add(1)
+		c.server.counters.abortedResponses.Add(1)
 		panic(http.ErrAbortHandler)
 	}
 	if c.lastFailure != nil {
--- a/internal/router/loadreports/loadreports_test.go
+++ b/internal/router/loadreports/loadreports_test.go
@@ -87,9 +87,9 @@
 
 // fleet is a set of broadcasters whose messages are delivered immediately.
 type fleet struct {
-	broadcasters  map[string]*Broadcaster
-	reports  map[string]map[string]int // last reported number of queued requests by node and instance
-	received map[string]int
+	broadcasters map[string]*Broadcaster
+	reports      map[string]map[string]int // last reported number of queued requests by node and instance
+	received     map[string]int
 }
 
 // Send delivers a message to the router at the address.
--- a/internal/router/node/keylease.go
+++ b/internal/router/node/keylease.go
@@ -83,8 +83,8 @@
 }
 
 // Add implements shares.Confirmations.
-func (k *keyLease) Add(askedAt time.Duration, told configlease.Confirmation) {
-	k.lease.AddConfirmation(askedAt, told)
+func (k *keyLease) Add(askedAt time.Duration, confirmation configlease.Confirmation) {
+	k.lease.AddConfirmation(askedAt, confirmation)
 }
 
 // run reads the register whenever a read is due, until the context ends.
