--- a/internal/router/node/sightings.go
+++ b/internal/router/node/sightings.go
@@ -19,29 +19,29 @@
 // blockSightings exchanges sightings with the other routers. A sighting records to which instance a shared prompt block
 // was sent.
 type blockSightings struct {
-	exchange     *sightings.Exchange
-	keeper       *sightings.Keeper
-	repeatWindow time.Duration
+	exchange        *sightings.Exchange
+	store           *sightings.Store
+	duplicateWindow time.Duration
 }
 
 // newSightings returns nil if the settings do not define the time within which processing a block again is wasteful
 // (bounds.again_s): sightings are then not exchanged.
 func (n *Node) newSightings(s *settings.Settings) *blockSightings {
-	repeatWindow := settings.Seconds(s.Bounds.AgainS)
-	if repeatWindow <= 0 {
+	duplicateWindow := settings.Seconds(s.Bounds.AgainS)
+	if duplicateWindow <= 0 {
 		return nil
 	}
-	created := &blockSightings{keeper: sightings.NewKeeper(repeatWindow / 2), repeatWindow: repeatWindow}
+	created := &blockSightings{store: sightings.NewStore(duplicateWindow / 2), duplicateWindow: duplicateWindow}
 	created.exchange = sightings.NewExchange(sightings.Options{
 		Node:      s.Node,
 		Kind:      messageSightings,
 		Messenger: n.transport,
 		View:      n.view,
-		Take: func(now time.Time, list []sightings.Sighting) {
-			n.selector.TakeSightings(now, list)
-			created.keeper.Note(now, list)
+		OnReceive: func(now time.Time, list []sightings.Sighting) {
+			n.selector.RecordRemoteSightings(now, list)
+			created.store.Add(now, list)
 		},
-		Recent: created.keeper.Recent,
+		Recent: created.store.Recent,
 		Log:    n.log,
 	})
 	return created
@@ -52,7 +52,7 @@
 	if b == nil {
 		return nil
 	}
-	return &selection.SightingOptions{Announce: b.exchange.Announce, Alive: b.exchange.Alive, Recent: b.keeper.Recent, Again: b.repeatWindow}
+	return &selection.SightingOptions{Announce: b.exchange.Announce, IsCurrent: b.exchange.IsCurrent, Recent: b.store.Recent, DuplicateWindow: b.duplicateWindow}
 }
 
 // awaitSightings returns once the router has received the recent sightings, or after sightingsTimeout.
@@ -61,12 +61,12 @@
 		return
 	}
 	for begin := time.Now(); time.Since(begin) < sightingsTimeout && ctx.Err() == nil; {
-		if n.sightings.exchange.Informed() {
+		if n.sightings.exchange.Synchronized() {
 			return
 		}
 		sleep(ctx, readinessPollInterval/5)
 	}
-	n.sightings.exchange.SetInformed()
+	n.sightings.exchange.SetSynchronized()
 }
 
 // startSightings runs the exchange, and stores sightings if there is a data directory.
@@ -78,6 +78,6 @@
 	n.transport.HandleInline(messageSightings, current.exchange.Handle)
 	go current.exchange.Run(ctx)
 	if s.DataDir != "" { // Stop does not wait for it, since the disk may hang
-		go current.keeper.Run(ctx, filepath.Join(s.DataDir, sightingsDir), current.exchange.Restore, n.log)
+		go current.store.Run(ctx, filepath.Join(s.DataDir, sightingsDir), current.exchange.Restore, n.log)
 	}
 }
--- a/internal/router/selection/commonuse.go
+++ b/internal/router/selection/commonprefixuse.go
@@ -9,32 +9,32 @@
 )
 
 // maxCommonUseTenants limits the tenants whose use of common prefixes is counted.
-const maxCommonUseTenants = 512
+const maxCommonPrefixUseTenants = 512
 
-// CommonUse counts a tenant's requests that carried a common prefix.
-type CommonUse struct {
-	Requests        uint64
-	Hits            uint64 // sent to an instance that is estimated to cache the prefix
-	TokensReadAgain uint64 // tokens of the prefix that the other requests had to prefill
+// CommonPrefixUse counts a tenant's requests that carried a common prefix.
+type CommonPrefixUse struct {
+	Requests         uint64
+	Hits             uint64 // sent to an instance that is estimated to cache the prefix
+	RecomputedTokens uint64 // tokens of the prefix that the other requests had to prefill
 }
 
 // countCommonUse counts a pick if its request begins with a common prefix. It is called before the pick is entered into
 // the cache estimate.
-func (s *Selector) countCommonUse(b *backend, chosen *target, request *Request) {
+func (s *Selector) countCommonPrefixUse(b *backend, chosen *target, request *Request) {
 	if chosen.cache == nil || len(b.replicas) == 0 {
 		return
 	}
-	shared := prefixcache.Shared(request.Prefix)
+	shared := prefixcache.SharedBlocks(request.Prefix)
 	if !b.isCommon(s.commonPrefixes.Seed, request, shared) {
 		return
 	}
-	use := s.commonUseFor(request.Tenant)
+	use := s.commonPrefixUseFor(request.Tenant)
 	if use == nil {
 		return
 	}
 	use.Requests++
-	uncached := chosen.cache.Missing(prefixcache.HashModel(request.Model), shared)
-	use.TokensReadAgain += uint64(uncached)
+	uncached := chosen.cache.UncachedTokens(prefixcache.HashName(request.Model), shared)
+	use.RecomputedTokens += uint64(uncached)
 	if uncached == 0 {
 		use.Hits++
 	}
@@ -46,28 +46,28 @@
 }
 
 // commonUseFor finds or adds a tenant's counts. It returns nil if there are too many tenants.
-func (s *Selector) commonUseFor(tenant string) *CommonUse {
-	use := s.commonUse[tenant]
-	if use == nil && len(s.commonUse) < maxCommonUseTenants {
-		use = &CommonUse{}
-		s.commonUse[tenant] = use
+func (s *Selector) commonPrefixUseFor(tenant string) *CommonPrefixUse {
+	use := s.commonPrefixUse[tenant]
+	if use == nil && len(s.commonPrefixUse) < maxCommonPrefixUseTenants {
+		use = &CommonPrefixUse{}
+		s.commonPrefixUse[tenant] = use
 	}
 	return use
 }
 
-// CommonUses returns the use of common prefixes by tenant.
-func (s *Selector) CommonUses() map[string]CommonUse {
+// CommonPrefixUses returns the use of common prefixes by tenant.
+func (s *Selector) CommonPrefixUses() map[string]CommonPrefixUse {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
-	uses := make(map[string]CommonUse, len(s.commonUse))
-	for tenant, use := range maps.All(s.commonUse) {
+	uses := make(map[string]CommonPrefixUse, len(s.commonPrefixUse))
+	for tenant, use := range maps.All(s.commonPrefixUse) {
 		uses[tenant] = *use
 	}
 	return uses
 }
 
-// CommonHomes lists the ids of the instances that should cache a common prefix, best ranked first.
-func (s *Selector) CommonHomes(common commonprefix.Common) []string {
+// CommonPrefixHomes lists the ids of the instances that should cache a common prefix, best ranked first.
+func (s *Selector) CommonPrefixHomes(common commonprefix.Common) []string {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	b := s.backends[common.Backend]
