--- a/cmd/pewterrudder/box.go
+++ b/cmd/pewterrudder/box.go
@@ -30,7 +30,7 @@
 // box is what the control service sees of the balancer: it asks the reducer by events and waits for what they tell.
 type box struct {
 	post  func(reducer.Event)
-	state *reducer.Reducer // touched within what Look tells alone, on the goroutine that drives it
+	state *reducer.Reducer // touched within what Inspect tells alone, on the goroutine that drives it
 	cfg   *config.Config
 	now   func() time.Duration
 	begin time.Duration
@@ -166,16 +166,16 @@
 		return
 	}
 	done := make(chan struct{})
-	b.post(reducer.Operator{Changes: changes, Done: func() { close(done) }})
+	b.post(reducer.OverridesChanged{Changes: changes, Done: func() { close(done) }})
 	<-done
 }
 
 // look asks for all that is seen, a part at a time.
-func (b *box) look() reducer.View {
-	var all reducer.View
+func (b *box) look() reducer.Snapshot {
+	var all reducer.Snapshot
 	for from := ""; ; {
-		seen := make(chan reducer.View, 1)
-		b.post(reducer.Look{From: from, To: func(v reducer.View) { seen <- v }})
+		seen := make(chan reducer.Snapshot, 1)
+		b.post(reducer.Inspect{From: from, Done: func(v reducer.Snapshot) { seen <- v }})
 		v := <-seen
 		nodes := append(all.Nodes, v.Nodes...)
 		all = v
@@ -238,7 +238,7 @@
 	switch {
 	case n.Drained:
 		return boxapi.Drained
-	case n.Counts != brain.Ready:
+	case n.Effective != brain.Ready:
 		return boxapi.Leaving
 	case n.LastFailure > n.LastAnswer && n.LastFailure-n.LastAnswer > deadAfter && n.Idle == 0 && n.LastFailure > 0:
 		return boxapi.Dead
@@ -251,8 +251,8 @@
 }
 
 func (b *box) node(n *reducer.NodeView) boxapi.Node {
-	out := boxapi.Node{ID: n.ID, Address: n.Address, Zone: n.Zone, Pools: n.Pools, State: b.stateOf(n), Ready: n.Told == brain.Ready,
-		Load: n.Sight.Load, Open: n.Out, RosterWeight: n.Weight, RosterDrains: n.Told == brain.Draining, Drained: n.Drained}
+	out := boxapi.Node{ID: n.ID, Address: n.Address, Zone: n.Zone, Pools: n.Pools, State: b.stateOf(n), Ready: n.Listed == brain.Ready,
+		Load: n.Sight.Load, Open: n.InUse, RosterWeight: n.Weight, RosterDrains: n.Listed == brain.Draining, Drained: n.Drained}
 	return out
 }
 
@@ -280,7 +280,7 @@
 	if n.Drained {
 		add(boxapi.Drained, "an operator has drained it", "rudderctl restore "+node)
 	}
-	if n.Told == brain.Draining {
+	if n.Listed == brain.Draining {
 		add(boxapi.Leaving, "the roster says that it drains", "rudderctl roster")
 	}
 	if why.State == boxapi.Dead {
@@ -297,7 +297,7 @@
 	}
 	if len(n.Pools) == 0 {
 		var held, of int
-		b.seen(func() { held, of = b.state.Share() })
+		b.seen(func() { held, of = b.state.SubsetCount() })
 		text := "it is a member of no pool"
 		if held < of {
 			text = fmt.Sprintf("other balancers use it: of %d app nodes %d are this one's", of, held)
@@ -331,7 +331,7 @@
 		for _, n := range v.Nodes {
 			out.Entries = append(out.Entries, boxapi.Entry{ID: n.ID, Address: n.Address, Zone: n.Zone, Weight: n.Weight,
 				By: []string{config.Discovery}, From: config.Discovery,
-				State: [...]string{brain.Ready: "up", brain.Draining: "draining", brain.Gone: "gone"}[n.Told]})
+				State: [...]string{brain.Ready: "up", brain.Draining: "draining", brain.Gone: "gone"}[n.Listed]})
 		}
 	}
 	return out
@@ -339,7 +339,7 @@
 
 func (b *box) Peers() (out boxapi.Peers) {
 	b.seen(func() {
-		v := b.state.View()
+		v := b.state.PeerView()
 		if v == nil {
 			return
 		}
@@ -362,7 +362,7 @@
 // seen has something looked at on the goroutine that drives the reducer, and waits for it.
 func (b *box) seen(look func()) {
 	done := make(chan struct{})
-	b.post(reducer.Look{To: func(reducer.View) {
+	b.post(reducer.Inspect{Done: func(reducer.Snapshot) {
 		defer close(done)
 		look()
 	}})
--- a/cmd/pewterrudder/catalog.go
+++ b/cmd/pewterrudder/catalog.go
@@ -129,7 +129,7 @@
 		e.said.say(text)
 		return
 	}
-	ev := reducer.Adjusted{Pools: e.pools, Done: func() { e.said.say(text) }}
+	ev := reducer.PoolsChanged{Pools: e.pools, Done: func() { e.said.say(text) }}
 	if e.routed {
 		ev.Route = routeBy(e.catalog.View())
 	}
--- a/cmd/pewterrudder/catalog_test.go
+++ b/cmd/pewterrudder/catalog_test.go
@@ -155,7 +155,7 @@
 func (s *shelved) posted(ev reducer.Event) {
 	s.now.Lock()
 	defer s.now.Unlock()
-	e := ev.(reducer.Adjusted)
+	e := ev.(reducer.PoolsChanged)
 	for _, p := range e.Pools {
 		if p.Spec == nil {
 			delete(s.pools, p.ID)
--- a/cmd/pewterrudder/counter.go
+++ b/cmd/pewterrudder/counter.go
@@ -101,7 +101,7 @@
 	look := time.NewTicker(company)
 	last := mark.Others()
 	if last > 0 {
-		post(reducer.Beside{Others: last})
+		post(reducer.ProcessesChanged{Others: last})
 	}
 	go func() {
 		defer close(ended)
@@ -114,7 +114,7 @@
 				if n := mark.Others(); n != last {
 					last = n
 					log.Printf("%d other versions serve at %s", n, cfg.Listen)
-					post(reducer.Beside{Others: n})
+					post(reducer.ProcessesChanged{Others: n})
 				}
 			}
 		}
--- a/cmd/pewterrudder/main.go
+++ b/cmd/pewterrudder/main.go
@@ -107,13 +107,13 @@
 	if err != nil {
 		return fmt.Errorf("settings file: %w", err)
 	}
-	state, err := reducer.NewLaid(cfg.Brain, cfg.Prng, delegationBudget, divided)
+	state, err := reducer.NewWithLayout(cfg.Brain, cfg.Prng, delegationBudget, divided)
 	if err != nil {
 		return fmt.Errorf("settings: %w", err)
 	}
 	flows := cfg.Service.Flow
 	if stall := flows.Stall(); stall > 0 {
-		state.FixStall(stall)
+		state.SetFixedStallTimeout(stall)
 	}
 	var deadlines []time.Duration
 	for _, c := range cfg.Brain.Classes {
@@ -129,7 +129,7 @@
 		return err
 	}
 	if discovery >= 0 {
-		list.Hear(func() { post(reducer.Heard{Source: discovery}) })
+		list.Hear(func() { post(reducer.SourceAlive{Source: discovery}) })
 	}
 
 	// With a second address a later version may start beside this process. The clients' address is then opened once calls
@@ -175,36 +175,36 @@
 					nodes.Close(e)
 				case reducer.Watch:
 					list.Watch(e)
-				case reducer.Tell:
+				case reducer.RunCallback:
 					e.Do()
 				case reducer.Refetch:
 					others.again(e.Source)
-				case reducer.Arm:
+				case reducer.StartTimer:
 					time.AfterFunc(e.After, func() { post(e.Event) })
 				case reducer.Ready:
 					able <- struct{}{}
 				case reducer.Log:
 					log.Print(e.Text)
-				case reducer.Retuned:
+				case reducer.SettingsChanged:
 					next := e.Tag.(*config.Settings)
-					terms := acceptor.Terms{Classes: e.Places}
+					terms := acceptor.Terms{Classes: e.ClassSlots}
 					for i := range e.Classes {
 						terms.Deadlines = append(terms.Deadlines, e.Classes[i].Deadline)
 					}
 					front.Retune(terms)
 					nodes.Retune(next.Stats.Columns)
-				case reducer.Raise:
+				case reducer.RaiseStamp:
 					fellows.Raise(e.Stamp)
-				case reducer.Say:
+				case reducer.AnnounceFact:
 					fellows.Say(e.Fact)
-				case reducer.Turn:
-					front.Turn(e.Away)
-					standing.away.Store(e.Away)
-				case reducer.Share:
+				case reducer.SetDraining:
+					front.Turn(e.Draining)
+					standing.away.Store(e.Draining)
+				case reducer.DivideLimits:
 					front.Share(e.Parts)
 					shareMemory(cfg, e.Parts)
-				case reducer.Part:
-					front.Part(e.Silent)
+				case reducer.CloseClientConns:
+					front.Part(e.IncludeSilent)
 				case reducer.Publish:
 					counter.figures.Store(e.Figures)
 				}
@@ -265,7 +265,7 @@
 			}
 			if err != nil { // nothing of it is taken
 				log.Printf("reload: %v; the old configuration stays", err)
-				post(reducer.TurnedDown{})
+				post(reducer.ReloadRejected{})
 				continue
 			}
 			for _, key := range cfg.Fixed(next) {
--- a/cmd/pewterrudder/peers.go
+++ b/cmd/pewterrudder/peers.go
@@ -38,7 +38,7 @@
 	rand.Read(raw)
 	own := view.Life{ID: hex.EncodeToString(raw), Name: cfg.Name, Stamp: uint64(time.Now().UnixMilli()), Address: set.Address, Version: version(),
 		Zone: cfg.Settings.Zone}
-	state.UsePeers(view.New(own, cfg.Brain.Nodes, view.Bounds{Least: set.Least, Most: set.Most, Kinds: reducer.Kinds()}, now()))
+	state.UsePeers(view.New(own, cfg.Brain.Nodes, view.Bounds{Least: set.Least, Most: set.Most, Kinds: reducer.FactLimits()}, now()))
 	if set.Subset > 0 {
 		if err := state.UseSubsets(set.Subset); err != nil {
 			return nil, fmt.Errorf("settings file: peers.subset: %w", err)
@@ -57,7 +57,7 @@
 // askView has the reducer's goroutine show its view; false: it did not in time.
 func askView(post func(reducer.Event), look func(v *view.View)) bool {
 	done := make(chan struct{})
-	post(reducer.Word{Ask: func(v *view.View) { look(v); close(done) }})
+	post(reducer.PeerEvent{Inspect: func(v *view.View) { look(v); close(done) }})
 	select {
 	case <-done:
 		return true
--- a/cmd/pewterrudder/peers_on.go
+++ b/cmd/pewterrudder/peers_on.go
@@ -15,7 +15,7 @@
 func init() {
 	joinFellows = func(set config.Peers, own view.Life, post func(reducer.Event)) (fellows, error) {
 		p, err := peers.Join(peers.Options{Settings: set, Own: own,
-			Post: func(e view.Event) { post(reducer.Word{Event: e}) },
+			Post: func(e view.Event) { post(reducer.PeerEvent{Event: e}) },
 			Known: func() []peers.Known {
 				told := make(chan []peers.Known, 1)
 				askView(post, func(v *view.View) {
--- a/cmd/pewterrudder/sources.go
+++ b/cmd/pewterrudder/sources.go
@@ -27,10 +27,10 @@
 }
 
 func (s sink) Said(whole bool, revision int64, entries []roster.Entry) {
-	s.post(reducer.Said{Source: s.source, Whole: whole, Revision: revision, Entries: entries})
+	s.post(reducer.SourceList{Source: s.source, Complete: whole, Revision: revision, Entries: entries})
 }
-func (s sink) Heard()          { s.post(reducer.Heard{Source: s.source}) }
-func (s sink) Broke(err error) { s.post(reducer.SourceBroke{Source: s.source, Err: err}) }
+func (s sink) Heard()          { s.post(reducer.SourceAlive{Source: s.source}) }
+func (s sink) Broke(err error) { s.post(reducer.SourceFailed{Source: s.source, Err: err}) }
 
 // believe gives the state the roster that the settings file asks for, and says which of its sources is discovery, -1 for
 // none. Where discovery is alone and its word is the list there is no roster.
--- a/internal/acceptor/acceptor_test.go
+++ b/internal/acceptor/acceptor_test.go
@@ -127,7 +127,7 @@
 	if string(callMessage(call).Body) != "skip" || call.Tenant != -1 || call.Quota != 0 || callMessage(call).Request.Header.Get("Idempotency-Key") != "5c" {
 		t.Errorf("%+v", call)
 	}
-	ta.Answer(call.ID, reducer.Reply{Kind: reducer.Refused, After: 250 * time.Millisecond})
+	ta.Answer(call.ID, reducer.Reply{Kind: reducer.Refused, RetryAfter: 250 * time.Millisecond})
 	if resp, _ := c.readResponse(); resp.StatusCode != 503 || resp.Header.Get("Retry-After") != "0.250" {
 		t.Errorf("%+v", resp)
 	}
@@ -510,7 +510,7 @@
 	c := ta.dial().send(header+"Expect: 100-continue\n", "")
 	call := (<-ta.events).(reducer.Arrived).Call
 	up := callMessage(call).Upload
-	if !call.OneShot || up == nil || up.Length != 100000 {
+	if !call.StreamedBody || up == nil || up.Length != 100000 {
 		t.Fatalf("%+v", call)
 	}
 	if c.Buffered() != 0 {
@@ -585,7 +585,7 @@
 	header := "POST" + lookupRequest[3:] + "Transfer-Encoding: chunked\n"
 	c := ta.dial().send(header, "3;why=not\r\nabc\r\n2\r\nde\r\n0\r\nX-Sum: 5\r\n\r\n"+strings.ReplaceAll(lookupRequest, "\n", "\r\n")+"\r\n")
 	call := (<-ta.events).(reducer.Arrived).Call
-	if m := callMessage(call); string(m.Body) != "abcde" || m.Upload != nil || call.OneShot {
+	if m := callMessage(call); string(m.Body) != "abcde" || m.Upload != nil || call.StreamedBody {
 		t.Fatalf("%+v", m)
 	}
 	ta.Answer(call.ID, servedReply("kept"))
@@ -603,7 +603,7 @@
 	go fmt.Fprintf(c, "%x\r\n%s\r\n0\r\n\r\n", len(long), long)
 	call = (<-ta.events).(reducer.Arrived).Call
 	up := callMessage(call).Upload
-	if !call.OneShot || up == nil || up.Length != -1 {
+	if !call.StreamedBody || up == nil || up.Length != -1 {
 		t.Fatalf("%+v", call)
 	}
 	if all, err := io.ReadAll(up); string(all) != long || err != nil {
--- a/internal/acceptor/request.go
+++ b/internal/acceptor/request.go
@@ -55,7 +55,7 @@
 	}
 	out.Trailer = r.Trailer
 	return &reducer.Call{ID: callID, ClientID: strings.Clone(id), Class: class, Tenant: tenant.ID, Quota: tenant.Quota, Retry: r.Header.Get("X-Retry") == "1",
-		Key: r.URL.Query().Get("key"), Work: float64(cost) / float64(time.Millisecond), Message: out, OneShot: out.Upload != nil,
+		Key: r.URL.Query().Get("key"), Work: float64(cost) / float64(time.Millisecond), Message: out, StreamedBody: out.Upload != nil,
 		Deadline: a.now() + min(timeout, terms.Deadlines[class])}, nil // caps the timers of the call
 }
 
--- a/internal/acceptor/response.go
+++ b/internal/acceptor/response.go
@@ -125,8 +125,8 @@
 	case reducer.Refused:
 		// 503 says that a retry is harmless, and Retry-After when, in seconds (RFC 9110, 10.2.3; here with decimals,
 		// which the platform's clients accept).
-		if resp.StatusCode, text = http.StatusServiceUnavailable, "overloaded\n"; reply.After > 0 {
-			resp.Header.Set("Retry-After", strconv.FormatFloat(reply.After.Seconds(), 'f', 3, 64))
+		if resp.StatusCode, text = http.StatusServiceUnavailable, "overloaded\n"; reply.RetryAfter > 0 {
+			resp.Header.Set("Retry-After", strconv.FormatFloat(reply.RetryAfter.Seconds(), 'f', 3, 64))
 		}
 	case reducer.Conflict:
 		resp.StatusCode, text = http.StatusConflict, "X-Request-Id is in use\n"
--- a/internal/delegation/delegation_test.go
+++ b/internal/delegation/delegation_test.go
@@ -77,7 +77,7 @@
 func (k *testConn) sendCall(call *message.Call) {
 	call.Request = &http.Request{Method: "POST", Host: "origin.svc", RequestURI: "/booking//a%2Fb?q=1;2&x=%zz",
 		Header: http.Header{"X-Request-Id": {"9b1f"}, "Idempotency-Key": {"5c"}, "Expect": {"100-continue"}}}
-	k.connections.Exchange(reducer.Exchange{Conn: 1, Wait: 300 * time.Millisecond, Stall: k.readTimeout, FlowStall: k.flowReadTimeout,
+	k.connections.Exchange(reducer.Exchange{Conn: 1, TimeLeft: 300 * time.Millisecond, ReadTimeout: k.readTimeout, FlowReadTimeout: k.flowReadTimeout,
 		Call: &reducer.Call{Message: call}})
 }
 
@@ -166,16 +166,16 @@
 		k := newTestConn(t)
 		e := k.exchange(c.response)
 		k.checkNothingLent()
-		status, want := 0, reducer.Broke
+		status, want := 0, reducer.ResultBroken
 		if e.Err == nil {
 			switch c.status {
 			case 200, 204:
-				want = reducer.Good
+				want = reducer.ResultGood
 			case 503, 500:
-				want = reducer.Errored
+				want = reducer.ResultAppError
 			}
 			if c.shed {
-				want = reducer.Shed
+				want = reducer.ResultShed
 			}
 			status = c.status
 		}
@@ -184,8 +184,8 @@
 				t.Errorf("%.60q: the load report was forwarded to the client", c.response)
 			}
 		}
-		if status != c.status || e.Result != want || e.Reuse != c.reuse || !slices.Equal(e.Report, c.report) ||
-			e.Written != reducer.Whole {
+		if status != c.status || e.Result != want || e.Reusable != c.reuse || !slices.Equal(e.Report, c.report) ||
+			e.Written != reducer.WroteAll {
 			t.Errorf("%.60q: status %d, result %+v", c.response, status, e)
 		}
 	}
@@ -199,7 +199,7 @@
 		t.Fatal(err)
 	}
 	k.nodeConn.Close()
-	if e := k.waitExchanged(); e.Written != reducer.Partly || e.Result != reducer.Broke {
+	if e := k.waitExchanged(); e.Written != reducer.WrotePart || e.Result != reducer.ResultBroken {
 		t.Errorf("%+v", e)
 	}
 }
@@ -213,7 +213,7 @@
 		t.Fatal(err)
 	}
 	io.WriteString(k.nodeConn, "HTTP/1.1 503 Full\r\nContent-Length: 0\r\nX-Not-Run: 1\r\n\r\n")
-	if e := k.waitExchanged(); e.Result != reducer.Shed || e.Reuse || e.Written != reducer.Partly {
+	if e := k.waitExchanged(); e.Result != reducer.ResultShed || e.Reusable || e.Written != reducer.WrotePart {
 		t.Errorf("%+v", e)
 	}
 }
@@ -231,7 +231,7 @@
 			t.Fatalf("no Lost event for connection 1: %+v", lost)
 		}
 		k.send(nil)
-		if e := k.waitExchanged(); e.Written != reducer.Nothing {
+		if e := k.waitExchanged(); e.Written != reducer.WroteNothing {
 			t.Errorf("%+v", e)
 		}
 	}
@@ -250,7 +250,7 @@
 	c.mu.Unlock()
 	io.WriteString(k.nodeConn, previous)
 	close(ex.writerDone)
-	if e := k.waitExchanged(); e.Err == nil || e.Written != reducer.Nothing {
+	if e := k.waitExchanged(); e.Err == nil || e.Written != reducer.WroteNothing {
 		t.Errorf("%+v", e)
 	}
 	l, err := net.Listen("tcp", "127.0.0.1:0")
@@ -304,7 +304,7 @@
 			call.Upload = flow.NewUpload(strings.NewReader("skip"), 4, 10, time.Hour, time.Now, func(time.Time) {}, func(time.Time) {})
 		}
 		k.sendCall(call)
-		if e := k.waitExchanged(); e.Written != reducer.Nothing || e.Result != reducer.Left || e.Reuse || e.Spent {
+		if e := k.waitExchanged(); e.Written != reducer.WroteNothing || e.Result != reducer.ResultClientLeft || e.Reusable || e.BodyUsed {
 			t.Errorf("%+v", e)
 		}
 		k.connections.Close(reducer.Close{Conn: 1})
--- a/internal/delegation/flow_test.go
+++ b/internal/delegation/flow_test.go
@@ -130,7 +130,7 @@
 				a = e.Message.(*message.Answer)
 				got = a.Body
 			}
-			if e.Result != reducer.Good || e.Reuse == c.close || !bytes.Equal(got, []byte(body)) {
+			if e.Result != reducer.ResultGood || e.Reusable == c.close || !bytes.Equal(got, []byte(body)) {
 				t.Errorf("%s, %d: %d bytes, %+v", name, n, len(got), e)
 			}
 			if name == "chunked" && (a.Trailer.Get("X-Sum") != "5" || a.Trailer.Get("X-Other") != "6") {
@@ -154,21 +154,21 @@
 		commit   bool
 		want     reducer.Result
 	}{
-		"cut after the head":             {length, true, false, reducer.Broke},
-		"cut at the commit":              {length + body[:1], true, true, reducer.Broke},
-		"cut after the commit":           {length + body[:200<<10], true, true, reducer.Broke},
-		"cut at the last byte":           {length + body[:len(body)-1], true, true, reducer.Broke},
-		"chunks, cut early":              {part[:unknownLengthBuffer/2], true, false, reducer.Broke},
-		"chunks, cut late":               {part, true, true, reducer.Broke},
-		"chunks, no last chunk":          {chunked(body, "")[:len(chunked(body, ""))-5], true, true, reducer.Broke},
-		"chunks over the limit":          {chunked(strings.Repeat(body, 5), ""), false, true, reducer.Broke}, // over the limit of 1 MiB
-		"stalls before the commit":       {part[:unknownLengthBuffer/2], false, false, reducer.Stalled},
-		"stalls after the commit":        {length + body[:200<<10], false, true, reducer.Stalled},
-		"chunks, stall after the commit": {part, false, true, reducer.Stalled},
+		"cut after the head":             {length, true, false, reducer.ResultBroken},
+		"cut at the commit":              {length + body[:1], true, true, reducer.ResultBroken},
+		"cut after the commit":           {length + body[:200<<10], true, true, reducer.ResultBroken},
+		"cut at the last byte":           {length + body[:len(body)-1], true, true, reducer.ResultBroken},
+		"chunks, cut early":              {part[:unknownLengthBuffer/2], true, false, reducer.ResultBroken},
+		"chunks, cut late":               {part, true, true, reducer.ResultBroken},
+		"chunks, no last chunk":          {chunked(body, "")[:len(chunked(body, ""))-5], true, true, reducer.ResultBroken},
+		"chunks over the limit":          {chunked(strings.Repeat(body, 5), ""), false, true, reducer.ResultBroken}, // over the limit of 1 MiB
+		"stalls before the commit":       {part[:unknownLengthBuffer/2], false, false, reducer.ResultStalled},
+		"stalls after the commit":        {length + body[:200<<10], false, true, reducer.ResultStalled},
+		"chunks, stall after the commit": {part, false, true, reducer.ResultStalled},
 	} {
 		t.Run(name, func(t *testing.T) {
 			k := newTestConn(t)
-			if c.want == reducer.Stalled {
+			if c.want == reducer.ResultStalled {
 				if k.readTimeout = 40 * time.Millisecond; c.commit {
 					k.readTimeout, k.flowReadTimeout = k.flowReadTimeout, k.readTimeout
 				}
@@ -183,7 +183,7 @@
 				}
 				a.Flow.Close()
 			}
-			if e := k.waitExchanged(); e.Result != c.want || e.Err == nil || e.Reuse || e.Written != reducer.Whole {
+			if e := k.waitExchanged(); e.Result != c.want || e.Err == nil || e.Reusable || e.Written != reducer.WroteAll {
 				t.Errorf("%+v", e)
 			}
 			k.checkNothingLent()
@@ -207,7 +207,7 @@
 		}()
 		if byClient {
 			a.Flow.Close()
-			if e := k.waitExchanged(); e.Result != reducer.Left || e.Reuse {
+			if e := k.waitExchanged(); e.Result != reducer.ResultClientLeft || e.Reusable {
 				t.Errorf("%+v", e)
 			}
 		}
@@ -236,7 +236,7 @@
 }
 
 // While all memory is lent, a large answer waits for it. It is streamed once memory is returned, and otherwise reported
-// as NoRoom.
+// as ResultNoMemory.
 func TestLargeAnswerWithoutMemory(t *testing.T) {
 	for _, released := range []bool{true, false} {
 		k := newTestConn(t)
@@ -251,7 +251,7 @@
 		k.readRequest()
 		k.respond(fmt.Sprintf("HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s", 100<<10, randomBody(100<<10)), false)
 		if !released {
-			if e := k.waitExchanged(); e.Result != reducer.NoRoom || e.Reuse {
+			if e := k.waitExchanged(); e.Result != reducer.ResultNoMemory || e.Reusable {
 				t.Errorf("%+v", e)
 			}
 			other.Release()
@@ -262,7 +262,7 @@
 		a := k.waitCommit()
 		got, err := io.ReadAll(a.Flow)
 		a.Flow.Close()
-		if e := k.waitExchanged(); string(got) != randomBody(100<<10) || err != nil || e.Result != reducer.Good {
+		if e := k.waitExchanged(); string(got) != randomBody(100<<10) || err != nil || e.Result != reducer.ResultGood {
 			t.Errorf("%d bytes, %v, %+v", len(got), err, e)
 		}
 	}
@@ -303,7 +303,7 @@
 	}
 	got, err := io.ReadAll(r.Body)
 	k.respond("HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n", false)
-	if e := k.waitExchanged(); string(got) != body || err != nil || e.Result != reducer.Good || !e.Reuse || !e.Spent || e.Written != reducer.Whole {
+	if e := k.waitExchanged(); string(got) != body || err != nil || e.Result != reducer.ResultGood || !e.Reusable || !e.BodyUsed || e.Written != reducer.WroteAll {
 		t.Errorf("%d bytes, %v, %+v", len(got), err, e)
 	}
 
@@ -312,7 +312,7 @@
 	k.sendCall(&message.Call{Upload: half.Upload})
 	k.readBodyStart()
 	k.respond("HTTP/1.1 409 Booked\r\nContent-Length: 0\r\n\r\n", false)
-	if e := k.waitExchanged(); e.Result != reducer.Unusable || e.Reuse || !e.Spent || e.Written != reducer.Partly {
+	if e := k.waitExchanged(); e.Result != reducer.ResultInvalidCall || e.Reusable || !e.BodyUsed || e.Written != reducer.WrotePart {
 		t.Errorf("early answer: %+v", e)
 	}
 	<-half.interrupted
@@ -322,14 +322,14 @@
 	k.sendCall(&message.Call{Upload: half.Upload})
 	k.readBodyStart()
 	k.nodeConn.Close()
-	if e := k.waitExchanged(); e.Result != reducer.Broke || !e.Spent || e.Written != reducer.Partly {
+	if e := k.waitExchanged(); e.Result != reducer.ResultBroken || !e.BodyUsed || e.Written != reducer.WrotePart {
 		t.Errorf("the app node closes: %+v", e)
 	}
 
 	k = newTestConn(t) // the client sends less than it declared
 	short := flow.NewUpload(strings.NewReader(body[:100<<10]), int64(len(body)), 1<<30, time.Hour, time.Now, func(time.Time) {}, func(time.Time) {})
 	k.sendCall(&message.Call{Upload: short})
-	if e := k.waitExchanged(); e.Result != reducer.Left || !e.Spent || e.Written != reducer.Partly {
+	if e := k.waitExchanged(); e.Result != reducer.ResultClientLeft || !e.BodyUsed || e.Written != reducer.WrotePart {
 		t.Errorf("short upload: %+v", e)
 	}
 
@@ -380,7 +380,7 @@
 		t.Fatalf("%d bytes, %v", len(got), err)
 	}
 	k.respond("HTTP/1.1 500 Internal Server Error\r\nContent-Length: 0\r\n\r\n", false)
-	if e := k.waitExchanged(); e.Written != reducer.Whole || e.Result != reducer.Errored || !e.Spent {
+	if e := k.waitExchanged(); e.Written != reducer.WroteAll || e.Result != reducer.ResultAppError || !e.BodyUsed {
 		t.Errorf("%+v", e)
 	}
 }
--- a/internal/delegation/read.go
+++ b/internal/delegation/read.go
@@ -88,9 +88,9 @@
 				return
 			}
 			<-ex.writerDone // the writer has written nothing
-			e := reducer.Exchanged{Conn: k.id, Written: reducer.Nothing, Err: errNotWritten}
+			e := reducer.Exchanged{Conn: k.id, Written: reducer.WroteNothing, Err: errNotWritten}
 			if ex.clientLeft {
-				e.Result = reducer.Left
+				e.Result = reducer.ResultClientLeft
 			}
 			k.connections.post(e)
 			return
@@ -117,20 +117,20 @@
 		}
 		// An answer can arrive before the writer has noted its last byte. A call that may have run must not count as one
 		// that cannot have run.
-		e.Spent = ex.upload.hasStarted()
-		e.Written = reducer.Partly
-		if ex.complete || e.Spent && ex.call.Upload.LastByteRead() {
-			e.Written = reducer.Whole
+		e.BodyUsed = ex.upload.hasStarted()
+		e.Written = reducer.WrotePart
+		if ex.complete || e.BodyUsed && ex.call.Upload.LastByteRead() {
+			e.Written = reducer.WroteAll
 		}
-		if e.Err != nil && e.Spent && ex.call.Upload.Failed() {
-			e.Result = reducer.Left // the client failed, not the app node
+		if e.Err != nil && e.BodyUsed && ex.call.Upload.Failed() {
+			e.Result = reducer.ResultClientLeft // the client failed, not the app node
 		}
 		k.mu.Lock()
-		e.Reuse = e.Reuse && ex.complete
-		k.current, k.flow, k.readerDone = nil, nil, !e.Reuse
+		e.Reusable = e.Reusable && ex.complete
+		k.current, k.flow, k.readerDone = nil, nil, !e.Reusable
 		k.mu.Unlock()
 		k.connections.post(e)
-		if !e.Reuse {
+		if !e.Reusable {
 			return
 		}
 	}
@@ -165,27 +165,27 @@
 	result := classify(resp)
 	k.in.startBody(ex.readTimeout)
 	held, lease, err := k.readHeld(resp)
-	e.Pause = k.in.longestPause
+	e.LongestPause = k.in.longestPause
 	a := &message.Answer{Status: resp.StatusCode, Header: resp.Header, Trailer: &resp.Trailer, Body: held}
 	switch {
 	case err == flow.ErrMemoryLimit:
-		e.Result = reducer.NoRoom
+		e.Result = reducer.ResultNoMemory
 	case errors.Is(err, os.ErrDeadlineExceeded):
-		e.Result, e.Err = reducer.Stalled, fmt.Errorf("delegation: no more of the answer for %v", ex.readTimeout)
+		e.Result, e.Err = reducer.ResultStalled, fmt.Errorf("delegation: no more of the answer for %v", ex.readTimeout)
 	case err != nil:
 		e.Err = err
 	case lease == nil:
 		e.Result, e.Message = result, a
 		// The body is not closed: Close would read to its end, however long it is, and it holds no resources.
-		e.Reuse = !resp.Close && k.br.Buffered() == 0
-	case result != reducer.Good && result != reducer.Unusable: // the rest is not wanted
+		e.Reusable = !resp.Close && k.br.Buffered() == 0
+	case result != reducer.ResultGood && result != reducer.ResultInvalidCall: // the rest is not wanted
 		lease.Release()
 		e.Result = result
 	default:
 		a.Body = nil
 		a.Flow = flow.New(lease, held, resp.Body, k.connections.bounds.Largest-int64(len(held)))
 		k.stream(ex, result, a, e)
-		e.Reuse = e.Result == reducer.Good && !resp.Close && k.br.Buffered() == 0
+		e.Reusable = e.Result == reducer.ResultGood && !resp.Close && k.br.Buffered() == 0
 	}
 }
 
@@ -213,13 +213,13 @@
 func classify(resp *http.Response) reducer.Result {
 	switch s := resp.StatusCode; {
 	case s < 400:
-		return reducer.Good
+		return reducer.ResultGood
 	case (s == http.StatusServiceUnavailable || s == http.StatusGatewayTimeout) && resp.Header.Get("X-Not-Run") == "1":
-		return reducer.Shed
+		return reducer.ResultShed
 	case s < 500 && s != http.StatusRequestTimeout && s != http.StatusTooManyRequests:
-		return reducer.Unusable // another app node would give the same answer
+		return reducer.ResultInvalidCall // another app node would give the same answer
 	}
-	return reducer.Errored
+	return reducer.ResultAppError
 }
 
 // readHeld reads the part of a body that is buffered. A nil lease means that held is the whole body; otherwise more may
@@ -284,11 +284,11 @@
 	<-a.Flow.Ended()
 	switch err := a.Flow.Err(); {
 	case err == io.EOF:
-		e.Result, e.Pause = reducer.Good, k.in.longestPause
+		e.Result, e.LongestPause = reducer.ResultGood, k.in.longestPause
 	case err == flow.ErrStopped:
-		e.Result = reducer.Left
+		e.Result = reducer.ResultClientLeft
 	case errors.Is(err, os.ErrDeadlineExceeded):
-		e.Result, e.Err = reducer.Stalled, fmt.Errorf("delegation: no more of the answer for %v", ex.flowReadTimeout)
+		e.Result, e.Err = reducer.ResultStalled, fmt.Errorf("delegation: no more of the answer for %v", ex.flowReadTimeout)
 	default:
 		e.Err = err
 	}
--- a/internal/delegation/write.go
+++ b/internal/delegation/write.go
@@ -22,7 +22,7 @@
 	if k == nil {
 		return
 	}
-	ex := &exchange{call: e.Call.Message.(*message.Call), readTimeout: e.Stall, flowReadTimeout: e.FlowStall,
+	ex := &exchange{call: e.Call.Message.(*message.Call), readTimeout: e.ReadTimeout, flowReadTimeout: e.FlowReadTimeout,
 		writerDone: make(chan struct{})}
 	if upload := ex.call.Upload; upload != nil {
 		ex.upload = &uploadReader{upload: upload}
@@ -34,10 +34,10 @@
 	}
 	k.mu.Unlock()
 	if readerDone { // the app node closed while the reducer picked this connection
-		go c.post(reducer.Exchanged{Conn: e.Conn, Written: reducer.Nothing, Err: io.EOF})
+		go c.post(reducer.Exchanged{Conn: e.Conn, Written: reducer.WroteNothing, Err: io.EOF})
 		return
 	}
-	go k.write(ex, e.Wait)
+	go k.write(ex, e.TimeLeft)
 }
 
 // write sends a call: a buffered body together with the header in one write, an upload as the client sends it. wait is
--- a/internal/lab/planted/faults.go
+++ b/internal/lab/planted/faults.go
@@ -40,7 +40,7 @@
 		New:   `		if o := r.calls[c.ID-1]; o != nil && !o.noMoreAttempts() {` + "\n" + `			r.answer(o, Reply{Kind: Served, Message: e.Message})` + "\n" + `		}` + "\n" + `		r.answer(c, Reply{Kind: Served, Message: e.Message})`,
 		Rules: []string{"answers"}},
 	{Name: "deadline-unmarked", About: "no timer is armed for the deadline of a call", File: "internal/reducer/calls.go",
-		Old: `	r.emit(Arm{max(0, c.deadline-r.now), callDeadline{c.ID}})
+		Old: `	r.emit(StartTimer{max(0, c.deadline-r.now), callDeadline{c.ID}})
 `,
 		New:   "",
 		Rules: []string{"answers"}},
@@ -55,8 +55,8 @@
 		New:   `		if cn.state == busy {`,
 		Rules: []string{"sound"}},
 	{Name: "body-sent-twice", About: "an upload whose body is gone is sent again", File: "internal/reducer/delegations.go",
-		Old:   `	if c.OneShot && slices.ContainsFunc(`,
-		New:   `	if c.OneShot && len(c.attempts) > 9 && slices.ContainsFunc(`,
+		Old:   `	if c.StreamedBody && slices.ContainsFunc(`,
+		New:   `	if c.StreamedBody && len(c.attempts) > 9 && slices.ContainsFunc(`,
 		Rules: []string{"sound"}},
 	{Name: "used-after-its-end", About: "a connection that its app node has closed is given back, and stays among the idle ones",
 		File: "internal/reducer/reducer.go",
@@ -82,7 +82,7 @@
 		return`,
 		New: `	c := r.calls[id]
 	if c == nil {
-		r.emit(Arm{idleSweepInterval, callDeadline{id}})
+		r.emit(StartTimer{idleSweepInterval, callDeadline{id}})
 		return`,
 		Rules: []string{"leaks"}},
 	{Name: "no-answer-at-the-deadline", About: "a call whose deadline comes counts as answered", File: "internal/reducer/calls.go",
--- a/internal/lab/virtual/balancer.go
+++ b/internal/lab/virtual/balancer.go
@@ -103,7 +103,7 @@
 		_, _, budget := config.Limits{MemoryMB: 192, Sockets: r.sc.Balancers.Sockets}.Budget()
 		b.decider = decider
 		if r.opt.Layout == nil {
-			b.red = reducer.NewWith(cfg, decider, budget)
+			b.red = reducer.NewWithDecider(cfg, decider, budget)
 		} else {
 			b.red = b.laid(cfg, seed, budget)
 		}
@@ -126,7 +126,7 @@
 		panic("virtual: " + err.Error())
 	}
 	first := true
-	red, err := reducer.NewPools(cfg, budget, layout, func(pool string) brain.Decider {
+	red, err := reducer.NewWithDeciders(cfg, budget, layout, func(pool string) brain.Decider {
 		if first {
 			first = false
 			return b.decider
@@ -209,7 +209,7 @@
 	}
 	now := b.now()
 	c := &reducer.Call{ID: a.ID, ClientID: strconv.FormatUint(a.ID, 16), Class: a.Op.Class, Tenant: a.Op.Tenant, Retry: a.Retry,
-		Work: a.Op.Hint, Deadline: now + a.Deadline - a.Sent, OneShot: a.Op.Upload > held, Message: a}
+		Work: a.Op.Hint, Deadline: now + a.Deadline - a.Sent, StreamedBody: a.Op.Upload > held, Message: a}
 	if c.Tenant >= 0 {
 		c.Quota = b.run.sc.Tenants[c.Tenant].Quota
 	}
@@ -240,7 +240,7 @@
 			b.index, e.Call)
 		return
 	}
-	o := world.Outcome{After: e.Reply.After, Closes: b.draining}
+	o := world.Outcome{After: e.Reply.RetryAfter, Closes: b.draining}
 	switch e.Reply.Kind {
 	case reducer.Served:
 		o.Kind = world.Served
@@ -284,7 +284,7 @@
 			b.close(e)
 		case reducer.Watch:
 			b.openWatch(e)
-		case reducer.Arm:
+		case reducer.StartTimer:
 			b.timers++
 			r.arm(b, e.After, e.Event)
 		case reducer.Ready:
@@ -374,18 +374,18 @@
 	}
 	a := e.Call.Message.(*world.Ask)
 	if k.ended || !k.link.Open() { // closed while the reducer picked it
-		b.later(readerWakes, reducer.Exchanged{Conn: e.Conn, Written: reducer.Nothing, Err: errReset})
+		b.later(readerWakes, reducer.Exchanged{Conn: e.Conn, Written: reducer.WroteNothing, Err: errReset})
 		return
 	}
-	if e.Call.OneShot {
+	if e.Call.StreamedBody {
 		if a.Data == bodyGone {
 			b.run.oracle.Break(oracle.Sound, "balancer %d sends request %d again, whose body is gone", b.index, a.ID)
 		}
 		a.Data = bodyGone
 		b.later(readerWakes, reducer.Uploaded{Call: e.Call.ID}) // bodies take no time here
 	}
-	k.busy, k.flows, k.ask, k.shot, k.stall, k.flow = true, false, nil, e.Call.OneShot, e.Stall, e.FlowStall
-	k.link.Send(a.Op, a.ID, e.Wait)
+	k.busy, k.flows, k.ask, k.shot, k.stall, k.flow = true, false, nil, e.Call.StreamedBody, e.ReadTimeout, e.FlowReadTimeout
+	k.link.Send(a.Op, a.ID, e.TimeLeft)
 }
 
 func (b *balancer) close(e reducer.Close) {
@@ -453,7 +453,7 @@
 	}
 	k.timer.Stop()
 	k.timer = p.run.clock.After(l.Rest()+k.flow, stopped{k})
-	k.b.handle(reducer.Flowing{Conn: k.id, Result: reducer.Good, Message: &flowing{k, a}})
+	k.b.handle(reducer.Flowing{Conn: k.id, Result: reducer.ResultGood, Message: &flowing{k, a}})
 }
 
 func (p *peer) LinkHalts(l *world.Link) {
@@ -473,7 +473,7 @@
 	}
 	k.busy = false
 	k.flowEnded(false)
-	k.b.handle(reducer.Exchanged{Conn: k.id, Written: reducer.Whole, Result: reducer.Stalled, Spent: k.shot,
+	k.b.handle(reducer.Exchanged{Conn: k.id, Written: reducer.WroteAll, Result: reducer.ResultStalled, BodyUsed: k.shot,
 		Err: errStalled})
 }
 
@@ -484,17 +484,17 @@
 	}
 	k.busy = false
 	k.timer.Stop()
-	e := reducer.Exchanged{Conn: k.id, Written: reducer.Whole, Reuse: true, Spent: k.shot}
+	e := reducer.Exchanged{Conn: k.id, Written: reducer.WroteAll, Reusable: true, BodyUsed: k.shot}
 	switch a.End {
 	case world.Finished:
-		e.Result = reducer.Good
+		e.Result = reducer.ResultGood
 		if !k.flows {
 			e.Message = a
 		}
 	case world.Errored:
-		e.Result = reducer.Errored
+		e.Result = reducer.ResultAppError
 	default:
-		e.Result = reducer.Shed
+		e.Result = reducer.ResultShed
 	}
 	if a.Loaded && p.run.sc.Reports.How == "answers" {
 		e.Report = (*balancer)(p).values(&a.Report)
@@ -525,9 +525,9 @@
 	case k.busy:
 		k.busy, k.ended = false, true
 		k.timer.Stop()
-		e := reducer.Exchanged{Conn: k.id, Written: reducer.Whole, Result: reducer.Broke, Spent: k.shot, Err: errReset}
+		e := reducer.Exchanged{Conn: k.id, Written: reducer.WroteAll, Result: reducer.ResultBroken, BodyUsed: k.shot, Err: errReset}
 		if !l.Whole() {
-			e.Written = reducer.Partly
+			e.Written = reducer.WrotePart
 		}
 		k.flowEnded(false)
 		k.b.handle(e)
@@ -642,7 +642,7 @@
 	}
 	if l == nil {
 		if w.b.run.opt.Roster != nil {
-			w.b.handle(reducer.Heard{Source: 0})
+			w.b.handle(reducer.SourceAlive{Source: 0})
 		}
 		return
 	}
--- a/internal/lab/virtual/virtual.go
+++ b/internal/lab/virtual/virtual.go
@@ -232,7 +232,7 @@
 		if !b.serving {
 			continue
 		}
-		if n := b.red.Open(); n > 0 {
+		if n := b.red.OpenCalls(); n > 0 {
 			r.oracle.Break(oracle.Leaks, "balancer %d holds %d calls though nobody waits for any", i, n)
 		}
 		if n := len(b.calls); n > 0 {
@@ -330,7 +330,7 @@
 	for _, b := range r.balancers {
 		bs := BalancerSample{Up: b.serving}
 		if b.serving {
-			bs.Open, bs.Conns = b.red.Open(), len(b.conns)
+			bs.Open, bs.Conns = b.red.OpenCalls(), len(b.conns)
 			if d, ok := b.decider.(Burster); ok {
 				bs.K, bs.Burst = d.Burst()
 			}
--- a/internal/reducer/adjust.go
+++ b/internal/reducer/adjust.go
@@ -10,9 +10,9 @@
 // then the routes change, and only then do removed pools lose their app nodes. So no call reaches a pool that has not
 // seen the list. A rejected change does not affect the others.
 
-// Adjusted changes some of the pools and the routes. Done is called once the change is in force: from then on all new
+// PoolsChanged changes some of the pools and the routes. Done is called once the change is in force: from then on all new
 // calls follow Route.
-type Adjusted struct {
+type PoolsChanged struct {
 	Pools []PoolChange
 	Route func(*Call) int // returns the ID of a call's pool; nil: unchanged
 	Done  func()
@@ -25,7 +25,7 @@
 	Spec *PoolSpec // nil: remove the pool
 }
 
-func (Adjusted) event() {}
+func (PoolsChanged) event() {}
 
 // adjustment is a change of pools and routes that takes effect once the app nodes have been assigned to the new pools.
 type adjustment struct {
@@ -35,7 +35,7 @@
 	onDone  []func()
 }
 
-func (r *Reducer) onAdjusted(e *Adjusted) {
+func (r *Reducer) onAdjusted(e *PoolsChanged) {
 	// A change joins an adjustment whose assignment has not started yet, so that however fast changes come, one scan of
 	// the list serves many of them.
 	var job *fleetJob
@@ -136,7 +136,7 @@
 	}
 	r.chooseDiscoveryPool()
 	for _, done := range adj.onDone {
-		r.emit(Tell{done})
+		r.emit(RunCallback{done})
 	}
 	if slices.ContainsFunc(adj.removed, func(p *pool) bool { return p.matchedServers > 0 }) {
 		r.enqueueReassign()
@@ -160,7 +160,7 @@
 			continue
 		}
 		for _, done := range job.adjustment.onDone {
-			r.emit(Tell{done})
+			r.emit(RunCallback{done})
 		}
 		job.adjustment = nil
 	}
--- a/internal/reducer/adjust_test.go
+++ b/internal/reducer/adjust_test.go
@@ -18,7 +18,7 @@
 )
 
 // adjust applies a change of pools and runs the callbacks that follow.
-func (h *harness) adjust(e Adjusted) {
+func (h *harness) adjust(e PoolsChanged) {
 	h.do(e)
 	h.runCallbacks()
 }
@@ -26,7 +26,7 @@
 // runCallbacks runs the callbacks among the effects of the last event.
 func (h *harness) runCallbacks() {
 	for _, e := range h.effects {
-		if tell, ok := e.(Tell); ok {
+		if tell, ok := e.(RunCallback); ok {
 			tell.Do()
 		}
 	}
@@ -126,7 +126,7 @@
 				h.runCallbacks()
 			},
 			"adjust": func(t *rapid.T) {
-				var e Adjusted
+				var e PoolsChanged
 				refused := 0
 				for range rapid.IntRange(0, 3).Draw(t, "changes") {
 					c := PoolChange{ID: rapid.IntRange(0, 6).Draw(t, "id")}
@@ -246,7 +246,7 @@
 	first := h.arrive(0, 600*ms)
 	h.dialed(1, nil)
 	done, events := false, 0
-	h.adjust(Adjusted{Pools: []PoolChange{{ID: 9, Spec: &PoolSpec{Name: "new", Selector: ofKind(1)}}, {ID: 0}}, Route: func(*Call) int { return 9 },
+	h.adjust(PoolsChanged{Pools: []PoolChange{{ID: 9, Spec: &PoolSpec{Name: "new", Selector: ofKind(1)}}, {ID: 0}}, Route: func(*Call) int { return 9 },
 		Done: func() { done = true }})
 	for more := true; more; events++ {
 		id := h.arrive(0, 600*ms)
@@ -269,7 +269,7 @@
 	if h.r.pools[0] == nil || h.r.poolCount() != 2 {
 		t.Error("the old pool was freed while it had an open call")
 	}
-	h.adjust(Adjusted{Pools: []PoolChange{{ID: 0, Spec: &PoolSpec{Name: "old"}}}}) // another pool with the same ID
+	h.adjust(PoolsChanged{Pools: []PoolChange{{ID: 0, Spec: &PoolSpec{Name: "old"}}}}) // another pool with the same ID
 	h.advance(ms)
 	if names, _, _ := h.r.Pools(); !slices.Equal(names, []string{"old", "new"}) || h.r.routedPools[0] == h.r.pools[0] {
 		t.Errorf("pools after the change: %v", names)
@@ -286,7 +286,7 @@
 	h := newHarness(t, 8, "a:1")
 	h.advance(2 * time.Second)
 	for i, name := range []string{"b", "c"} { // twice: the second replaces the one that took over first
-		h.adjust(Adjusted{Pools: []PoolChange{{ID: i + 1, Spec: &PoolSpec{Name: name}}, {ID: i}}})
+		h.adjust(PoolsChanged{Pools: []PoolChange{{ID: i + 1, Spec: &PoolSpec{Name: name}}, {ID: i}}})
 		watch := h.r.watchID
 		h.do(WatchEnded{watch, errDown})
 		h.advance(2 * time.Second)
@@ -296,7 +296,7 @@
 	}
 	h.do(WatchEnded{h.r.watchID, errDown}) // the pool is removed while its decider waits to ask
 	h.timers = slices.DeleteFunc(h.timers, func(d scheduledEvent) bool { e, ok := d.event.(deciderTimer); return ok && e.pool == h.r.discoveryPool })
-	h.adjust(Adjusted{Pools: []PoolChange{{ID: 7, Spec: &PoolSpec{Name: "d"}}, {ID: 2}}})
+	h.adjust(PoolsChanged{Pools: []PoolChange{{ID: 7, Spec: &PoolSpec{Name: "d"}}, {ID: 2}}})
 	if h.advance(2 * time.Second); !h.r.watchOpen {
 		t.Error("no decider asks for the list")
 	}
@@ -311,7 +311,7 @@
 		l.Pools = append(l.Pools, PoolSpec{Name: fmt.Sprint("p", i), Selector: ofKind(i)})
 	}
 	updates := map[string]int{}
-	r, err := NewPools(settings(), 100, l, func(name string) brain.Decider {
+	r, err := NewWithDeciders(settings(), 100, l, func(name string) brain.Decider {
 		return eventFunc{func(brain.Event) { updates[name]++ }}
 	})
 	if err != nil {
@@ -321,7 +321,7 @@
 	var scheduled []Event
 	do := func(e Event) {
 		for _, e := range r.Handle(now, e, nil) {
-			if a, ok := e.(Arm); ok && a.After == 0 {
+			if a, ok := e.(StartTimer); ok && a.After == 0 {
 				scheduled = append(scheduled, a.Event)
 			}
 		}
@@ -347,7 +347,7 @@
 		"nothing new":    {Listed{r.watchID, List{Revision: 2}}, map[string]int{"p0": 1}},
 		"a broken watch": {WatchEnded{r.watchID, errDown}, map[string]int{"p0": 1}},
 		// Notified once per slice of the scan that finds members.
-		"a pool's change": {Adjusted{Pools: []PoolChange{{ID: 3, Spec: &PoolSpec{Name: "p3", Selector: ofKind(1000)}}}}, map[string]int{"p3": 3}},
+		"a pool's change": {PoolsChanged{Pools: []PoolChange{{ID: 3, Spec: &PoolSpec{Name: "p3", Selector: ofKind(1000)}}}}, map[string]int{"p3": 3}},
 	} {
 		clear(updates)
 		do(c.ev)
@@ -373,13 +373,13 @@
 		}
 	}
 	confirmed := 0
-	h.adjust(Adjusted{Pools: []PoolChange{{ID: MaxPools, Spec: &PoolSpec{Name: "more"}}}, Done: func() { confirmed++ }})
+	h.adjust(PoolsChanged{Pools: []PoolChange{{ID: MaxPools, Spec: &PoolSpec{Name: "more"}}}, Done: func() { confirmed++ }})
 	if !h.hasEffect(func(e Effect) bool { l, ok := e.(Log); return ok && strings.Contains(l.Text, "4097 pools") }) || confirmed != 1 {
 		t.Errorf("one pool too many: %+v", h.effects)
 	}
-	h.adjust(Adjusted{Pools: []PoolChange{{ID: 5}}})
+	h.adjust(PoolsChanged{Pools: []PoolChange{{ID: 5}}})
 	h.advance(ms)
-	h.adjust(Adjusted{Pools: []PoolChange{{ID: MaxPools, Spec: &PoolSpec{Name: "more", Selector: ofKind(5)}}}})
+	h.adjust(PoolsChanged{Pools: []PoolChange{{ID: MaxPools, Spec: &PoolSpec{Name: "more", Selector: ofKind(5)}}}})
 	h.advance(ms)
 	if names, _, _ := h.r.Pools(); len(names) != MaxPools || names[MaxPools-1] != "more" || len(deciders["more"].members) != 1 {
 		t.Errorf("%d pools, the last is %s", len(names), names[len(names)-1])
--- a/internal/reducer/calls.go
+++ b/internal/reducer/calls.go
@@ -49,7 +49,7 @@
 	}
 	first, later := r.zoneBounds(c)
 	r.notify(c.pool, &brain.Request{First: first, Later: later, ID: c.deciderID, Class: c.Class, Tenant: c.Tenant, Quota: c.Quota, Retry: c.Retry, Key: c.Key,
-		Work: c.Work, Deadline: c.deadline, Upload: c.OneShot})
+		Work: c.Work, Deadline: c.deadline, Upload: c.StreamedBody})
 }
 
 // releaseClientID releases the client ID of a finished call. Calls that wait for it are copies and are answered with
@@ -152,7 +152,7 @@
 }
 
 func (r *Reducer) armDeadline(c *call) {
-	r.emit(Arm{max(0, c.deadline-r.now), callDeadline{c.ID}})
+	r.emit(StartTimer{max(0, c.deadline-r.now), callDeadline{c.ID}})
 }
 
 // answer gives a call its final answer. Only the first takes effect.
@@ -194,7 +194,7 @@
 	if !r.cfg.RetryAfter {
 		return Reply{Kind: Refused}
 	}
-	return Reply{Kind: Refused, After: r.cfg.MaxRetryAfter / 2}
+	return Reply{Kind: Refused, RetryAfter: r.cfg.MaxRetryAfter / 2}
 }
 
 // repeatable reports whether a call may be tried again even though it has run.
--- a/internal/reducer/connections.go
+++ b/internal/reducer/connections.go
@@ -105,7 +105,7 @@
 func (r *Reducer) armSweep() {
 	if !r.idleSweepArmed {
 		r.idleSweepArmed = true
-		r.emit(Arm{min(idleSweepInterval, r.idleLimit()), idleSweepTimer{}})
+		r.emit(StartTimer{min(idleSweepInterval, r.idleLimit()), idleSweepTimer{}})
 	}
 }
 
--- a/internal/reducer/delegations.go
+++ b/internal/reducer/delegations.go
@@ -19,9 +19,9 @@
 		r.endAttempt(att, brain.NeverSent, nil)
 		return
 	}
-	if c.OneShot && slices.ContainsFunc(c.attempts, func(other *attempt) bool { return other.bodyUsed }) {
+	if c.StreamedBody && slices.ContainsFunc(c.attempts, func(other *attempt) bool { return other.bodyUsed }) {
 		if c.outstanding == 1 { // no other attempt is outstanding, and none can follow
-			r.answer(c, r.bodyUsedReply(c, Whole))
+			r.answer(c, r.bodyUsedReply(c, WroteAll))
 		}
 		r.endAttempt(att, brain.NeverSent, nil)
 		return
@@ -93,7 +93,7 @@
 func (r *Reducer) exchange(cn *conn, att *attempt) {
 	cn.state, cn.attempt, att.conn, att.mayHaveRunSince = busy, att, cn, r.now
 	timeLeft := att.call.deadline - r.now
-	if att.bodyUsed = att.call.OneShot; att.bodyUsed {
+	if att.bodyUsed = att.call.StreamedBody; att.bodyUsed {
 		att.call.uploading, timeLeft = true, att.call.timeout // the app node, too, counts from the last byte
 	}
 	stall := r.stallEstimators[att.call.Class].Wait()
@@ -106,7 +106,7 @@
 
 // bodyUsedReply is the answer to a call whose body has been consumed, so that no further attempt is possible.
 func (r *Reducer) bodyUsedReply(c *call, written WriteProgress) Reply {
-	if written == Whole && !r.repeatable(c) {
+	if written == WroteAll && !r.repeatable(c) {
 		return Reply{Kind: Failed}
 	}
 	return r.refusedReply()
@@ -155,7 +155,7 @@
 		return
 	}
 	kind := Served
-	if e.Result == Unusable {
+	if e.Result == ResultInvalidCall {
 		kind, c.rejected = Rejected, true
 	}
 	cn.state, c.committed, att.committedAt = flowing, att, r.now // counted when the flow ends
@@ -171,37 +171,37 @@
 	att, wasFlowing := cn.attempt, cn.state == flowing
 	c := att.call
 	cn.attempt, att.conn = nil, nil
-	att.bodyUsed = att.bodyUsed && e.Spent
+	att.bodyUsed = att.bodyUsed && e.BodyUsed
 	if c.uploading && !att.bodyUsed {
 		r.restartDeadline(c, c.arrivedAt) // nothing of the body was sent
 	}
-	noAnswer := e.Result == Broke || e.Result == Stalled
-	if !noAnswer && e.Reuse && e.Written == Whole {
+	noAnswer := e.Result == ResultBroken || e.Result == ResultStalled
+	if !noAnswer && e.Reusable && e.Written == WroteAll {
 		r.putIdle(cn)
 	} else {
 		r.close(cn)
 	}
-	if e.Result == Good {
+	if e.Result == ResultGood {
 		cn.srv.lastAnswer = r.now
-	} else if e.Result == Broke || e.Result == Stalled || e.Result == Errored {
+	} else if e.Result == ResultBroken || e.Result == ResultStalled || e.Result == ResultAppError {
 		cn.srv.lastFailure = r.now
 	}
-	if e.Result == Stalled {
+	if e.Result == ResultStalled {
 		r.stallEstimators[c.Class].RanOut()
-	} else if e.Pause > 0 && e.Result != Broke {
-		r.stallEstimators[c.Class].Whole(e.Pause)
+	} else if e.LongestPause > 0 && e.Result != ResultBroken {
+		r.stallEstimators[c.Class].Whole(e.LongestPause)
 	}
 	if wasFlowing {
 		r.onFlowEnded(att, e)
 		return
 	}
-	if noAnswer && e.Written == Nothing {
+	if noAnswer && e.Written == WroteNothing {
 		// The app node closed the idle connection just before. No byte was sent, so this does not count as an attempt.
 		r.dispatch(att)
 		return
 	}
 	// Noticed just before the call was to be written, ahead of the ClientGone event.
-	if e.Result == Left && e.Written == Nothing {
+	if e.Result == ResultClientLeft && e.Written == WroteNothing {
 		if !c.done {
 			r.onClientGone(c)
 		}
@@ -210,35 +210,35 @@
 		}
 		return
 	}
-	if att.bodyUsed && e.Result != Good && e.Result != Unusable && e.Result != NoRoom {
+	if att.bodyUsed && e.Result != ResultGood && e.Result != ResultInvalidCall && e.Result != ResultNoMemory {
 		written := e.Written
-		if e.Result == Shed {
-			written = Nothing
+		if e.Result == ResultShed {
+			written = WroteNothing
 		}
 		r.answer(c, r.bodyUsedReply(c, written))
 	}
 	switch {
-	case noAnswer && e.Written == Partly:
+	case noAnswer && e.Written == WrotePart:
 		r.endAttempt(att, brain.ConnectFailed, nil)
 	case noAnswer:
 		r.endAttempt(att, brain.Dropped, nil)
-	case e.Result == Good:
+	case e.Result == ResultGood:
 		r.answer(c, Reply{Kind: Served, Message: e.Message})
 		r.endAttempt(att, brain.OK, e.Report)
-	case e.Result == Shed:
+	case e.Result == ResultShed:
 		r.endAttempt(att, brain.Shed, e.Report)
-	case e.Result == Unusable: // says nothing about the health of the app node
+	case e.Result == ResultInvalidCall: // says nothing about the health of the app node
 		c.rejected = true
 		r.answer(c, Reply{Kind: Rejected, Message: e.Message})
 		r.endAttempt(att, brain.Cancelled, e.Report)
-	case e.Result == NoRoom: // the lack of memory is ours, and another app node's answer would not fit either
+	case e.Result == ResultNoMemory: // the lack of memory is ours, and another app node's answer would not fit either
 		if r.repeatable(c) {
 			r.answer(c, r.refusedReply())
 		} else {
 			r.answer(c, Reply{Kind: Failed})
 		}
 		r.endAttempt(att, brain.Cancelled, e.Report)
-	case e.Result == Left: // the client did not send its complete body
+	case e.Result == ResultClientLeft: // the client did not send its complete body
 		r.endAttempt(att, brain.Cancelled, nil)
 	default:
 		r.endAttempt(att, brain.AppError, e.Report)
@@ -251,13 +251,13 @@
 	c := att.call
 	c.done = true
 	switch {
-	case e.Result == Left:
+	case e.Result == ResultClientLeft:
 		r.counts.Left++
 		r.endAttempt(att, brain.Cancelled, e.Report)
 	case c.rejected:
 		r.countEnd(c, Rejected)
 		r.endAttempt(att, brain.Cancelled, e.Report)
-	case e.Result == Good:
+	case e.Result == ResultGood:
 		r.countEnd(c, Served)
 		r.endAttempt(att, brain.OK, e.Report)
 	default:
--- a/internal/reducer/drain.go
+++ b/internal/reducer/drain.go
@@ -21,19 +21,19 @@
 	// Activate asks to accept clients again. Done is called once that is in force.
 	Activate struct{ Done func() }
 
-	// Beside reports how many other processes serve at the same address and share the machine's limits.
-	Beside struct{ Others int }
+	// ProcessesChanged reports how many other processes serve at the same address and share the machine's limits.
+	ProcessesChanged struct{ Others int }
 
 	closeClientsTimer struct{ epoch uint64 }
 )
 
 type (
-	// Turn says whether clients are sent away from now on.
-	Turn struct{ Away bool }
-	// Part closes client connections that carry no call, and with Silent also those that have not sent anything yet.
-	Part struct{ Silent bool }
-	// Share says how many parts the machine's limits are divided into from now on.
-	Share struct{ Parts int }
+	// SetDraining says whether clients are sent away from now on.
+	SetDraining struct{ Draining bool }
+	// CloseClientConns closes client connections that carry no call, and with IncludeSilent also those that have not sent anything yet.
+	CloseClientConns struct{ IncludeSilent bool }
+	// DivideLimits says how many parts the machine's limits are divided into from now on.
+	DivideLimits struct{ Parts int }
 )
 
 // setDraining starts or ends the drain of clients. Repeating a request has no effect.
@@ -41,16 +41,16 @@
 	if drain != r.clientsDraining {
 		r.clientsDraining, r.clientsDrainingSince = drain, r.now
 		r.drainEpoch++
-		r.emit(Turn{drain})
+		r.emit(SetDraining{drain})
 		if drain {
 			r.emit(Log{"draining: sending clients away at an operator's request"})
-			r.emit(Arm{closeIdleAfter, closeClientsTimer{r.drainEpoch}})
+			r.emit(StartTimer{closeIdleAfter, closeClientsTimer{r.drainEpoch}})
 		} else {
 			r.emit(Log{"active: accepting clients again"})
 		}
 	}
 	if done != nil {
-		r.emit(Tell{done})
+		r.emit(RunCallback{done})
 	}
 }
 
@@ -58,8 +58,8 @@
 	if !r.clientsDraining || epoch != r.drainEpoch {
 		return // the drain that armed this timer has ended
 	}
-	r.emit(Part{Silent: r.now-r.clientsDrainingSince >= closeSilentAfter})
-	r.emit(Arm{closeInterval, closeClientsTimer{epoch}})
+	r.emit(CloseClientConns{IncludeSilent: r.now-r.clientsDrainingSince >= closeSilentAfter})
+	r.emit(StartTimer{closeInterval, closeClientsTimer{epoch}})
 }
 
 // onProcessesChanged adjusts the connection budget to the number of processes. Excess connections are released: idle
@@ -69,14 +69,14 @@
 	r.connBudget = max(1, r.fullConnBudget/parts)
 	for len(r.conns) > r.connBudget && r.closeOldestIdle() {
 	}
-	r.emit(Share{parts})
+	r.emit(DivideLimits{parts})
 }
 
 func (Drain) event()             {}
-func (Beside) event()            {}
+func (ProcessesChanged) event()  {}
 func (Activate) event()          {}
 func (closeClientsTimer) event() {}
 
-func (Turn) effect()  {}
-func (Share) effect() {}
-func (Part) effect()  {}
+func (SetDraining) effect()      {}
+func (DivideLimits) effect()     {}
+func (CloseClientConns) effect() {}
--- a/internal/reducer/drain_test.go
+++ b/internal/reducer/drain_test.go
@@ -7,14 +7,14 @@
 
 // turnedTo reports whether the last event started (drain) or ended a drain of clients.
 func (h *harness) turnedTo(drain bool) bool {
-	return h.hasEffect(func(e Effect) bool { return e == Turn{drain} })
+	return h.hasEffect(func(e Effect) bool { return e == SetDraining{drain} })
 }
 
 // A drain gives the frontend time to notice before connections are closed, and spares connections that have not sent
 // anything for longer. A repeated request has no effect, and both are confirmed.
 func TestDrainClosesClientConnections(t *testing.T) {
 	h := newHarness(t, 4, "a:1")
-	began, isCallback := h.now, func(e Effect) bool { _, ok := e.(Tell); return ok }
+	began, isCallback := h.now, func(e Effect) bool { _, ok := e.(RunCallback); return ok }
 	if h.do(Drain{Done: func() {}}); !h.turnedTo(true) || !h.hasEffect(isCallback) {
 		t.Fatalf("%v", h.effects)
 	}
@@ -23,17 +23,17 @@
 		t.Errorf("%v, %v", h.effects, h.closes)
 	}
 	h.advance(2 * ms)
-	if len(h.closes) != 1 || h.closes[0].Silent {
+	if len(h.closes) != 1 || h.closes[0].IncludeSilent {
 		t.Errorf("%v after %v", h.closes, h.now-began)
 	}
 	h.advance(closeSilentAfter - 2*closeInterval - closeIdleAfter)
 	for _, p := range h.closes {
-		if p.Silent {
+		if p.IncludeSilent {
 			t.Errorf("silent connections closed after %v", h.now-began)
 		}
 	}
 	h.advance(4 * closeInterval)
-	if last := h.closes[len(h.closes)-1]; !last.Silent || h.now-began > 3*time.Second {
+	if last := h.closes[len(h.closes)-1]; !last.IncludeSilent || h.now-began > 3*time.Second {
 		t.Errorf("last close %+v after %v; the platform checks at 4 s", last, h.now-began)
 	}
 }
@@ -107,14 +107,14 @@
 	for _, id := range h.inState(busy)[:2] {
 		h.exchanged(goodAnswer(id))
 	}
-	h.do(Beside{Others: 1})
-	if n := len(h.inState(idle)) + len(h.inState(busy)); n != 2 || !h.hasEffect(func(e Effect) bool { return e == Share{2} }) {
+	h.do(ProcessesChanged{Others: 1})
+	if n := len(h.inState(idle)) + len(h.inState(busy)); n != 2 || !h.hasEffect(func(e Effect) bool { return e == DivideLimits{2} }) {
 		t.Errorf("%d connections, %v", n, h.effects)
 	}
 	if fill(4); len(h.r.conns) > 2 {
 		t.Errorf("%d connections, budget 2", len(h.r.conns))
 	}
-	h.do(Beside{})
+	h.do(ProcessesChanged{})
 	if fill(4); len(h.r.conns) != 4 {
 		t.Errorf("%d connections, budget 4", len(h.r.conns))
 	}
--- a/internal/reducer/event_order_test.go
+++ b/internal/reducer/event_order_test.go
@@ -52,7 +52,7 @@
 	}
 	h.listed(list(false, brain.Draining, "a:1"))
 	h.now += 1500 * ms
-	h.exchanged(Exchanged{Conn: 1, Written: Nothing})
+	h.exchanged(Exchanged{Conn: 1, Written: WroteNothing})
 	if n := len(h.inState(dialing)); n != 0 {
 		t.Errorf("%d connections dialed to a draining app node", n)
 	}
@@ -104,12 +104,12 @@
 		h.start(10, "a:1", "b:1")
 		id := h.arrive(0, 600*ms)
 		h.dialed(1, nil)
-		h.exchanged(Exchanged{Conn: 1, Written: Nothing, Result: Left})
+		h.exchanged(Exchanged{Conn: 1, Written: WroteNothing, Result: ResultClientLeft})
 		if h.conns[1] != closed || len(h.inState(dialing)) != 0 {
 			t.Errorf("connection is %s, %d being dialed; want closed and none", stateNames[h.conns[1]], len(h.inState(dialing)))
 		}
-		if c := h.r.counts; c.Left != 1 || h.r.Open() != 0 {
-			t.Errorf("%+v, %d calls open", c, h.r.Open())
+		if c := h.r.counts; c.Left != 1 || h.r.OpenCalls() != 0 {
+			t.Errorf("%+v, %d calls open", c, h.r.OpenCalls())
 		}
 		h.clientGone(id)
 		if c := h.r.counts; c.Left != 1 || c.active() != 0 {
--- a/internal/reducer/figures.go
+++ b/internal/reducer/figures.go
@@ -18,13 +18,13 @@
 
 // Fleet is what this balancer knows of the other balancers.
 type Fleet struct {
-	Live     int    `json:"live"`     // others that are alive
-	Crowd    int    `json:"crowd"`    // balancers that share an app node, as the decider counts them
-	Believed bool   `json:"believed"` // Crowd comes from the view and not from the settings
-	Agree    int    `json:"agree"`    // live others whose list has as many app nodes as ours
-	Dropped  uint64 `json:"dropped"`  // messages that were not accepted
-	Held     int    `json:"held"`     // app nodes in our subset, with subsets
-	Of       int    `json:"of"`       // app nodes that the subset is chosen from
+	Live             int    `json:"live"`     // others that are alive
+	SharingBalancers int    `json:"crowd"`    // balancers that share an app node, as the decider counts them
+	Believed         bool   `json:"believed"` // SharingBalancers comes from the view and not from the settings
+	SameListSize     int    `json:"agree"`    // live others whose list has as many app nodes as ours
+	Dropped          uint64 `json:"dropped"`  // messages that were not accepted
+	SubsetSize       int    `json:"held"`     // app nodes in our subset, with subsets
+	SubsetOf         int    `json:"of"`       // app nodes that the subset is chosen from
 }
 
 // Publish hands out the figures for publication.
@@ -77,7 +77,7 @@
 	}
 	f.Fleet = r.fleetFigures()
 	r.emit(Publish{f})
-	r.emit(Arm{publishInterval, publishTimer{}})
+	r.emit(StartTimer{publishInterval, publishTimer{}})
 }
 
 // countAvoided checks up to maxServersPerEvent app nodes; later calls check the rest.
--- a/internal/reducer/flow_test.go
+++ b/internal/reducer/flow_test.go
@@ -63,15 +63,15 @@
 func TestOnlyFirstAttemptIsCommitted(t *testing.T) {
 	h, id := twoAttempts(t, true)
 	b := h.inState(busy)
-	if !h.startFlow(b[0], Good) || !h.hasEffect(closesConn(b[1])) {
+	if !h.startFlow(b[0], ResultGood) || !h.hasEffect(closesConn(b[1])) {
 		t.Fatalf("%+v", h.effects)
 	}
-	if h.startFlow(b[1], Good) {
+	if h.startFlow(b[1], ResultGood) {
 		t.Error("both attempts were committed")
 	}
-	h.exchanged(Exchanged{Conn: b[0], Written: Whole, Result: Broke, Err: errDown})
-	if c := h.calls[id]; c.answers != 1 || h.r.Open() != 0 || h.conns[b[0]] != closed {
-		t.Errorf("%+v, %d open", c, h.r.Open())
+	h.exchanged(Exchanged{Conn: b[0], Written: WroteAll, Result: ResultBroken, Err: errDown})
+	if c := h.calls[id]; c.answers != 1 || h.r.OpenCalls() != 0 || h.conns[b[0]] != closed {
+		t.Errorf("%+v, %d open", c, h.r.OpenCalls())
 	}
 	if !h.hasEffect(func(e Effect) bool { l, ok := e.(Log); return ok && strings.Contains(l.Text, errDown.Error()) }) {
 		t.Errorf("the broken answer was not logged: %+v", h.effects)
@@ -88,18 +88,18 @@
 	for _, large := range []bool{true, false} {
 		h, id := twoAttempts(t, false)
 		b := h.inState(busy)
-		h.startFlow(b[0], Good)
+		h.startFlow(b[0], ResultGood)
 		if h.conns[b[1]] != busy {
 			t.Fatal("the other attempt was cancelled although cancellation is not allowed")
 		}
-		if large && h.startFlow(b[1], Good) {
+		if large && h.startFlow(b[1], ResultGood) {
 			t.Error("both attempts were committed")
 		} else if !large {
 			h.exchanged(goodAnswer(b[1]))
 		}
 		h.exchanged(goodAnswer(b[0]))
-		if c := h.calls[id]; c.answers != 1 || h.r.Open() != 0 {
-			t.Errorf("%+v, %d open", c, h.r.Open())
+		if c := h.calls[id]; c.answers != 1 || h.r.OpenCalls() != 0 {
+			t.Errorf("%+v, %d open", c, h.r.OpenCalls())
 		}
 	}
 }
@@ -110,7 +110,7 @@
 	h.warmUp()
 	h.lastCall++
 	h.calls[h.lastCall] = &callState{deadline: h.now + 600*ms}
-	h.do(Arrived{&Call{ID: h.lastCall, Tenant: -1, Deadline: h.now + 600*ms, OneShot: true}})
+	h.do(Arrived{&Call{ID: h.lastCall, Tenant: -1, Deadline: h.now + 600*ms, StreamedBody: true}})
 	for range 30 {
 		if h.advance(5 * ms); len(h.inState(busy))+len(h.inState(dialing)) > 1 {
 			t.Fatalf("busy %v, dialing %v", h.inState(busy), h.inState(dialing))
@@ -123,15 +123,15 @@
 	h := newHarness(t, 4, "a:1")
 	id := h.arriveAs("x", 1, 600*ms)
 	h.dialed(1, nil)
-	h.startFlow(1, Good)
-	if h.arriveAs("x", 1, 600*ms); h.r.Open() != 2 {
+	h.startFlow(1, ResultGood)
+	if h.arriveAs("x", 1, 600*ms); h.r.OpenCalls() != 2 {
 		t.Error("a call with the client ID of a flowing call was not queued")
 	}
 	if h.clientGone(id); !h.hasEffect(closesConn(1)) {
 		t.Errorf("%+v", h.effects)
 	}
-	if h.r.Open() != 0 || h.calls[2].reply.Kind != Conflict {
-		t.Errorf("%d calls open, the duplicate was answered %+v", h.r.Open(), h.calls[2])
+	if h.r.OpenCalls() != 0 || h.calls[2].reply.Kind != Conflict {
+		t.Errorf("%d calls open, the duplicate was answered %+v", h.r.OpenCalls(), h.calls[2])
 	}
 }
 
@@ -156,13 +156,13 @@
 	id := h.arrive(0, 600*ms)
 	h.dialed(1, nil)
 	h.advance(100 * ms)
-	h.startFlow(1, Good)
+	h.startFlow(1, ResultGood)
 	h.advance(5 * time.Second)
 	if h.conns[1] != flowing || h.calls[id].answers != 1 || h.r.counts.active() != 1 || len(recorder.ends) != 0 {
 		t.Errorf("%v, %+v, %+v, %v", h.conns[1], h.calls[id], h.r.counts, recorder.ends)
 	}
 	h.exchanged(goodAnswer(1))
-	if len(recorder.ends) != 1 || recorder.ends[0].Outcome != brain.OK || recorder.ends[0].Took != 100*ms || !recorder.ends[0].Final || h.r.Open() != 0 {
+	if len(recorder.ends) != 1 || recorder.ends[0].Outcome != brain.OK || recorder.ends[0].Took != 100*ms || !recorder.ends[0].Final || h.r.OpenCalls() != 0 {
 		t.Errorf("%+v", recorder.ends)
 	}
 	if c := h.r.counts; c.Served != 1 || c.active() != 0 {
@@ -177,7 +177,7 @@
 		h := newHarness(t, 4, "a:1")
 		h.arrive(0, 600*ms)
 		h.dialed(1, nil)
-		h.startFlow(1, Good)
+		h.startFlow(1, ResultGood)
 		h.listed(l)
 		h.do(Reloaded{Discovery: "d:9"})
 		if h.conns[1] != flowing {
@@ -185,8 +185,8 @@
 		}
 		h.exchanged(goodAnswer(1))
 		h.advance(3 * time.Second)
-		if h.conns[1] != closed || h.r.Open() != 0 {
-			t.Errorf("%+v: %v, %d open", l, h.conns[1], h.r.Open())
+		if h.conns[1] != closed || h.r.OpenCalls() != 0 {
+			t.Errorf("%+v: %v, %d open", l, h.conns[1], h.r.OpenCalls())
 		}
 	}
 }
@@ -200,7 +200,7 @@
 	h.arrive(0, 30*time.Second)
 	h.dialed(1, nil)
 	h.advance(5 * ms)
-	h.startFlow(1, Good)
+	h.startFlow(1, ResultGood)
 	for i := range 20 { // the client reads for ten seconds; others are served meanwhile
 		id := h.arrive(0, 600*ms)
 		for _, d := range h.inState(dialing) {
@@ -234,8 +234,8 @@
 		h := newHarness(t, 4, "a:1", "b:1")
 		id := h.arrive(class, 600*ms)
 		h.dialed(1, nil)
-		h.exchanged(Exchanged{Conn: 1, Written: Whole, Result: NoRoom})
-		if c := h.calls[id]; c.answers != 1 || c.reply.Kind != want || (c.reply.After > 0) != (want == Refused) || h.r.lastConnID != 1 {
+		h.exchanged(Exchanged{Conn: 1, Written: WroteAll, Result: ResultNoMemory})
+		if c := h.calls[id]; c.answers != 1 || c.reply.Kind != want || (c.reply.RetryAfter > 0) != (want == Refused) || h.r.lastConnID != 1 {
 			t.Errorf("class %d: %+v, %d connections", class, c, h.r.lastConnID)
 		}
 	}
@@ -250,11 +250,11 @@
 	var firstStall time.Duration
 	for _, e := range h.effects {
 		if x, ok := e.(Exchange); ok {
-			firstStall = x.Stall
+			firstStall = x.ReadTimeout
 		}
 	}
 	h.advance(firstStall)
-	h.exchanged(Exchanged{Conn: conn, Written: Whole, Result: Stalled, Err: errDown})
+	h.exchanged(Exchanged{Conn: conn, Written: WroteAll, Result: ResultStalled, Err: errDown})
 	if len(h.inState(dialing))+len(h.inState(busy)) != 1 || h.conns[conn] != closed {
 		t.Fatalf("%+v", h.effects)
 	}
@@ -262,8 +262,8 @@
 		h.dialed(d, nil)
 	}
 	for _, e := range h.effects {
-		if x, ok := e.(Exchange); ok && x.Stall <= firstStall {
-			t.Errorf("stall timeout was %v, now %v; must grow after a stall, or a timeout that is too short would never adapt", firstStall, x.Stall)
+		if x, ok := e.(Exchange); ok && x.ReadTimeout <= firstStall {
+			t.Errorf("stall timeout was %v, now %v; must grow after a stall, or a timeout that is too short would never adapt", firstStall, x.ReadTimeout)
 		}
 	}
 	h.exchanged(goodAnswer(h.inState(busy)[0]))
@@ -281,18 +281,18 @@
 		result  Result
 		want    ReplyKind
 	}{
-		{0, Whole, Broke, Refused}, {1, Whole, Broke, Failed}, {1, Partly, Broke, Refused}, {1, Whole, Shed, Refused},
-		{1, Whole, Errored, Failed}, {1, Partly, Left, Refused}, {1, Whole, Unusable, Rejected},
+		{0, WroteAll, ResultBroken, Refused}, {1, WroteAll, ResultBroken, Failed}, {1, WrotePart, ResultBroken, Refused}, {1, WroteAll, ResultShed, Refused},
+		{1, WroteAll, ResultAppError, Failed}, {1, WrotePart, ResultClientLeft, Refused}, {1, WroteAll, ResultInvalidCall, Rejected},
 	} {
 		h := newHarness(t, 4, "a:1", "b:1")
 		h.lastCall++
 		h.calls[1] = &callState{deadline: h.now + 600*ms}
-		h.do(Arrived{&Call{ID: 1, Class: c.class, Tenant: -1, Deadline: h.now + 600*ms, OneShot: true}})
+		h.do(Arrived{&Call{ID: 1, Class: c.class, Tenant: -1, Deadline: h.now + 600*ms, StreamedBody: true}})
 		h.dialed(1, nil)
-		h.exchanged(Exchanged{Conn: 1, Written: Nothing}) // the connection had ended: nothing was consumed
+		h.exchanged(Exchanged{Conn: 1, Written: WroteNothing}) // the connection had ended: nothing was consumed
 		h.dialed(2, nil)
-		h.exchanged(Exchanged{Conn: 2, Written: c.written, Result: c.result, Spent: true})
-		if o := h.calls[1]; o.answers != 1 || o.reply.Kind != c.want || h.r.lastConnID != 2 || h.r.Open() != 0 {
+		h.exchanged(Exchanged{Conn: 2, Written: c.written, Result: c.result, BodyUsed: true})
+		if o := h.calls[1]; o.answers != 1 || o.reply.Kind != c.want || h.r.lastConnID != 2 || h.r.OpenCalls() != 0 {
 			t.Errorf("%+v: %+v, %d connections", c, o, h.r.lastConnID)
 		}
 	}
@@ -322,15 +322,15 @@
 	d := new(misbehavingDecider)
 	h := &harness{t: t, now: time.Hour, cfg: settings()}
 	h.start(4, "a:1")
-	h.r = NewWith(h.cfg, d, 4)
+	h.r = NewWithDecider(h.cfg, d, 4)
 	h.do(Started{Known: list(true, brain.Ready, "a:1"), Discovery: "d:1"})
 	id := h.arrive(0, 600*ms)
 	h.dialed(1, nil)
-	if !h.startFlow(1, Good) || !d.streamBegun || h.conns[1] != flowing || len(h.inState(dialing))+len(h.inState(busy)) != 0 {
+	if !h.startFlow(1, ResultGood) || !d.streamBegun || h.conns[1] != flowing || len(h.inState(dialing))+len(h.inState(busy)) != 0 {
 		t.Fatalf("%+v", h.effects)
 	}
 	h.exchanged(goodAnswer(1))
-	if c := h.calls[id]; c.answers != 1 || c.reply.Kind != Served || h.r.Open() != 0 {
-		t.Errorf("%+v, %d open", c, h.r.Open())
+	if c := h.calls[id]; c.answers != 1 || c.reply.Kind != Served || h.r.OpenCalls() != 0 {
+		t.Errorf("%+v, %d open", c, h.r.OpenCalls())
 	}
 }
--- a/internal/reducer/operator.go
+++ b/internal/reducer/operator.go
@@ -15,13 +15,13 @@
 	weight  float64 // 0: as listed
 }
 
-// maxViewNodes bounds the app nodes in one View, so that building it takes less than a millisecond.
+// maxViewNodes bounds the app nodes in one Snapshot, so that building it takes less than a millisecond.
 const maxViewNodes = 500
 
-// View is a snapshot of a balancer's state.
-type View struct {
+// Snapshot is a copy of a balancer's state.
+type Snapshot struct {
 	Pools []PoolView
-	Nodes []NodeView // by ID, from Look.From on, at most maxViewNodes
+	Nodes []NodeView // by ID, from Inspect.From on, at most maxViewNodes
 	Total int        // app nodes listed
 	Calls int        // open calls
 	Conns int        // connections to app nodes
@@ -39,16 +39,16 @@
 	Cap     int // maximum of open calls; 0: none
 }
 
-// NodeView is the state of an app node: as listed (Told), as set by operators, and as in force (Counts).
+// NodeView is the state of an app node: as listed (Listed), as set by operators, and as in force (Effective).
 type NodeView struct {
 	ID, Address, Zone, Kind string
 	Pools                   []string
-	Told, Counts            brain.Readiness
+	Listed, Effective       brain.Readiness
 	Drained                 bool // by operators
 	Weight                  float64
 	Started                 time.Duration
 	Warmth                  float64
-	Out, Idle               int // connections in use and idle
+	InUse, Idle             int // connections in use and idle
 	LastAnswer, LastFailure time.Duration
 	Sight                   brain.ServerSight // the state in the decider of the first of its pools that knows it
 }
@@ -108,9 +108,9 @@
 	return p.MaxOpen
 }
 
-// buildView returns a View with the app nodes whose IDs sort after from.
-func (r *Reducer) buildView(from string) View {
-	v := View{Total: len(r.serverList), Calls: len(r.calls), Conns: len(r.conns), Counts: r.counts}
+// buildView returns a Snapshot with the app nodes whose IDs sort after from.
+func (r *Reducer) buildView(from string) Snapshot {
+	v := Snapshot{Total: len(r.serverList), Calls: len(r.calls), Conns: len(r.conns), Counts: r.counts}
 	for _, p := range r.routedPools {
 		v.Pools = append(v.Pools, PoolView{Name: p.Name, Members: p.readyMembers, Open: p.openCalls, Cap: r.maxOpen(p)})
 	}
@@ -134,9 +134,9 @@
 }
 
 func (r *Reducer) nodeView(s *server) NodeView {
-	n := NodeView{ID: s.id, Address: s.address, Zone: s.member.Zone, Kind: s.member.Kind, Told: s.listed.State, Counts: s.member.State,
+	n := NodeView{ID: s.id, Address: s.address, Zone: s.member.Zone, Kind: s.member.Kind, Listed: s.listed.State, Effective: s.member.State,
 		Drained: r.nodeOverrides[s.id].drained, Weight: s.member.Weight, Started: s.member.Started, Warmth: r.warmth(s.member.Started),
-		Out: len(s.conns) - len(s.idle), Idle: len(s.idle), LastAnswer: s.lastAnswer, LastFailure: s.lastFailure}
+		InUse: len(s.conns) - len(s.idle), Idle: len(s.idle), LastAnswer: s.lastAnswer, LastFailure: s.lastFailure}
 	for _, i := range s.usingPools {
 		p := r.pools[i]
 		n.Pools = append(n.Pools, p.Name)
--- a/internal/reducer/operator_test.go
+++ b/internal/reducer/operator_test.go
@@ -12,17 +12,17 @@
 func (h *harness) applyOperator(changes ...control.Change) bool {
 	h.t.Helper()
 	done := false
-	for _, e := range h.do(Operator{Changes: changes, Done: func() { done = true }}) {
-		if e, ok := e.(Tell); ok {
+	for _, e := range h.do(OverridesChanged{Changes: changes, Done: func() { done = true }}) {
+		if e, ok := e.(RunCallback); ok {
 			e.Do()
 		}
 	}
 	return done
 }
 
-func (h *harness) inspect() (v View) {
-	for _, e := range h.do(Look{To: func(seen View) { v = seen }}) {
-		if e, ok := e.(Tell); ok {
+func (h *harness) inspect() (v Snapshot) {
+	for _, e := range h.do(Inspect{Done: func(seen Snapshot) { v = seen }}) {
+		if e, ok := e.(RunCallback); ok {
 			e.Do()
 		}
 	}
@@ -30,7 +30,7 @@
 }
 
 // A drain by an operator holds from the moment it is confirmed, whatever is listed later, even if the app node is
-// removed from the list and listed again. Open calls there finish normally. The View shows both the listed and the
+// removed from the list and listed again. Open calls there finish normally. The Snapshot shows both the listed and the
 // resulting state.
 func TestOperatorDrainOverridesList(t *testing.T) {
 	h := newHarness(t, 8, "a:1")
@@ -58,7 +58,7 @@
 	if n := connsInUse(); n != 0 {
 		t.Error("the list cancelled the operator's drain")
 	}
-	if v := h.inspect(); len(v.Nodes) != 1 || v.Nodes[0].Told != brain.Ready || v.Nodes[0].Counts != brain.Draining || !v.Nodes[0].Drained || v.Pools[0].Members != 0 {
+	if v := h.inspect(); len(v.Nodes) != 1 || v.Nodes[0].Listed != brain.Ready || v.Nodes[0].Effective != brain.Draining || !v.Nodes[0].Drained || v.Pools[0].Members != 0 {
 		t.Errorf("%+v", v)
 	}
 	h.applyOperator(control.Change{Node: "s0"})
@@ -74,7 +74,7 @@
 	h.applyOperator(control.Change{Node: "s1", Drained: true}, control.Change{Node: "s0", Weight: 0.25}, control.Change{Pool: "all", Cap: 1})
 	h.listed(list(true, brain.Ready, "a:1", "b:1"))
 	v := h.inspect()
-	if v.Total != 2 || v.Nodes[0].Weight != 0.25 || v.Nodes[1].Counts != brain.Draining || v.Pools[0].Members != 1 || v.Pools[0].Cap != 1 {
+	if v.Total != 2 || v.Nodes[0].Weight != 0.25 || v.Nodes[1].Effective != brain.Draining || v.Pools[0].Members != 1 || v.Pools[0].Cap != 1 {
 		t.Errorf("%+v", v)
 	}
 	h.arrive(0, 600*ms)
--- a/internal/reducer/peers_test.go
+++ b/internal/reducer/peers_test.go
@@ -27,7 +27,7 @@
 	cfg := settings()
 	cfg.Nodes = 20
 	nodes := 0
-	r, err := NewPools(cfg, 8, defaultLayout(), func(string) brain.Decider { return nodesDecider{&nodes} })
+	r, err := NewWithDeciders(cfg, 8, defaultLayout(), func(string) brain.Decider { return nodesDecider{&nodes} })
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -35,25 +35,25 @@
 	var facts []view.Fact
 	do := func(ev Event) {
 		for _, e := range r.Handle(now, ev, nil) {
-			if s, ok := e.(Say); ok {
+			if s, ok := e.(AnnounceFact); ok {
 				facts = append(facts, s.Fact)
 			}
 		}
 	}
-	do(Word{Event: view.Event{Kind: view.Joined, Life: view.Life{ID: "x", Address: "x"}}})
+	do(PeerEvent{Event: view.Event{Kind: view.Joined, Life: view.Life{ID: "x", Address: "x"}}})
 	if nodes != 0 || r.fleetFigures() != nil {
 		t.Fatalf("without a view the decider got Nodes %d", nodes)
 	}
-	r.UsePeers(view.New(view.Life{ID: "me", Address: "here"}, 20, view.Bounds{Kinds: Kinds()}, now))
+	r.UsePeers(view.New(view.Life{ID: "me", Address: "here"}, 20, view.Bounds{Kinds: FactLimits()}, now))
 	for n := range 9 {
 		l := view.Life{ID: fmt.Sprint(n), Name: fmt.Sprint("b", n), Address: fmt.Sprint("at ", n)}
-		do(Word{Event: view.Event{Kind: view.Joined, Life: l}})
-		do(Word{Event: view.Event{Kind: view.Told, Fact: view.Fact{Owner: l.ID, Kind: ListSizeFact, Revision: 1, Value: json.RawMessage(fmt.Sprint(n % 2))}}})
+		do(PeerEvent{Event: view.Event{Kind: view.Joined, Life: l}})
+		do(PeerEvent{Event: view.Event{Kind: view.Told, Fact: view.Fact{Owner: l.ID, Kind: ListSizeFact, Revision: 1, Value: json.RawMessage(fmt.Sprint(n % 2))}}})
 	}
 	advance := func(d time.Duration) {
 		for until := now + d; now < until; {
 			now += 500 * time.Millisecond
-			do(Word{Event: view.Event{Kind: view.Tick}})
+			do(PeerEvent{Event: view.Event{Kind: view.Tick}})
 		}
 	}
 	if advance(4 * time.Second); nodes != 0 {
@@ -63,7 +63,7 @@
 		t.Errorf("decider got Nodes %d, want 10", nodes)
 	}
 	// Their lists are empty, like ours.
-	if f := r.fleetFigures(); f.Live != 9 || f.Crowd != 10 || !f.Believed || f.Agree != 5 {
+	if f := r.fleetFigures(); f.Live != 9 || f.SharingBalancers != 10 || !f.Believed || f.SameListSize != 5 {
 		t.Errorf("%+v", f)
 	}
 	if len(facts) != 1 || string(facts[0].Value) != "0" {
--- a/internal/reducer/pools.go
+++ b/internal/reducer/pools.go
@@ -20,7 +20,7 @@
 // that drives the reducer and must be deterministic.
 type Layout struct {
 	Pools []PoolSpec
-	// Route returns the ID of a call's pool, which is its index in Pools until an Adjusted event changes that. nil: the
+	// Route returns the ID of a call's pool, which is its index in Pools until a PoolsChanged event changes that. nil: the
 	// first pool.
 	Route func(*Call) int
 }
--- a/internal/reducer/pools_test.go
+++ b/internal/reducer/pools_test.go
@@ -73,7 +73,7 @@
 	h := &harness{t: t, now: time.Hour, cfg: settings(), sendsToDraining: true}
 	h.start(100)
 	deciders := map[string]*viewDecider{}
-	r, err := NewPools(h.cfg, 100, l, func(pool string) brain.Decider {
+	r, err := NewWithDeciders(h.cfg, 100, l, func(pool string) brain.Decider {
 		deciders[pool] = &viewDecider{t: t, members: map[string]brain.Member{}, sends: map[string]string{}}
 		return deciders[pool]
 	})
@@ -156,7 +156,7 @@
 				c := control.Change{Node: fmt.Sprint("s", rapid.IntRange(0, 400).Draw(t, "server")), Drained: rapid.Bool().Draw(t, "drained"),
 					Weight: rapid.SampledFrom([]float64{0, 0, 0.5}).Draw(t, "weight")}
 				overrides[c.Node] = c
-				h.do(Operator{Changes: []control.Change{c}})
+				h.do(OverridesChanged{Changes: []control.Change{c}})
 			},
 			"call": func(t *rapid.T) {
 				id := h.arrive(0, 600*ms)
@@ -225,7 +225,7 @@
 	}
 	h.exchanged(goodAnswer(1))
 	h.exchanged(goodAnswer(2))
-	if a, b := h.calls[first].reply.Kind, h.calls[second].reply.Kind; a != Served || b != Served || h.r.pools[0] != nil || h.r.Open() != 0 {
+	if a, b := h.calls[first].reply.Kind, h.calls[second].reply.Kind; a != Served || b != Served || h.r.pools[0] != nil || h.r.OpenCalls() != 0 {
 		t.Errorf("replies %v and %v, index of the old pool holds %v", a, b, h.r.pools[0])
 	}
 	h.do(Reloaded{Discovery: "d:2", Layout: &Layout{Pools: []PoolSpec{{Name: "x"}, {Name: "x"}}}})
@@ -267,7 +267,7 @@
 	first := h.arrive(0, 600*ms)
 	h.arrive(0, 600*ms)
 	third, other := h.arrive(0, 600*ms), h.arrive(1, 600*ms)
-	if c := h.calls[third]; c.reply.Kind != Refused || c.answers != 1 || c.reply.After == 0 || h.calls[other].answers != 0 {
+	if c := h.calls[third]; c.reply.Kind != Refused || c.answers != 1 || c.reply.RetryAfter == 0 || h.calls[other].answers != 0 {
 		t.Errorf("%+v, the other pool's %+v", c, h.calls[other])
 	}
 	h.clientGone(first)
--- a/internal/reducer/reducer.go
+++ b/internal/reducer/reducer.go
@@ -70,17 +70,17 @@
 
 // Call is a client's request as read by the acceptor.
 type Call struct {
-	ID       uint64
-	ClientID string // as sent by the client; another client may have copied it
-	Class    int
-	Tenant   int     // stable number of the tenant, or -1
-	Quota    float64 // the tenant's limit in requests per second over all balancers; 0: unlimited
-	Retry    bool
-	Key      string
-	Work     float64
-	Deadline time.Duration // when the client gives up, on the reducer's clock
-	OneShot  bool          // body streamed from the client, so sent only once; the deadline counts from Uploaded
-	Message  any           // opaque; for the code that writes the call
+	ID           uint64
+	ClientID     string // as sent by the client; another client may have copied it
+	Class        int
+	Tenant       int     // stable number of the tenant, or -1
+	Quota        float64 // the tenant's limit in requests per second over all balancers; 0: unlimited
+	Retry        bool
+	Key          string
+	Work         float64
+	Deadline     time.Duration // when the client gives up, on the reducer's clock
+	StreamedBody bool          // body streamed from the client, so sent only once; the deadline counts from Uploaded
+	Message      any           // opaque; for the code that writes the call
 }
 
 // ReplyKind is the kind of a final answer.
@@ -96,9 +96,9 @@
 
 // Reply is the final answer of a call.
 type Reply struct {
-	Kind    ReplyKind
-	After   time.Duration // 0: no hint
-	Message any
+	Kind       ReplyKind
+	RetryAfter time.Duration // 0: no hint
+	Message    any
 }
 
 // Event is implemented by the event structs below.
@@ -116,13 +116,13 @@
 		Discovery string
 		Layout    *Layout
 		Settings  *brain.Settings
-		Tag       any // returned in Retuned
+		Tag       any // returned in SettingsChanged
 	}
-	// TurnedDown reports that a new configuration was rejected.
-	TurnedDown struct{}
+	// ReloadRejected reports that a new configuration was rejected.
+	ReloadRejected struct{}
 	// Arrived reports a call that has been read completely.
 	Arrived struct{ Call *Call }
-	// Uploaded reports that the last byte of a OneShot body was read from the client's connection. The byte arrived at
+	// Uploaded reports that the last byte of a streamed body was read from the client's connection. The byte arrived at
 	// Last or later: data may have waited in the socket.
 	Uploaded struct {
 		Call uint64
@@ -139,20 +139,20 @@
 	// Message or the connection is closed. Exchanged follows at the end.
 	Flowing struct {
 		Conn    uint64
-		Result  Result // Good or Unusable
+		Result  Result // ResultGood or ResultInvalidCall
 		Message any
 	}
 	// Exchanged is the single result of an Exchange.
 	Exchanged struct {
-		Conn    uint64
-		Written WriteProgress
-		Result  Result
-		Message any           // the complete answer; nil after Flowing
-		Report  []float64     // the load report, if any
-		Reuse   bool          // the connection can carry another call
-		Pause   time.Duration // the longest pause within the answer; 0: it came in one piece
-		Spent   bool          // a part of a OneShot body has been read from the client
-		Err     error
+		Conn         uint64
+		Written      WriteProgress
+		Result       Result
+		Message      any           // the complete answer; nil after Flowing
+		Report       []float64     // the load report, if any
+		Reusable     bool          // the connection can carry another call
+		LongestPause time.Duration // the longest pause within the answer; 0: it came in one piece
+		BodyUsed     bool          // a part of a streamed body has been read from the client
+		Err          error
 	}
 	// Lost reports that the app node closed an idle connection.
 	Lost struct{ Conn uint64 }
@@ -161,28 +161,28 @@
 		Watch uint64
 		List  List
 	}
-	// Said, Heard and SourceBroke come from registries other than the platform's discovery: a list or changes to it, a
+	// SourceList, SourceAlive and SourceFailed come from registries other than the platform's discovery: a list or changes to it, a
 	// sign of life, and a failure to reach the registry. They need a roster.
-	Said struct {
+	SourceList struct {
 		Source   int
-		Whole    bool
+		Complete bool
 		Revision int64
 		Entries  []roster.Entry
 	}
-	Heard       struct{ Source int }
-	SourceBroke struct {
+	SourceAlive  struct{ Source int }
+	SourceFailed struct {
 		Source int
 		Err    error
 	}
-	// Operator carries changed operator overrides. They are in force when Handle returns; Done is then called.
-	Operator struct {
+	// OverridesChanged carries changed operator overrides. They are in force when Handle returns; Done is then called.
+	OverridesChanged struct {
 		Changes []control.Change
 		Done    func()
 	}
-	// Look asks for a View, with the app nodes whose IDs sort after From.
-	Look struct {
+	// Inspect asks for a Snapshot, with the app nodes whose IDs sort after From.
+	Inspect struct {
 		From string
-		To   func(View)
+		Done func(Snapshot)
 	}
 	// WatchEnded reports that the watch broke or could not be opened.
 	WatchEnded struct {
@@ -207,23 +207,23 @@
 type WriteProgress uint8
 
 const (
-	Nothing WriteProgress = iota // the connection had ended before
-	Partly                       // it broke before the last byte: the request cannot run
-	Whole                        // it may have run
+	WroteNothing WriteProgress = iota // the connection had ended before
+	WrotePart                         // it broke before the last byte: the request cannot run
+	WroteAll                          // it may have run
 )
 
 // Result is the outcome of an Exchange.
 type Result uint8
 
 const (
-	Broke    Result = iota // no answer, or an incomplete or invalid one
-	Stalled                // it stalled for longer than the stall timeout
-	Good                   // an answer for the client
-	Errored                // the app node reports that it failed
-	Shed                   // the app node reports that it did not run the call
-	Unusable               // the app node reports that the call is invalid
-	NoRoom                 // the answer is larger than the buffer, and there was no memory to stream it
-	Left                   // the client left during the flow, during the upload, or before anything was written
+	ResultBroken      Result = iota // no answer, or an incomplete or invalid one
+	ResultStalled                   // it stalled for longer than the stall timeout
+	ResultGood                      // an answer for the client
+	ResultAppError                  // the app node reports that it failed
+	ResultShed                      // the app node reports that it did not run the call
+	ResultInvalidCall               // the app node reports that the call is invalid
+	ResultNoMemory                  // the answer is larger than the buffer, and there was no memory to stream it
+	ResultClientLeft                // the client left during the flow, during the upload, or before anything was written
 )
 
 // List is a list of app nodes from discovery, in the decider's terms.
@@ -251,11 +251,11 @@
 	}
 	// Exchange writes a call on an idle connection and reads the answer; Exchanged follows, unless Close comes first.
 	Exchange struct {
-		Conn      uint64
-		Call      *Call
-		Wait      time.Duration // until the call's deadline
-		Stall     time.Duration // the longest pause within an answer before it counts as stalled
-		FlowStall time.Duration // the same once the answer flows
+		Conn            uint64
+		Call            *Call
+		TimeLeft        time.Duration // until the call's deadline
+		ReadTimeout     time.Duration // the longest pause within an answer before it counts as stalled
+		FlowReadTimeout time.Duration // the same once the answer flows
 	}
 	// Close closes and releases a connection.
 	Close struct{ Conn uint64 }
@@ -267,10 +267,10 @@
 	}
 	// Refetch asks a source for its complete list, because its changes do not follow on the revision held.
 	Refetch struct{ Source int }
-	// Tell calls a callback outside the reducer's state.
-	Tell struct{ Do func() }
-	// Arm delivers Event after a delay.
-	Arm struct {
+	// RunCallback calls a callback outside the reducer's state.
+	RunCallback struct{ Do func() }
+	// StartTimer delivers Event after a delay.
+	StartTimer struct {
 		After time.Duration
 		Event Event
 	}
@@ -326,7 +326,7 @@
 	startedAt        time.Duration
 	mayHaveRunSince  time.Duration // when it was handed to a connection; 0: it never was, or never ran
 	committedAt      time.Duration // when its answer began to flow to the client
-	bodyUsed         bool          // it may have consumed part of a OneShot body
+	bodyUsed         bool          // it may have consumed part of a streamed body
 	outOfDescriptors bool          // it failed because the connection budget was used up
 	ended            bool
 }
@@ -440,17 +440,17 @@
 
 // New creates the state of a balancer with one pool and at most budget connections to app nodes.
 func New(cfg brain.Settings, seed uint64, budget int) (*Reducer, error) {
-	return NewLaid(cfg, seed, budget, defaultLayout())
+	return NewWithLayout(cfg, seed, budget, defaultLayout())
 }
 
-// NewLaid creates the state of a balancer with the pools of a layout. Each pool has its own decider with the same
+// NewWithLayout creates the state of a balancer with the pools of a layout. Each pool has its own decider with the same
 // settings and a seed derived from the pool's name. Only the first asks for the list, which is the same for all.
-func NewLaid(cfg brain.Settings, seed uint64, budget int, l Layout) (*Reducer, error) {
+func NewWithLayout(cfg brain.Settings, seed uint64, budget int, l Layout) (*Reducer, error) {
 	if _, err := brain.New(cfg, seed); err != nil {
 		return nil, err
 	}
 	first := true
-	return NewPools(cfg, budget, l, func(pool string) brain.Decider {
+	return NewWithDeciders(cfg, budget, l, func(pool string) brain.Decider {
 		poolCfg, s := cfg, seed
 		if !first {
 			poolCfg.AskDiscovery = false
@@ -465,17 +465,17 @@
 	})
 }
 
-// NewWith creates the state of a balancer with one pool and the given decider.
-func NewWith(cfg brain.Settings, decider brain.Decider, budget int) *Reducer {
-	r, err := NewPools(cfg, budget, defaultLayout(), func(string) brain.Decider { return decider })
+// NewWithDecider creates the state of a balancer with one pool and the given decider.
+func NewWithDecider(cfg brain.Settings, decider brain.Decider, budget int) *Reducer {
+	r, err := NewWithDeciders(cfg, budget, defaultLayout(), func(string) brain.Decider { return decider })
 	if err != nil {
 		panic(err) // a layout with one pool is always valid
 	}
 	return r
 }
 
-// NewPools creates the state of a balancer with the pools of a layout. newDecider creates the decider of each pool.
-func NewPools(cfg brain.Settings, budget int, l Layout, newDecider func(string) brain.Decider) (*Reducer, error) {
+// NewWithDeciders creates the state of a balancer with the pools of a layout. newDecider creates the decider of each pool.
+func NewWithDeciders(cfg brain.Settings, budget int, l Layout, newDecider func(string) brain.Decider) (*Reducer, error) {
 	r := &Reducer{cfg: cfg, newDecider: newDecider, connBudget: budget, fullConnBudget: budget,
 		calls: map[uint64]*call{}, callsByDeciderID: map[string]*call{}, callsByClientID: map[string]*call{}, recentClientIDs: [2]map[string]struct{}{{}, {}},
 		servers: map[string]*server{}, conns: map[uint64]*conn{}, serversByAddress: map[string][]*server{}, zoneBits: map[string]uint64{},
@@ -491,29 +491,29 @@
 	return r, nil
 }
 
-// FixStall sets a fixed stall timeout for answers in place of the learned ones. It must be called before the first
+// SetFixedStallTimeout sets a fixed stall timeout for answers in place of the learned ones. It must be called before the first
 // event.
-func (r *Reducer) FixStall(wait time.Duration) {
+func (r *Reducer) SetFixedStallTimeout(wait time.Duration) {
 	r.fixedStall = wait
 	for i := range r.stallEstimators {
 		r.stallEstimators[i] = r.newStallEstimator(&r.cfg.Classes[i])
 	}
 }
 
-// Open returns the number of calls that still wait for an answer or have attempts that have not ended.
-func (r *Reducer) Open() int { return len(r.calls) }
+// OpenCalls returns the number of calls that still wait for an answer or have attempts that have not ended.
+func (r *Reducer) OpenCalls() int { return len(r.calls) }
 
 // Handle processes one event at time now on the reducer's clock and appends the effects to carry out.
 func (r *Reducer) Handle(now time.Duration, ev Event, effects []Effect) []Effect {
 	r.now, r.effects = now, effects
 	r.detectPause()
 	switch e := ev.(type) {
-	case Word:
+	case PeerEvent:
 		r.onPeerEvent(&e)
 	case Started:
 		r.discoveryAddress = e.Discovery
 		if r.hasZones {
-			r.emit(Arm{zoneTickInterval, zoneTimer{}})
+			r.emit(StartTimer{zoneTickInterval, zoneTimer{}})
 		}
 		// The saved list counts as that of discovery or, without discovery, of the first source.
 		if r.roster != nil && len(e.Known.Members) > 0 {
@@ -527,7 +527,7 @@
 		if e.Figures {
 			r.onPublish()
 		}
-	case TurnedDown:
+	case ReloadRejected:
 		r.reloadsRejected++
 	case Reloaded:
 		r.reloadsApplied++
@@ -548,7 +548,7 @@
 				r.enqueue(&fleetJob{reassign: true})
 			}
 		}
-	case Adjusted:
+	case PoolsChanged:
 		r.onAdjusted(&e)
 	case Arrived:
 		r.onArrived(e.Call)
@@ -596,7 +596,7 @@
 		if r.cfg.AskDiscovery {
 			r.notify(r.discoveryPool, &brain.FleetUpdate{Kind: brain.UpdateAskFailed})
 		} else {
-			r.emit(Arm{r.watchPause(), reopenWatchTimer{}})
+			r.emit(StartTimer{r.watchPause(), reopenWatchTimer{}})
 		}
 	case deciderTimer:
 		r.notify(e.pool, &brain.TimerFired{Cookie: e.cookie})
@@ -618,24 +618,24 @@
 		r.retuneNextSlice()
 	case zoneTimer:
 		r.onZoneTick()
-	case Operator:
+	case OverridesChanged:
 		r.onOperator(e.Changes)
 		if e.Done != nil {
-			r.emit(Tell{e.Done})
+			r.emit(RunCallback{e.Done})
 		}
-	case Look:
+	case Inspect:
 		v := r.buildView(e.From)
-		r.emit(Tell{func() { e.To(v) }})
-	case Said:
+		r.emit(RunCallback{func() { e.Done(v) }})
+	case SourceList:
 		if r.roster != nil {
-			r.enqueueSourceList(e.Source, e.Whole, e.Revision, e.Entries, brain.UpdateChanges)
+			r.enqueueSourceList(e.Source, e.Complete, e.Revision, e.Entries, brain.UpdateChanges)
 		}
-	case Heard:
+	case SourceAlive:
 		if r.roster != nil {
 			r.roster.Heard(r.now, e.Source)
 			r.pollRoster()
 		}
-	case SourceBroke:
+	case SourceFailed:
 		r.onSourceBroke(e.Source, e.Err)
 	case rosterTimer:
 		r.onRosterTick()
@@ -643,7 +643,7 @@
 		r.setDraining(true, e.Done)
 	case Activate:
 		r.setDraining(false, e.Done)
-	case Beside:
+	case ProcessesChanged:
 		r.onProcessesChanged(e.Others)
 	case closeClientsTimer:
 		r.onCloseClients(e.epoch)
@@ -693,11 +693,11 @@
 			}
 		}
 	case brain.Refuse:
-		r.answer(r.callsByDeciderID[a.ID], Reply{Kind: Refused, After: a.After})
+		r.answer(r.callsByDeciderID[a.ID], Reply{Kind: Refused, RetryAfter: a.After})
 	case brain.Fail:
 		r.answer(r.callsByDeciderID[a.ID], Reply{Kind: Failed})
 	case brain.SetTimer:
-		r.emit(Arm{a.After, deciderTimer{p, a.Cookie}})
+		r.emit(StartTimer{a.After, deciderTimer{p, a.Cookie}})
 	case brain.CloseIdle:
 		if s := r.servers[a.Server]; s != nil {
 			for len(s.idle) > 0 {
@@ -717,7 +717,7 @@
 
 func (Started) event()          {}
 func (Reloaded) event()         {}
-func (TurnedDown) event()       {}
+func (ReloadRejected) event()   {}
 func (Arrived) event()          {}
 func (Uploaded) event()         {}
 func (ClientGone) event()       {}
@@ -733,20 +733,20 @@
 func (reopenWatchTimer) event() {}
 func (nextSlice) event()        {}
 func (zoneTimer) event()        {}
-func (Operator) event()         {}
-func (Look) event()             {}
-func (Said) event()             {}
-func (Heard) event()            {}
-func (SourceBroke) event()      {}
+func (OverridesChanged) event() {}
+func (Inspect) event()          {}
+func (SourceList) event()       {}
+func (SourceAlive) event()      {}
+func (SourceFailed) event()     {}
 func (rosterTimer) event()      {}
 
-func (Answer) effect()   {}
-func (Dial) effect()     {}
-func (Exchange) effect() {}
-func (Close) effect()    {}
-func (Watch) effect()    {}
-func (Tell) effect()     {}
-func (Refetch) effect()  {}
-func (Arm) effect()      {}
-func (Ready) effect()    {}
-func (Log) effect()      {}
+func (Answer) effect()      {}
+func (Dial) effect()        {}
+func (Exchange) effect()    {}
+func (Close) effect()       {}
+func (Watch) effect()       {}
+func (RunCallback) effect() {}
+func (Refetch) effect()     {}
+func (StartTimer) effect()  {}
+func (Ready) effect()       {}
+func (Log) effect()         {}
--- a/internal/reducer/reducer_test.go
+++ b/internal/reducer/reducer_test.go
@@ -58,7 +58,7 @@
 	timers          []scheduledEvent
 	lastByClientID  map[string]scheduledEvent // by client ID: the call last sent under it, and when
 	effects         []Effect                  // of the last event
-	closes          []Part                    // all Part effects so far
+	closes          []CloseClientConns        // all CloseClientConns effects so far
 	sendsToDraining bool                      // the deciders may send to app nodes that drain
 	notReadySince   map[string]time.Duration  // when each app node that is not ready was first listed so
 
@@ -145,12 +145,12 @@
 			if c := h.calls[e.Call.ID]; h.now >= c.deadline-answerMargin {
 				h.t.Fatalf("call %d sent only %v before its deadline", e.Call.ID, c.deadline-h.now)
 			}
-			if e.Stall <= 0 || e.FlowStall <= e.Stall {
-				h.t.Fatalf("invalid stall timeouts %v and %v", e.Stall, e.FlowStall)
+			if e.ReadTimeout <= 0 || e.FlowReadTimeout <= e.ReadTimeout {
+				h.t.Fatalf("invalid stall timeouts %v and %v", e.ReadTimeout, e.FlowReadTimeout)
 			}
 			h.setState(e.Conn, busy)
 			h.callOn[e.Conn] = e.Call.ID
-			if e.Call.OneShot {
+			if e.Call.StreamedBody {
 				h.calls[e.Call.ID].deadline = 1 << 62 // the deadline does not run while the body is being sent
 			}
 			if id := e.Call.ClientID; id != "" {
@@ -191,9 +191,9 @@
 			h.record(fmt.Sprintf("answered, kind %d, flowing %v", e.Reply.Kind, c.flow != 0))
 		case Publish:
 			h.figures = e.Figures
-		case Part:
+		case CloseClientConns:
 			h.closes = append(h.closes, e)
-		case Arm:
+		case StartTimer:
 			h.timers = append(h.timers, scheduledEvent{h.now + e.After, e.Event})
 		}
 	}
@@ -203,8 +203,8 @@
 			h.record("flowing, past its deadline")
 		}
 	}
-	if c := h.r.counts; c.active() < 0 || c.active() > h.r.Open() {
-		h.t.Fatalf("%d calls active, %d open: %+v", c.active(), h.r.Open(), c)
+	if c := h.r.counts; c.active() < 0 || c.active() > h.r.OpenCalls() {
+		h.t.Fatalf("%d calls active, %d open: %+v", c.active(), h.r.OpenCalls(), c)
 	}
 	byServer, seen := 0, map[*server]bool{}
 	for _, cn := range h.r.conns {
@@ -280,16 +280,16 @@
 }
 
 func (h *harness) exchanged(e Exchanged) {
-	if e.Result != Broke && e.Result != Stalled && e.Reuse && e.Written == Whole {
+	if e.Result != ResultBroken && e.Result != ResultStalled && e.Reusable && e.Written == WroteAll {
 		h.setState(e.Conn, idle)
 		h.idleAt[e.Conn] = h.now
 	}
 	c := h.calls[h.callOn[e.Conn]]
-	if e.Result == Left && e.Written == Nothing && c.answers == 0 {
+	if e.Result == ResultClientLeft && e.Written == WroteNothing && c.answers == 0 {
 		c.clientGone = true
 		h.record("found to have left before the write")
 	}
-	if c.bodyUsed = c.bodyUsed || e.Spent; c.flow == e.Conn {
+	if c.bodyUsed = c.bodyUsed || e.BodyUsed; c.flow == e.Conn {
 		c.flow = 0
 		h.record(fmt.Sprintf("flowing, ended with result %d", e.Result))
 	}
@@ -318,7 +318,7 @@
 
 // goodAnswer is a complete answer on a connection that can be reused.
 func goodAnswer(conn uint64) Exchanged {
-	return Exchanged{Conn: conn, Written: Whole, Result: Good, Reuse: true}
+	return Exchanged{Conn: conn, Written: WroteAll, Result: ResultGood, Reusable: true}
 }
 
 var errDown = errors.New("down")
@@ -343,7 +343,7 @@
 				h.lastCall++
 				wait := time.Duration(rapid.IntRange(0, 700).Draw(t, "wait")) * ms
 				h.calls[h.lastCall] = &callState{deadline: h.now + wait, timeout: wait}
-				h.do(Arrived{&Call{ID: h.lastCall, Class: rapid.IntRange(0, 1).Draw(t, "class"), Tenant: -1, Deadline: h.now + wait, OneShot: true}})
+				h.do(Arrived{&Call{ID: h.lastCall, Class: rapid.IntRange(0, 1).Draw(t, "class"), Tenant: -1, Deadline: h.now + wait, StreamedBody: true}})
 			},
 			"uploaded": func(t *rapid.T) {
 				if h.lastCall > 0 {
@@ -366,18 +366,18 @@
 			},
 			"exchanged": func(t *rapid.T) {
 				if id, ok := pick(busy); ok {
-					e := Exchanged{Conn: id, Written: rapid.SampledFrom([]WriteProgress{Nothing, Partly, Whole}).Draw(t, "written")}
-					if e.Written == Nothing && rapid.Bool().Draw(t, "left") {
-						e.Result = Left
+					e := Exchanged{Conn: id, Written: rapid.SampledFrom([]WriteProgress{WroteNothing, WrotePart, WroteAll}).Draw(t, "written")}
+					if e.Written == WroteNothing && rapid.Bool().Draw(t, "left") {
+						e.Result = ResultClientLeft
 					}
-					if e.Written != Nothing {
-						e.Result = rapid.SampledFrom([]Result{Broke, Broke, Stalled, Good, Good, Good, Errored, Shed, Unusable, NoRoom, Left}).Draw(t, "result")
-						e.Reuse = e.Result > Stalled && rapid.Bool().Draw(t, "reuse")
+					if e.Written != WroteNothing {
+						e.Result = rapid.SampledFrom([]Result{ResultBroken, ResultBroken, ResultStalled, ResultGood, ResultGood, ResultGood, ResultAppError, ResultShed, ResultInvalidCall, ResultNoMemory, ResultClientLeft}).Draw(t, "result")
+						e.Reusable = e.Result > ResultStalled && rapid.Bool().Draw(t, "reuse")
 						e.Report = []float64{float64(rapid.IntRange(0, 9).Draw(t, "queue"))}
-						e.Pause = time.Duration(rapid.IntRange(0, 90).Draw(t, "pause")) * ms
-						e.Spent = h.r.calls[h.callOn[id]].OneShot && rapid.Bool().Draw(t, "spent")
+						e.LongestPause = time.Duration(rapid.IntRange(0, 90).Draw(t, "pause")) * ms
+						e.BodyUsed = h.r.calls[h.callOn[id]].StreamedBody && rapid.Bool().Draw(t, "spent")
 					}
-					if c := h.r.calls[h.callOn[id]]; c.OneShot && !e.Spent && c.uploading {
+					if c := h.r.calls[h.callOn[id]]; c.StreamedBody && !e.BodyUsed && c.uploading {
 						h.calls[c.ID].deadline = max(h.now, c.arrivedAt+h.calls[c.ID].timeout)
 					}
 					h.exchanged(e)
@@ -385,14 +385,14 @@
 			},
 			"commit": func(t *rapid.T) {
 				if id, ok := pick(busy); ok {
-					h.startFlow(id, rapid.SampledFrom([]Result{Good, Good, Unusable}).Draw(t, "result"))
+					h.startFlow(id, rapid.SampledFrom([]Result{ResultGood, ResultGood, ResultInvalidCall}).Draw(t, "result"))
 				}
 			},
 			"flow ends": func(t *rapid.T) {
 				if id, ok := pick(flowing); ok {
-					r := rapid.SampledFrom([]Result{Broke, Stalled, Good, Good, Left}).Draw(t, "result")
-					h.exchanged(Exchanged{Conn: id, Written: Whole, Result: r, Reuse: r == Good && rapid.Bool().Draw(t, "reuse"),
-						Report: []float64{1}, Pause: ms, Err: errDown})
+					r := rapid.SampledFrom([]Result{ResultBroken, ResultStalled, ResultGood, ResultGood, ResultClientLeft}).Draw(t, "result")
+					h.exchanged(Exchanged{Conn: id, Written: WroteAll, Result: r, Reusable: r == ResultGood && rapid.Bool().Draw(t, "reuse"),
+						Report: []float64{1}, LongestPause: ms, Err: errDown})
 				}
 			},
 			"late events": func(t *rapid.T) {
@@ -431,7 +431,7 @@
 				h.uploaded(id + 1)
 			}
 			for _, id := range h.inState(flowing) { // flows are not ended by a deadline
-				h.exchanged(Exchanged{Conn: id, Written: Whole, Result: Good})
+				h.exchanged(Exchanged{Conn: id, Written: WroteAll, Result: ResultGood})
 			}
 			h.advance(2 * time.Second) // past every deadline
 		}
@@ -453,8 +453,8 @@
 		if c := h.r.counts; byClass != (classCount{c.Served, c.Refused, c.Failed}) {
 			t.Fatalf("counts by class %+v, in total %+v", byClass, c)
 		}
-		if h.r.Open() != 0 || len(h.inState(busy))+len(h.inState(flowing)) != 0 || len(h.r.callsByClientID) != 0 {
-			t.Fatalf("left over: %d calls, busy connections %v, flowing %v", h.r.Open(), h.inState(busy), h.inState(flowing))
+		if h.r.OpenCalls() != 0 || len(h.inState(busy))+len(h.inState(flowing)) != 0 || len(h.r.callsByClientID) != 0 {
+			t.Fatalf("left over: %d calls, busy connections %v, flowing %v", h.r.OpenCalls(), h.inState(busy), h.inState(flowing))
 		}
 		h.advance(5 * time.Second)
 		if n := len(h.r.conns); n != 0 {
@@ -495,7 +495,7 @@
 	h.dialed(1, nil)
 	h.exchanged(goodAnswer(1))
 	second := h.arrive(0, 600*ms)
-	h.exchanged(Exchanged{Conn: 1, Written: Nothing, Err: errDown})
+	h.exchanged(Exchanged{Conn: 1, Written: WroteNothing, Err: errDown})
 	h.dialed(2, nil)
 	h.exchanged(goodAnswer(2))
 	if a, b := h.calls[first], h.calls[second]; a.answers != 1 || b.answers != 1 || a.reply.Kind != Served || b.reply.Kind != Served {
@@ -515,8 +515,8 @@
 		t.Fatal("the connection of the abandoned attempt was not reused")
 	}
 	h.clientGone(id)
-	if h.conns[1] != closed || h.r.Open() != 0 {
-		t.Fatalf("the attempt continues: connection %v, %d calls open", h.conns[1], h.r.Open())
+	if h.conns[1] != closed || h.r.OpenCalls() != 0 {
+		t.Fatalf("the attempt continues: connection %v, %d calls open", h.conns[1], h.r.OpenCalls())
 	}
 }
 
@@ -526,7 +526,7 @@
 	id := h.arrive(0, 600*ms)
 	h.dialed(1, nil)
 	h.advance(600 * ms)
-	if c := h.calls[id]; c.reply.Kind != Refused || c.reply.After == 0 {
+	if c := h.calls[id]; c.reply.Kind != Refused || c.reply.RetryAfter == 0 {
 		t.Fatalf("%+v", c.reply)
 	}
 	if h.conns[1] != closed {
@@ -542,7 +542,7 @@
 	h.exchanged(goodAnswer(1))
 	h.arrive(0, 600*ms)
 	h.listed(list(false, brain.Ready, "a:2"))
-	h.exchanged(Exchanged{Conn: 1, Written: Whole, Result: Good})
+	h.exchanged(Exchanged{Conn: 1, Written: WroteAll, Result: ResultGood})
 	h.arrive(0, 600*ms)
 	if d, ok := h.effects[len(h.effects)-1].(Dial); h.conns[1] != closed || !ok || d.Address != "a:2" {
 		t.Fatalf("connection %v, effects %+v", h.conns[1], h.effects)
@@ -570,8 +570,8 @@
 func TestExpiredCallIsRefused(t *testing.T) {
 	h := newHarness(t, 4, "a:1")
 	id := h.arrive(1, answerMargin)
-	if c := h.calls[id]; c.reply.Kind != Refused || c.reply.After == 0 || h.r.Open() != 0 {
-		t.Errorf("%+v, %d calls open", c.reply, h.r.Open())
+	if c := h.calls[id]; c.reply.Kind != Refused || c.reply.RetryAfter == 0 || h.r.OpenCalls() != 0 {
+		t.Errorf("%+v, %d calls open", c.reply, h.r.OpenCalls())
 	}
 }
 
@@ -581,8 +581,8 @@
 	id := h.arrive(0, 140*ms)
 	h.r.notify(h.r.pools[0], &brain.ClientGone{ID: h.r.calls[id].deciderID}) // makes the decider forget the call
 	h.advance(140 * ms)
-	if c := h.calls[id]; c.answers != 1 || c.reply.Kind != Refused || h.r.Open() != 0 {
-		t.Errorf("%+v, %d calls open", c, h.r.Open())
+	if c := h.calls[id]; c.answers != 1 || c.reply.Kind != Refused || h.r.OpenCalls() != 0 {
+		t.Errorf("%+v, %d calls open", c, h.r.OpenCalls())
 	}
 }
 
@@ -627,7 +627,7 @@
 	real := h.arriveAs("x", 1, 600*ms)
 	another := h.arriveAs("x", 1, 600*ms)
 	h.dialed(1, nil)
-	h.exchanged(Exchanged{Conn: 1, Written: Whole, Result: Unusable, Reuse: true})
+	h.exchanged(Exchanged{Conn: 1, Written: WroteAll, Result: ResultInvalidCall, Reusable: true})
 	h.exchanged(goodAnswer(1))
 	late := h.arriveAs("x", 1, 600*ms)
 	for id, want := range map[uint64]ReplyKind{copied: Rejected, real: Served, another: Conflict, late: Conflict} {
@@ -642,8 +642,8 @@
 		t.Errorf("%+v %+v", h.calls[second], h.calls[first])
 	}
 	h.exchanged(goodAnswer(1))
-	if h.advance(time.Minute); h.r.Open() != 0 || len(h.r.callsByClientID) != 0 {
-		t.Errorf("%d calls and %d client IDs left", h.r.Open(), len(h.r.callsByClientID))
+	if h.advance(time.Minute); h.r.OpenCalls() != 0 || len(h.r.callsByClientID) != 0 {
+		t.Errorf("%d calls and %d client IDs left", h.r.OpenCalls(), len(h.r.callsByClientID))
 	}
 	for i := range 3 * maxClientIDs { // the number of remembered IDs is bounded
 		h.r.rememberClientID(strconv.Itoa(i))
@@ -668,7 +668,7 @@
 	if len(h.r.servers) != 1 || len(h.r.serverList) != 1 {
 		t.Fatalf("%d servers at one address", len(h.r.servers))
 	}
-	h.exchanged(Exchanged{Conn: 1, Written: Whole, Result: Good})
+	h.exchanged(Exchanged{Conn: 1, Written: WroteAll, Result: ResultGood})
 	h.now += 10 * time.Second // s2 is warming up and gets its share
 	h.arrive(0, 600*ms)
 	if d, ok := h.effects[len(h.effects)-1].(Dial); h.calls[first].answers != 1 || h.conns[1] != closed || !ok || d.Address != "a:1" {
@@ -720,8 +720,8 @@
 		sent  bool
 	}{
 		{900 * ms, nil, true}, {990 * ms, nil, false},
-		{990 * ms, &Exchanged{Written: Whole, Result: Broke}, false},
-		{990 * ms, &Exchanged{Written: Partly, Result: Broke}, true}, // it never ran
+		{990 * ms, &Exchanged{Written: WroteAll, Result: ResultBroken}, false},
+		{990 * ms, &Exchanged{Written: WrotePart, Result: ResultBroken}, true}, // it never ran
 	} {
 		h := newHarness(t, 10, "a:1", "b:1")
 		h.r.cfg.ConnectTimeout = 2 * time.Second
--- a/internal/reducer/retune.go
+++ b/internal/reducer/retune.go
@@ -23,14 +23,14 @@
 	removedAt time.Duration // when the class was marked as Gone
 }
 
-// Retuned tells the acceptor and the code that drives connections to app nodes which settings are in force.
-type Retuned struct {
-	Places  map[string]int // slot index by name, of the classes that new calls may have
-	Classes []brain.Class  // by slot index
-	Tag     any            // from Reloaded
+// SettingsChanged tells the acceptor and the code that drives connections to app nodes which settings are in force.
+type SettingsChanged struct {
+	ClassSlots map[string]int // slot index by name, of the classes that new calls may have
+	Classes    []brain.Class  // by slot index
+	Tag        any            // from Reloaded
 }
 
-func (Retuned) effect() {}
+func (SettingsChanged) effect() {}
 
 func (r *Reducer) onRetuned(next brain.Settings, tag any) {
 	classes := slices.Clone(r.cfg.Classes)
@@ -65,7 +65,7 @@
 		next.Nodes = r.peerView.Crowd()
 	}
 	r.cfg, r.settingsChanged = next, true
-	r.retuneAll(Retuned{slots, classes, tag})
+	r.retuneAll(SettingsChanged{slots, classes, tag})
 }
 
 // maxRetunesPerEvent bounds the pools that one event sends settings to: some 25 us each, so that an event takes less
@@ -97,7 +97,7 @@
 		}
 	}
 	if r.retuning = r.nextRetuned < len(r.pools); r.retuning {
-		r.emit(Arm{0, nextRetuneSlice{}})
+		r.emit(StartTimer{0, nextRetuneSlice{}})
 	} else if r.afterRetune != nil {
 		r.emit(r.afterRetune)
 		r.afterRetune = nil
--- a/internal/reducer/retune_test.go
+++ b/internal/reducer/retune_test.go
@@ -13,11 +13,11 @@
 func (h *harness) reload(s brain.Settings) (slots map[string]int, classes []brain.Class) {
 	h.t.Helper()
 	for _, e := range h.do(Reloaded{Discovery: "d:1", Settings: &s, Tag: "tag"}) {
-		if e, ok := e.(Retuned); ok && e.Tag == "tag" {
-			return e.Places, e.Classes
+		if e, ok := e.(SettingsChanged); ok && e.Tag == "tag" {
+			return e.ClassSlots, e.Classes
 		}
 	}
-	h.t.Fatalf("no Retuned effect")
+	h.t.Fatalf("no SettingsChanged effect")
 	return nil, nil
 }
 
@@ -42,7 +42,7 @@
 	breakAttempt := func(call uint64) (retried bool) {
 		for conn, c := range h.callOn {
 			if c == call && h.conns[conn] == busy {
-				h.exchanged(Exchanged{Conn: conn, Written: Whole, Err: errDown})
+				h.exchanged(Exchanged{Conn: conn, Written: WroteAll, Err: errDown})
 			}
 		}
 		return h.calls[call].answers == 0
@@ -104,7 +104,7 @@
 	h := newHarness(t, 4, "a:1")
 	h.arrive(0, 600*ms)
 	h.dialed(1, nil)
-	h.startFlow(1, Good)
+	h.startFlow(1, ResultGood)
 	next := settings()
 	next.Classes = slices.Clone(next.Classes[1:])
 	h.reload(next)
@@ -134,21 +134,21 @@
 	}
 	for conn, c := range h.callOn {
 		if c == id && h.conns[conn] == busy {
-			h.exchanged(Exchanged{Conn: conn, Written: Whole, Err: errDown})
+			h.exchanged(Exchanged{Conn: conn, Written: WroteAll, Err: errDown})
 		}
 	}
 	h.advance(time.Second)
 	if n := len(h.inState(busy)) + len(h.inState(dialing)); n != 0 || h.calls[id].answers != 1 {
 		t.Errorf("%d attempts continue, %+v", n, h.calls[id])
 	}
-	h.do(TurnedDown{})
+	h.do(ReloadRejected{})
 	if h.r.reloadsApplied != 1 || h.r.reloadsRejected != 1 {
 		t.Errorf("%d reloads applied, %d rejected", h.r.reloadsApplied, h.r.reloadsRejected)
 	}
 }
 
-// Hundreds of pools are notified of settings in slices, and Retuned follows the last of them: a call with a new class
-// must find every pool prepared. Newer settings restart the round, and Retuned is emitted once.
+// Hundreds of pools are notified of settings in slices, and SettingsChanged follows the last of them: a call with a new class
+// must find every pool prepared. Newer settings restart the round, and SettingsChanged is emitted once.
 func TestSettingsReachPoolsInSlices(t *testing.T) {
 	var l Layout
 	for i := range 10 * maxRetunesPerEvent {
@@ -156,7 +156,7 @@
 	}
 	maxAttempts := map[string]int{} // MaxAttempts as last sent to each pool's decider
 	notified := 0
-	r, err := NewPools(settings(), 100, l, func(name string) brain.Decider {
+	r, err := NewWithDeciders(settings(), 100, l, func(name string) brain.Decider {
 		return eventFunc{func(ev brain.Event) {
 			if e, ok := ev.(*brain.Retuned); ok {
 				maxAttempts[name] = e.Settings.MaxAttempts
@@ -173,13 +173,13 @@
 		notified = 0
 		for _, e := range r.Handle(time.Hour, ev, nil) {
 			switch e := e.(type) {
-			case Arm:
+			case StartTimer:
 				scheduled = append(scheduled, e.Event)
-			case Retuned:
+			case SettingsChanged:
 				tags = append(tags, e.Tag)
 				for i := range l.Pools {
 					if n := maxAttempts[l.Pools[i].Name]; n != e.Tag {
-						t.Errorf("Retuned with tag %v emitted while pool %d has MaxAttempts %d", e.Tag, i, n)
+						t.Errorf("SettingsChanged with tag %v emitted while pool %d has MaxAttempts %d", e.Tag, i, n)
 					}
 				}
 			}
@@ -203,6 +203,6 @@
 		do(e)
 	}
 	if len(tags) != 1 || tags[0] != 9 || r.retuning {
-		t.Errorf("Retuned emitted with tags %v", tags)
+		t.Errorf("SettingsChanged emitted with tags %v", tags)
 	}
 }
--- a/internal/reducer/roster.go
+++ b/internal/reducer/roster.go
@@ -124,7 +124,7 @@
 		return
 	}
 	r.rosterTimerAt = max(at, r.now, 1)
-	r.emit(Arm{max(0, at-r.now), rosterTimer{}})
+	r.emit(StartTimer{max(0, at-r.now), rosterTimer{}})
 }
 
 // onSourceBroke reports to the roster that a source cannot be reached. The decider reconnects to the platform's
--- a/internal/reducer/roster_test.go
+++ b/internal/reducer/roster_test.go
@@ -17,7 +17,7 @@
 	h := &harness{t: t, now: time.Hour, cfg: settings()}
 	h.start(100)
 	v := &viewDecider{t: t, members: map[string]brain.Member{}, sends: map[string]string{}}
-	h.r = NewWith(h.cfg, v, 100)
+	h.r = NewWithDecider(h.cfg, v, 100)
 	s := roster.Settings{Hold: 2 * time.Second, Sources: []roster.Source{
 		{Name: "discovery", Role: roster.Primary, Stale: 6 * time.Second, Lost: time.Minute},
 		{Name: "store", Role: roster.Fallback, Stale: 6 * time.Second, Lost: time.Minute}}}
@@ -67,13 +67,13 @@
 		t.Error("1,000 entries processed in one event")
 	}
 	h.advance(0)
-	h.do(Said{Source: 1, Whole: true, Revision: 7, Entries: append(rosterFleet(roster.Up, 0, 900), rosterFleet(roster.Draining, 900, 910)...)})
+	h.do(SourceList{Source: 1, Complete: true, Revision: 7, Entries: append(rosterFleet(roster.Up, 0, 900), rosterFleet(roster.Draining, 900, 910)...)})
 	h.advance(0)
 	if ready, draining := v.states(); ready != 990 || draining != 10 || v.largestUpdate > 2*maxEntriesPerEvent {
 		t.Errorf("%d ready, %d draining, largest update %d", ready, draining, v.largestUpdate)
 	}
 	for range 70 { // discovery is silent, the store is still heard
-		h.do(Heard{1})
+		h.do(SourceAlive{1})
 		h.advance(time.Second)
 	}
 	if ready, draining := v.states(); ready != 900 || draining > 100 {
@@ -170,15 +170,15 @@
 // A source whose changes do not follow on the held revision is asked once for its complete list.
 func TestRefetchOnRevisionGap(t *testing.T) {
 	h, _ := newRosterHarness(t, nil)
-	h.do(Said{Source: 1, Whole: true, Revision: 9, Entries: rosterFleet(roster.Up, 0, 3)})
-	h.do(Said{Source: 1, Revision: 4, Entries: rosterFleet(roster.Up, 3, 4)})
+	h.do(SourceList{Source: 1, Complete: true, Revision: 9, Entries: rosterFleet(roster.Up, 0, 3)})
+	h.do(SourceList{Source: 1, Revision: 4, Entries: rosterFleet(roster.Up, 3, 4)})
 	refetched := func() bool {
 		return h.hasEffect(func(e Effect) bool { f, ok := e.(Refetch); return ok && f.Source == 1 })
 	}
 	if !refetched() {
 		t.Errorf("%+v", h.effects)
 	}
-	h.do(SourceBroke{1, errors.New("cut")})
+	h.do(SourceFailed{1, errors.New("cut")})
 	if refetched() {
 		t.Error("list requested twice")
 	}
--- a/internal/reducer/servers.go
+++ b/internal/reducer/servers.go
@@ -122,7 +122,7 @@
 		r.pollRoster()
 	}
 	if len(r.jobs) > 0 {
-		r.emit(Arm{0, nextSlice{}})
+		r.emit(StartTimer{0, nextSlice{}})
 	} else {
 		r.reassignSubsets()
 	}
--- a/internal/reducer/subsets.go
+++ b/internal/reducer/subsets.go
@@ -104,7 +104,7 @@
 	slices.Sort(r.pendingPeers)
 	if len(r.pendingPeers) > 0 && !r.peerChangeArmed {
 		r.peerChangeArmed = true
-		r.emit(Arm{0, nextPeerChange{}})
+		r.emit(StartTimer{0, nextPeerChange{}})
 	}
 }
 
@@ -133,7 +133,7 @@
 		r.peerChangeArmed = n > 1
 	}
 	if r.peerChangeArmed {
-		r.emit(Arm{0, nextPeerChange{}})
+		r.emit(StartTimer{0, nextPeerChange{}})
 		return
 	}
 	r.reassignSubsets()
@@ -156,13 +156,13 @@
 	r.changedSubsets = r.changedSubsets[:0]
 	if anyMoved {
 		r.enqueue(&fleetJob{reassign: true, kind: brain.UpdateChanges})
-		held, total := r.Share()
+		held, total := r.SubsetCount()
 		r.emit(Log{fmt.Sprintf("peers: %d of %d app nodes are ours, among %d balancers", held, total, 1+len(r.subsetPeers))})
 	}
 }
 
-// Share returns how many app nodes the first pool uses, and of how many.
-func (r *Reducer) Share() (held, total int) {
+// SubsetCount returns how many app nodes the first pool uses, and of how many.
+func (r *Reducer) SubsetCount() (held, total int) {
 	if p := r.routedPools[0]; p.subset != nil {
 		return p.subset.Count()
 	}
--- a/internal/reducer/subsets_test.go
+++ b/internal/reducer/subsets_test.go
@@ -49,10 +49,10 @@
 	cfg := settings()
 	cfg.Nodes = 10
 	var err error
-	if s.Reducer, err = NewPools(cfg, 1000, defaultLayout(), func(string) brain.Decider { return s.decider }); err != nil {
+	if s.Reducer, err = NewWithDeciders(cfg, 1000, defaultLayout(), func(string) brain.Decider { return s.decider }); err != nil {
 		t.Fatal(err)
 	}
-	s.UsePeers(view.New(view.Life{ID: "me", Address: "10.0.0.1:7946"}, 10, view.Bounds{Kinds: Kinds()}, s.now))
+	s.UsePeers(view.New(view.Life{ID: "me", Address: "10.0.0.1:7946"}, 10, view.Bounds{Kinds: FactLimits()}, s.now))
 	if err := s.UseSubsets(size); err != nil {
 		t.Fatal(err)
 	}
@@ -63,7 +63,7 @@
 	for queue := []Event{ev}; len(queue) > 0; queue = queue[1:] {
 		for _, e := range s.Handle(s.now, queue[0], nil) {
 			switch e := e.(type) {
-			case Arm:
+			case StartTimer:
 				if e.After == 0 {
 					queue = append(queue, e.Event)
 				}
@@ -77,7 +77,7 @@
 func (s *subsetHarness) advance(d time.Duration) {
 	for until := s.now + d; s.now < until; {
 		s.now += 500 * time.Millisecond
-		s.do(Word{Event: view.Event{Kind: view.Tick}})
+		s.do(PeerEvent{Event: view.Event{Kind: view.Tick}})
 	}
 }
 
@@ -106,7 +106,7 @@
 	}
 	s.start(1, ids...)
 	for n := range 9 {
-		s.do(Word{Event: view.Event{Kind: view.Joined, Life: peerLife(n)}})
+		s.do(PeerEvent{Event: view.Event{Kind: view.Joined, Life: peerLife(n)}})
 	}
 	s.advance(4 * time.Second)
 	if len(s.decider.list) != 60 || s.readyInFirstPool() != 60 {
@@ -137,17 +137,17 @@
 		}
 	}
 	checkSubset("with nine others", expectedSubset(9, ids))
-	if held, of := s.Share(); held != len(s.decider.list) || of != 60 || *s.decider.nodes != 2 || *s.decider.sample != held {
+	if held, of := s.SubsetCount(); held != len(s.decider.list) || of != 60 || *s.decider.nodes != 2 || *s.decider.sample != held {
 		t.Errorf("subset of %d of %d, Nodes %d, Sample %d", held, of, *s.decider.nodes, *s.decider.sample)
 	}
 	fewer := ids[10:]
 	s.start(2, fewer...)
 	checkSubset("with ten app nodes fewer", expectedSubset(9, fewer))
-	if held, _ := s.Share(); *s.decider.sample != held {
+	if held, _ := s.SubsetCount(); *s.decider.sample != held {
 		t.Errorf("Sample %d, want %d", *s.decider.sample, held)
 	}
 	for n := 7; n < 9; n++ {
-		s.do(Word{Event: view.Event{Kind: view.Lost, Life: view.Life{ID: peerLife(n).ID}}})
+		s.do(PeerEvent{Event: view.Event{Kind: view.Lost, Life: view.Life{ID: peerLife(n).ID}}})
 	}
 	s.advance(3 * time.Second)
 	checkSubset("while lost balancers may return", expectedSubset(9, fewer))
@@ -195,7 +195,7 @@
 		conns[id] = [2]*conn{open(id, idle), open(id, busy)}
 	}
 	for n := range 9 {
-		s.do(Word{Event: view.Event{Kind: view.Joined, Life: peerLife(n)}})
+		s.do(PeerEvent{Event: view.Event{Kind: view.Joined, Life: peerLife(n)}})
 	}
 	s.advance(7 * time.Second)
 	left := 0
--- a/internal/reducer/zones.go
+++ b/internal/reducer/zones.go
@@ -99,7 +99,7 @@
 		}
 	}
 	if r.hasZones {
-		r.emit(Arm{zoneTickInterval, zoneTimer{}})
+		r.emit(StartTimer{zoneTickInterval, zoneTimer{}})
 	}
 }
 
--- a/internal/reducer/zones_test.go
+++ b/internal/reducer/zones_test.go
@@ -16,7 +16,7 @@
 	h.start(100)
 	z := &zones.Settings{Zones: []string{"a", "b"}, Own: 0, Tiers: [][]int{{0}, {1}}, Balancers: 1,
 		Classes: []zones.Class{{Value: 1, Movable: true}, {Value: 5}}}
-	r, err := NewLaid(h.cfg, 7, 100, Layout{Pools: []PoolSpec{{Name: "all", Zones: z}}})
+	r, err := NewWithLayout(h.cfg, 7, 100, Layout{Pools: []PoolSpec{{Name: "all", Zones: z}}})
 	if err != nil {
 		t.Fatal(err)
 	}
