--- a/cmd/pewterrudder/catalog.go
+++ b/cmd/pewterrudder/catalog.go
@@ -93,7 +93,7 @@
 	if len(cfg.Service.Pools) == 0 {
 		pools[0].Default = false // it has what no route matches, until an entry says that another has
 	}
-	ch, err := e.catalog.Files(pools, cfg.Service.Routes)
+	ch, err := e.catalog.ApplyFiles(pools, cfg.Service.Routes)
 	if err != nil {
 		return err
 	}
@@ -104,13 +104,13 @@
 
 // take notes what has changed until it is posted.
 func (e *entries) take(ch catalog.Changes) {
-	for _, text := range ch.Said {
+	for _, text := range ch.LogLines {
 		log.Print(text)
 	}
 	for _, p := range ch.Pools {
 		e.pools = append(e.pools, e.spec(p))
 	}
-	e.routed = e.routed || ch.Routed
+	e.routed = e.routed || ch.ViewChanged
 }
 
 func (e *entries) spec(p catalog.PoolChange) reducer.PoolChange {
@@ -151,8 +151,8 @@
 	}
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	e.catalog.Granted()
-	list.IntoBeside(table, round, e.catalog.Grant)
+	e.catalog.ClearFileTerms()
+	list.IntoBeside(table, round, e.catalog.SetFileTerms)
 }
 
 // reload takes what the files say now of routes and pools.
@@ -160,7 +160,7 @@
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	before := e.zoned
-	e.take(e.catalog.Classes(classNames(cfg)))
+	e.take(e.catalog.SetClasses(classNames(cfg)))
 	if err := e.files(cfg); err != nil {
 		return err
 	}
@@ -201,7 +201,7 @@
 func (e *entries) At(key string) (revision int64, sum uint32, ok bool) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	return e.catalog.At(key[min(len(e.prefix), len(key)):])
+	return e.catalog.Version(key[min(len(e.prefix), len(key)):])
 }
 
 func (e *entries) Keys() iter.Seq[string] {
--- a/cmd/pewterrudder/counter.go
+++ b/cmd/pewterrudder/counter.go
@@ -67,8 +67,8 @@
 func (d *counter) Drain(done func())    { d.post(reducer.Drain{Done: done}) }
 func (d *counter) Activate(done func()) { d.post(reducer.Activate{Done: done}) }
 
-// Figures are as operators read them.
-func (d *counter) Figures() any {
+// Metrics returns the metrics as operators read them.
+func (d *counter) Metrics() any {
 	f := d.figures.Load()
 	return struct {
 		OK       map[string]uint64 `json:"ok"`
@@ -92,14 +92,14 @@
 // attendCompany leaves this process's mark in the folder that versions of the balancer share, and tells of others' marks
 // until stop. Where there is no such folder the process is alone as far as it knows.
 func attendCompany(cfg *config.Config, post func(reducer.Event)) (stop func()) {
-	mark, err := beside.Leave(os.Getenv("TMPDIR"), cfg.Listen)
+	mark, err := beside.Create(os.Getenv("TMPDIR"), cfg.Listen)
 	if err != nil {
 		log.Printf("%v; the limits are not shared with another version", err)
 		return func() {}
 	}
 	done, ended := make(chan struct{}), make(chan struct{})
 	look := time.NewTicker(company)
-	last := mark.Others()
+	last := mark.OtherProcesses()
 	if last > 0 {
 		post(reducer.ProcessesChanged{Others: last})
 	}
@@ -111,7 +111,7 @@
 			case <-done:
 				return
 			case <-look.C:
-				if n := mark.Others(); n != last {
+				if n := mark.OtherProcesses(); n != last {
 					last = n
 					log.Printf("%d other versions serve at %s", n, cfg.Listen)
 					post(reducer.ProcessesChanged{Others: n})
--- a/cmd/pewterrudder/main.go
+++ b/cmd/pewterrudder/main.go
@@ -120,9 +120,9 @@
 		deadlines = append(deadlines, c.Deadline)
 	}
 	front := acceptor.New(now, post, cfg.Settings.Places(), deadlines, tenants, clientBudget, keptBudget,
-		acceptor.Bounds{Upload: flows.MaxUploadBytes, ClientIdle: flows.ClientIdle()})
-	nodes := delegation.New(post, cfg.Settings.Stats.Columns, delegation.Bounds{Largest: flows.MaxAnswerBytes,
-		Room: flow.NewRoom(flows.Room(cfg.Limits)), Wait: flows.Wait()})
+		acceptor.BodyLimits{MaxUploadBytes: flows.MaxUploadBytes, ClientIdleTimeout: flows.ClientIdle()})
+	nodes := delegation.New(post, cfg.Settings.Stats.Columns, delegation.Limits{MaxAnswerBytes: flows.MaxAnswerBytes,
+		Memory: flow.NewMemoryLimit(flows.Room(cfg.Limits)), MemoryWait: flows.Wait()})
 	list := registry.New(post, func(text string) { log.Print(text) }, started)
 	discovery, err := believe(cfg, state)
 	if err != nil {
@@ -154,7 +154,7 @@
 	if fellows != nil {
 		defer fellows.Close()
 	}
-	counter, err := attend(cfg, post, &standing, nodes.Written, fellows, told)
+	counter, err := attend(cfg, post, &standing, nodes.WrittenCalls, fellows, told)
 	if err != nil {
 		return err
 	}
@@ -187,24 +187,24 @@
 					log.Print(e.Text)
 				case reducer.SettingsChanged:
 					next := e.Tag.(*config.Settings)
-					terms := acceptor.Terms{Classes: e.ClassSlots}
+					terms := acceptor.ClassLimits{Classes: e.ClassSlots}
 					for i := range e.Classes {
 						terms.Deadlines = append(terms.Deadlines, e.Classes[i].Deadline)
 					}
-					front.Retune(terms)
-					nodes.Retune(next.Stats.Columns)
+					front.SetClassLimits(terms)
+					nodes.SetReportColumns(next.Stats.Columns)
 				case reducer.RaiseStamp:
 					fellows.Raise(e.Stamp)
 				case reducer.AnnounceFact:
 					fellows.Say(e.Fact)
 				case reducer.SetDraining:
-					front.Turn(e.Draining)
+					front.SetDraining(e.Draining)
 					standing.away.Store(e.Draining)
 				case reducer.DivideLimits:
-					front.Share(e.Parts)
+					front.DivideLimits(e.Parts)
 					shareMemory(cfg, e.Parts)
 				case reducer.CloseClientConns:
-					front.Part(e.IncludeSilent)
+					front.CloseClientConns(e.IncludeSilent)
 				case reducer.Publish:
 					counter.figures.Store(e.Figures)
 				}
@@ -242,7 +242,7 @@
 				}
 				go func() { served <- front.Serve(listener) }()
 			}
-			front.Ready()
+			front.SetReady()
 			standing.ready.Store(true)
 			others.show(eureka.Serving)
 		case err := <-served:
--- a/internal/acceptor/acceptor.go
+++ b/internal/acceptor/acceptor.go
@@ -30,7 +30,7 @@
 	// and memory that they need.
 	headerTimeout = 2600 * time.Millisecond // clients may take 2 s; one that sends no header must be closed within 3 s
 	bodyTimeout   = 2 * time.Second
-	// maxUploadLag is how far a client may fall behind the minimum rate of an upload (flow.Slowest). A client that sends
+	// maxUploadLag is how far a client may fall behind the minimum rate of an upload (flow.MinUploadRate). A client that sends
 	// nothing must be answered within 3 s.
 	maxUploadLag   = 2500 * time.Millisecond
 	idleTimeout    = 3 * time.Second // of a connection without a call; a client whose request crosses the close retries
@@ -53,45 +53,45 @@
 
 // Acceptor accepts client connections, turns their requests into calls and writes the answers.
 type Acceptor struct {
-	now     func() time.Duration
-	post    func(reducer.Event)
-	terms   atomic.Pointer[Terms]
-	tenants *tenants.Table // changed by other goroutines
-	server  *http.Server
-	conns   *connTracker
+	now         func() time.Duration
+	post        func(reducer.Event)
+	classLimits atomic.Pointer[ClassLimits]
+	tenants     *tenants.Table // changed by other goroutines
+	server      *http.Server
+	conns       *connTracker
 
 	ready, draining, outOfRotation atomic.Bool
 	addressShared                  atomic.Bool // another process listens on the same address
 	lastCallID                     atomic.Uint64
 	mu                             sync.Mutex
 	pending                        map[uint64]chan reducer.Reply
-	bounds                         Bounds
+	bodyLimits                     BodyLimits
 }
 
-// Terms are the call classes that a request may name: Classes maps a class name to its index, and Deadlines gives the
+// ClassLimits are the call classes that a request may name: Classes maps a class name to its index, and Deadlines gives the
 // longest deadline of a call by class index.
-type Terms struct {
+type ClassLimits struct {
 	Classes   map[string]int
 	Deadlines []time.Duration
 }
 
-// Retune replaces the terms for requests that are parsed from now on.
-func (a *Acceptor) Retune(t Terms) { a.terms.Store(&t) }
+// SetClassLimits replaces the class limits for requests that are parsed from now on.
+func (a *Acceptor) SetClassLimits(t ClassLimits) { a.classLimits.Store(&t) }
 
-// Bounds limits streamed bodies.
-type Bounds struct {
-	Upload     int64         // longest request body in bytes; a body of up to flow.Hold is buffered whole
-	ClientIdle time.Duration // timeout for a client that reads or sends nothing in the middle of a body
+// BodyLimits limits streamed bodies.
+type BodyLimits struct {
+	MaxUploadBytes    int64         // longest request body in bytes; a body of up to flow.MaxBufferedBytes is buffered whole
+	ClientIdleTimeout time.Duration // timeout for a client that reads or sends nothing in the middle of a body
 }
 
 // New returns an Acceptor that holds at most budget connections, of which at most kept stay open after their first
 // request. The deadlines cap the calls of each class, by class index. now is the clock of the deadlines, and post
 // passes events to the reducer.
 func New(now func() time.Duration, post func(reducer.Event), classes map[string]int,
-	deadlines []time.Duration, tenants *tenants.Table, budget, maxKept int, bounds Bounds) *Acceptor {
-	a := &Acceptor{now: now, post: post, tenants: tenants, bounds: bounds,
+	deadlines []time.Duration, tenants *tenants.Table, budget, maxKept int, bounds BodyLimits) *Acceptor {
+	a := &Acceptor{now: now, post: post, tenants: tenants, bodyLimits: bounds,
 		conns: newConnTracker(budget, maxKept), pending: map[uint64]chan reducer.Reply{}}
-	a.Retune(Terms{classes, deadlines})
+	a.SetClassLimits(ClassLimits{classes, deadlines})
 	proxy := &httputil.ReverseProxy{
 		Rewrite: func(p *httputil.ProxyRequest) {
 			p.Out.URL.RawQuery = p.In.URL.RawQuery // undo ReverseProxy's cleaning: a call is forwarded unchanged
@@ -131,7 +131,7 @@
 			}
 			r.Body = http.NoBody // the call holds the body
 			proxy.ServeHTTP(w, r.WithContext(context.WithValue(r.Context(), callKey{}, call)))
-			if upload != nil && !upload.Whole() && !upload.Failed() {
+			if upload != nil && !upload.Complete() && !upload.Failed() {
 				conn.lingerOnClose.Store(true) // the client is still sending, and reads its answer afterwards
 			}
 		}),
@@ -153,8 +153,8 @@
 	return nil
 }
 
-// Ready makes the readiness check succeed, so that the front-end load balancer sends clients.
-func (a *Acceptor) Ready() { a.ready.Store(true) }
+// SetReady makes the readiness check succeed, so that the front-end load balancer sends clients.
+func (a *Acceptor) SetReady() { a.ready.Store(true) }
 
 // Drain shuts down gracefully: every answer from now on closes its connection, new connections are accepted for
 // drainAcceptPeriod, and then all accepted calls are completed, however long ago they came. Each call ends by its own
@@ -177,16 +177,16 @@
 	return a.server.Shutdown(ctx)
 }
 
-// Turn takes the acceptor out of rotation, or puts it back: while it is out, each answer closes its connection and the
+// SetDraining takes the acceptor out of rotation, or puts it back: while it is out, each answer closes its connection and the
 // readiness check fails.
-func (a *Acceptor) Turn(outOfRotation bool) { a.outOfRotation.Store(outOfRotation) }
+func (a *Acceptor) SetDraining(outOfRotation bool) { a.outOfRotation.Store(outOfRotation) }
 
-// Part closes the connections without a call: the idle ones and, if includeNew, those without a first request too.
-func (a *Acceptor) Part(includeNew bool) { a.conns.closeIdle(includeNew) }
+// CloseClientConns closes the connections without a call: the idle ones and, if includeNew, those without a first request too.
+func (a *Acceptor) CloseClientConns(includeNew bool) { a.conns.closeIdle(includeNew) }
 
-// Share divides the connection budget among that many processes that listen on the same address. 1 restores the whole
+// DivideLimits divides the connection budget among that many processes that listen on the same address. 1 restores the whole
 // budget.
-func (a *Acceptor) Share(parts int) {
+func (a *Acceptor) DivideLimits(parts int) {
 	a.addressShared.Store(parts > 1)
 	a.conns.setShare(parts)
 }
--- a/internal/acceptor/acceptor_test.go
+++ b/internal/acceptor/acceptor_test.go
@@ -37,7 +37,7 @@
 func startAcceptorWith(t *testing.T, budget int, upload int64, configure func(*Acceptor)) *testAcceptor {
 	ta := &testAcceptor{t: t, events: make(chan reducer.Event, 100)}
 	ta.Acceptor = New(func() time.Duration { return time.Hour }, func(e reducer.Event) { ta.events <- e },
-		map[string]int{"lookup": 0, "booking": 1}, []time.Duration{time.Second, time.Second}, acmeTenants(), budget, 6, Bounds{Upload: upload, ClientIdle: 2 * time.Second})
+		map[string]int{"lookup": 0, "booking": 1}, []time.Duration{time.Second, time.Second}, acmeTenants(), budget, 6, BodyLimits{MaxUploadBytes: upload, ClientIdleTimeout: 2 * time.Second})
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
@@ -202,7 +202,7 @@
 	if resp, _ := two.readResponse(); resp.StatusCode != 503 {
 		t.Fatalf("ready before Ready was called: %d", resp.StatusCode)
 	}
-	ta.Ready()
+	ta.SetReady()
 	three := ta.dial().send("GET /health/ready HTTP/1.1\nHost: x\n", "")
 	if resp, _ := three.readResponse(); resp.StatusCode != 200 {
 		t.Fatalf("%d", resp.StatusCode)
@@ -252,7 +252,7 @@
 // open.
 func TestSilentConnectionsDoNotExhaustBudget(t *testing.T) {
 	ta := startAcceptor(t, 8)
-	ta.Ready()
+	ta.SetReady()
 	active := ta.dial().send("GET /health/ready HTTP/1.1\nHost: x\n", "")
 	active.readResponse()
 	start := time.Now()
@@ -326,7 +326,7 @@
 // accepted for drainAcceptPeriod alone.
 func TestDrainFinishesAcceptedCalls(t *testing.T) {
 	ta := startAcceptor(t, 10)
-	ta.Ready()
+	ta.SetReady()
 	before := ta.dial().send(lookupRequest, "")
 	first := (<-ta.events).(reducer.Arrived).Call
 	start, ended := time.Now(), make(chan struct{})
@@ -365,14 +365,14 @@
 
 // streamedReply returns a large answer whose beginning is held; the test writes the rest. A negative length means that
 // the answer states none.
-func streamedReply(room *flow.Room, length int, held string) (reducer.Reply, *io.PipeWriter) {
-	lease, err := room.Take(nil, 0)
+func streamedReply(room *flow.MemoryLimit, length int, held string) (reducer.Reply, *io.PipeWriter) {
+	lease, err := room.Acquire(nil, 0)
 	if err != nil {
 		panic(err)
 	}
 	rest, writer := io.Pipe()
 	m := &message.Answer{Status: 200, Header: http.Header{}, Trailer: new(http.Header),
-		Flow: flow.New(lease, append(lease.Held(), held...), rest, 1<<30)}
+		Flow: flow.New(lease, append(lease.Buffer(), held...), rest, 1<<30)}
 	if length >= 0 {
 		m.Header.Set("Content-Length", strconv.Itoa(length))
 	}
@@ -387,7 +387,7 @@
 	for _, length := range []int{9, -1} {
 		c.send(lookupRequest, "")
 		call := (<-ta.events).(reducer.Arrived).Call
-		room := flow.NewRoom(1)
+		room := flow.NewMemoryLimit(1)
 		reply, writer := streamedReply(room, length, "abc")
 		ta.Answer(call.ID, reply)
 		resp, err := http.ReadResponse(c.Reader, nil)
@@ -414,7 +414,7 @@
 			t.Errorf("trailer %v", resp.Trailer)
 		}
 		c.send("GET /health/ready HTTP/1.1\nHost: x\n", "").readResponse() // reuses the connection
-		if now, _ := room.Lent(); now != 0 {
+		if now, _ := room.Usage(); now != 0 {
 			t.Errorf("%d bytes still lent", now)
 		}
 	}
@@ -427,7 +427,7 @@
 		ta := startAcceptor(t, 10)
 		c := ta.dial().send(lookupRequest, "")
 		call := (<-ta.events).(reducer.Arrived).Call
-		room := flow.NewRoom(1)
+		room := flow.NewMemoryLimit(1)
 		reply, writer := streamedReply(room, length, "abc")
 		ta.Answer(call.ID, reply)
 		io.WriteString(writer, "def")
@@ -447,10 +447,10 @@
 }
 
 // waitMemoryReturned waits until nothing of room is lent any more.
-func (ta *testAcceptor) waitMemoryReturned(room *flow.Room) {
+func (ta *testAcceptor) waitMemoryReturned(room *flow.MemoryLimit) {
 	ta.t.Helper()
 	for until := time.Now().Add(20 * time.Second); ; time.Sleep(time.Millisecond) {
-		if now, _ := room.Lent(); now == 0 {
+		if now, _ := room.Usage(); now == 0 {
 			return
 		} else if time.Now().After(until) {
 			ta.t.Fatalf("%d bytes still lent", now)
@@ -459,12 +459,12 @@
 }
 
 // The disconnect of a client is reported while it receives no data, and the answer to a client that reads nothing ends
-// after ClientIdle.
+// after ClientIdleTimeout.
 func TestStreamEndsWithoutItsClient(t *testing.T) {
 	ta := startAcceptor(t, 10)
 	c := ta.dial().send(lookupRequest, "")
 	call := (<-ta.events).(reducer.Arrived).Call
-	room := flow.NewRoom(1)
+	room := flow.NewMemoryLimit(1)
 	reply, writer := streamedReply(room, -1, "abc")
 	ta.Answer(call.ID, reply)
 	c.ReadByte()
@@ -475,7 +475,7 @@
 	writer.CloseWithError(net.ErrClosed) // as the delegation package does
 	ta.waitMemoryReturned(room)
 
-	ta.bounds.ClientIdle = 40 * time.Millisecond
+	ta.bodyLimits.ClientIdleTimeout = 40 * time.Millisecond
 	c = ta.dial()
 	c.send(lookupRequest, "")
 	call = (<-ta.events).(reducer.Arrived).Call
@@ -504,7 +504,7 @@
 // the upload and closes the connection. An upload over the limit is rejected unread.
 func TestUploadIsStreamed(t *testing.T) {
 	ta := startAcceptorWithUploads(t, 10, 1<<20)
-	ta.bounds.ClientIdle = time.Hour // no timeout during the test
+	ta.bodyLimits.ClientIdleTimeout = time.Hour // no timeout during the test
 	header := "POST" + lookupRequest[3:] + "Content-Length: 100000\n"
 	body := strings.Repeat("0123456789", 10000)
 	c := ta.dial().send(header+"Expect: 100-continue\n", "")
@@ -538,7 +538,7 @@
 	c.send(header, body[:1000])
 	call = (<-ta.events).(reducer.Arrived).Call
 	go io.Copy(io.Discard, callMessage(call).Upload)
-	for !callMessage(call).Upload.Touched() {
+	for !callMessage(call).Upload.Started() {
 		time.Sleep(time.Millisecond)
 	}
 	ta.Answer(call.ID, servedReply("enough"))
@@ -666,7 +666,7 @@
 // check succeeds even while this one drains, since the other is ready.
 func TestClientBudgetIsShared(t *testing.T) {
 	ta := startAcceptor(t, 8)
-	ta.Ready()
+	ta.SetReady()
 	var kept []*testClient
 	for range 6 {
 		c := ta.dial().send("GET /health/ready HTTP/1.1\nHost: x\n", "")
@@ -675,7 +675,7 @@
 		}
 		kept = append(kept, c)
 	}
-	ta.Share(2)
+	ta.DivideLimits(2)
 	for _, c := range kept[:2] { // the oldest two of six; the share is four
 		if _, err := c.ReadByte(); err != io.EOF {
 			t.Errorf("%v", err)
@@ -685,7 +685,7 @@
 	if resp, _ := kept[5].send("GET /health/ready HTTP/1.1\nHost: x\n", "").readResponse(); resp.StatusCode != 200 || !resp.Close {
 		t.Errorf("%+v", resp)
 	}
-	ta.Share(1)
+	ta.DivideLimits(1)
 	if resp, _ := ta.dial().send("GET /health/ready HTTP/1.1\nHost: x\n", "").readResponse(); resp.StatusCode != 503 {
 		t.Errorf("%+v", resp)
 	}
--- a/internal/acceptor/clients.go
+++ b/internal/acceptor/clients.go
@@ -166,7 +166,7 @@
 	discard := make([]byte, 16<<10)
 	start := time.Now()
 	for received := int64(0); received < maxLingerBytes; {
-		c.TCPConn.SetReadDeadline(start.Add(maxUploadLag + time.Duration(received*int64(time.Second)/flow.Slowest)))
+		c.TCPConn.SetReadDeadline(start.Add(maxUploadLag + time.Duration(received*int64(time.Second)/flow.MinUploadRate)))
 		n, err := c.TCPConn.Read(discard)
 		if received += int64(n); err != nil {
 			break
--- a/internal/acceptor/close_test.go
+++ b/internal/acceptor/close_test.go
@@ -60,13 +60,13 @@
 }
 
 // Guards against the loss of a request that arrives while its connection is being closed because it carries no call: by a
-// timeout, by eviction, by an operator (Part) or by Drain. The request must still be read and answered.
+// timeout, by eviction, by an operator (CloseClientConns) or by Drain. The request must still be read and answered.
 func TestRequestArrivingDuringCloseIsServed(t *testing.T) {
 	request := strings.ReplaceAll(lookupRequest, "\n", "\r\n") + "\r\n"
 	for _, state := range []http.ConnState{http.StateNew, http.StateIdle} {
 		for name, end := range map[string]func(*testAcceptor){
 			"timeout":        func(ta *testAcceptor) {}, // set by the timeouts below
-			"closed by Part": func(ta *testAcceptor) { ta.Part(true) },
+			"closed by Part": func(ta *testAcceptor) { ta.CloseClientConns(true) },
 			"eviction": func(ta *testAcceptor) {
 				ta.conns.mu.Lock()
 				defer ta.conns.mu.Unlock()
@@ -126,7 +126,7 @@
 		c := ta.dial()
 		io.WriteString(c, input)
 		waitBuffered(t, <-g.reached, len(input))
-		ta.Part(true)
+		ta.CloseClientConns(true)
 		close(g.released)
 		if all, err := io.ReadAll(c.Reader); len(all) > 0 { // unread input may turn the close into a reset
 			t.Errorf("%q was answered with %q, %v", input, all, err)
--- a/internal/acceptor/request.go
+++ b/internal/acceptor/request.go
@@ -16,7 +16,7 @@
 // parseRequest validates a request and reads its body. doubleFramed says whether the header frames the body twice. A
 // request that fails here is never forwarded to an app node.
 func (a *Acceptor) parseRequest(w http.ResponseWriter, r *http.Request, doubleFramed bool) (*reducer.Call, error) {
-	terms := a.terms.Load()
+	terms := a.classLimits.Load()
 	bad := func(text string) (*reducer.Call, error) { return nil, &requestError{http.StatusBadRequest, text} }
 	// net/http prefers Transfer-Encoding to Content-Length and drops the latter (HTTP/1.0: the reverse), so r does not show
 	// whether a body was framed both ways, which may hide another request behind its end. The headerScanner of the
@@ -59,10 +59,10 @@
 		Deadline: a.now() + min(timeout, terms.Deadlines[class])}, nil // caps the timers of the call
 }
 
-// readBody reads a body of up to flow.Hold bytes within the connection's read deadline, and returns a longer one as an
+// readBody reads a body of up to flow.MaxBufferedBytes bytes within the connection's read deadline, and returns a longer one as an
 // upload that is read while it is forwarded. A body whose Content-Length is over the limit is rejected unread.
 func (a *Acceptor) readBody(w http.ResponseWriter, r *http.Request, callID uint64) (*message.Call, error) {
-	limit := max(a.bounds.Upload, flow.Hold)
+	limit := max(a.bodyLimits.MaxUploadBytes, flow.MaxBufferedBytes)
 	switch {
 	case r.ContentLength > limit:
 		return nil, &requestError{http.StatusRequestEntityTooLarge, "the body is over the limit"}
@@ -72,22 +72,22 @@
 	control := http.NewResponseController(w)
 	upload := func(body io.Reader) *message.Call {
 		body = &connectedReader{Reader: body, conn: r.Context().Value(connKey{}).(*clientConn), remaining: r.ContentLength}
-		return &message.Call{Upload: flow.NewUpload(body, r.ContentLength, limit, min(a.bounds.ClientIdle, maxUploadLag), time.Now,
+		return &message.Call{Upload: flow.NewUpload(body, r.ContentLength, limit, min(a.bodyLimits.ClientIdleTimeout, maxUploadLag), time.Now,
 			func(t time.Time) { control.SetReadDeadline(t) }, func(last time.Time) {
 				a.post(reducer.Uploaded{Call: callID, Last: a.now() - time.Since(last)})
 			})}
 	}
-	if r.ContentLength > flow.Hold {
+	if r.ContentLength > flow.MaxBufferedBytes {
 		return upload(r.Body), nil
 	}
-	body, err := io.ReadAll(io.LimitReader(r.Body, flow.Hold+1)) // grows with the data, whatever length is stated
+	body, err := io.ReadAll(io.LimitReader(r.Body, flow.MaxBufferedBytes+1)) // grows with the data, whatever length is stated
 	switch {
 	case err != nil:
 		return nil, &requestError{http.StatusRequestTimeout, "the body is not as long as it should be"}
-	case len(body) <= flow.Hold:
+	case len(body) <= flow.MaxBufferedBytes:
 		control.SetReadDeadline(time.Time{}) // or its expiry would look like a disconnect of the client
 		return &message.Call{Body: body}, nil
-	case a.bounds.Upload <= flow.Hold:
+	case a.bodyLimits.MaxUploadBytes <= flow.MaxBufferedBytes:
 		return nil, &requestError{http.StatusRequestEntityTooLarge, "the body is over the limit"}
 	}
 	return upload(io.MultiReader(bytes.NewReader(body), r.Body)), nil // chunked, of unknown length
--- a/internal/acceptor/response.go
+++ b/internal/acceptor/response.go
@@ -43,9 +43,9 @@
 	}
 	ended := make(chan struct{})
 	var once sync.Once
-	out.Left = func() bool {
+	out.ClientGone = func() bool {
 		check := conn.isPresumedGone
-		if out.Upload != nil && !out.Upload.Whole() { // unread bytes belong to the upload
+		if out.Upload != nil && !out.Upload.Complete() { // unread bytes belong to the upload
 			check = conn.isDisconnected
 		}
 		disconnected := check()
@@ -59,7 +59,7 @@
 	a.pending[call.ID] = replies
 	a.mu.Unlock()
 	a.post(reducer.Arrived{Call: call})
-	reply, err := a.awaitReply(r, call, out.Left, ended, replies)
+	reply, err := a.awaitReply(r, call, out.ClientGone, ended, replies)
 	if err != nil {
 		a.mu.Lock()
 		delete(a.pending, call.ID)
@@ -68,14 +68,14 @@
 		return nil, err
 	}
 	resp := a.response(r, call, reply)
-	if upload := out.Upload; upload != nil && !upload.Whole() { // the handler ends it after the answer
+	if upload := out.Upload; upload != nil && !upload.Complete() { // the handler ends it after the answer
 		resp.Header.Set("Connection", "close")
 	}
 	return resp, nil
 }
 
 // awaitReply waits for the final answer of a call, or for its client to disconnect. ended is closed when a check of
-// out.Left has seen the disconnect.
+// out.ClientGone has seen the disconnect.
 func (a *Acceptor) awaitReply(r *http.Request, call *reducer.Call, clientLeft func() bool, ended <-chan struct{}, replies <-chan reducer.Reply) (reducer.Reply, error) {
 	upload := call.Message.(*message.Call).Upload
 	gone := r.Context().Done()
@@ -148,18 +148,18 @@
 // streamBody opens the flow of an answer to a client, which must keep reading it. The deadline of the call applied to
 // the first bytes alone.
 func (a *Acceptor) streamBody(r *http.Request, call *reducer.Call, resp *http.Response, m *message.Answer) io.ReadCloser {
-	m.Flow.Open()
+	m.Flow.MarkOpened()
 	conn := r.Context().Value(connKey{}).(*clientConn)
-	conn.setStreaming(true, a.bounds.ClientIdle)
+	conn.setStreaming(true, a.bodyLimits.ClientIdleTimeout)
 	// While no data comes for a client, net/http alone notices its disconnect, by cancelling the context. An
 	// interrupted upload cancels the context as well, so that it proves nothing then.
 	stop := func() bool { return true }
-	if upload := call.Message.(*message.Call).Upload; upload == nil || upload.Whole() {
+	if upload := call.Message.(*message.Call).Upload; upload == nil || upload.Complete() {
 		stop = context.AfterFunc(r.Context(), func() { a.post(reducer.ClientGone{Call: call.ID}) })
 	}
 	return &streamedBody{Flow: m.Flow, resp: resp, answer: m, onClose: func() {
 		stop()
-		conn.setStreaming(false, a.bounds.ClientIdle)
+		conn.setStreaming(false, a.bodyLimits.ClientIdleTimeout)
 	}}
 }
 
@@ -201,14 +201,14 @@
 	w.WriteHeader(http.StatusBadGateway)
 }
 
-// bufferPool holds copy buffers of flow.Copy bytes for the proxy.
+// bufferPool holds copy buffers of flow.CopyBufferBytes bytes for the proxy.
 type bufferPool struct{ buffers sync.Pool }
 
 func (p *bufferPool) Get() []byte {
 	if b, ok := p.buffers.Get().(*[]byte); ok {
 		return *b
 	}
-	return make([]byte, flow.Copy)
+	return make([]byte, flow.CopyBufferBytes)
 }
 
 func (p *bufferPool) Put(b []byte) { p.buffers.Put(&b) }
--- a/internal/admin/admin.go
+++ b/internal/admin/admin.go
@@ -28,11 +28,11 @@
 	confirmTimeout = 600 * time.Millisecond
 )
 
-// Balancer is what the server reports on and controls. Ready and Figures return without delay; Drain and Activate may
+// Balancer is what the server reports on and controls. Ready and Metrics return without delay; Drain and Activate may
 // block.
 type Balancer interface {
 	Ready() bool  // whether this process serves clients
-	Figures() any // metrics, to be encoded as JSON
+	Metrics() any // metrics, to be encoded as JSON
 	// Drain makes the balancer turn clients away and Activate ends that; done is called once it is in effect.
 	Drain(done func())
 	Activate(done func())
@@ -52,7 +52,7 @@
 		io.WriteString(w, "ready\n")
 	})
 	mux.HandleFunc("GET /v1/metrics", func(w http.ResponseWriter, _ *http.Request) {
-		text, err := json.Marshal(b.Figures())
+		text, err := json.Marshal(b.Metrics())
 		if err != nil {
 			http.Error(w, err.Error(), http.StatusInternalServerError)
 			return
--- a/internal/admin/admin_test.go
+++ b/internal/admin/admin_test.go
@@ -19,7 +19,7 @@
 }
 
 func (b *fakeBalancer) Ready() bool  { return b.ready.Load() }
-func (b *fakeBalancer) Figures() any { return map[string]int{"active": 14} }
+func (b *fakeBalancer) Metrics() any { return map[string]int{"active": 14} }
 func (b *fakeBalancer) Drain(done func()) {
 	b.commands <- "drain"
 	if !b.neverDone {
--- a/internal/beside/beside.go
+++ b/internal/beside/beside.go
@@ -23,9 +23,9 @@
 	file              *os.File // holds the lock
 }
 
-// Leave creates the mark of a balancer at the given listen address in a directory. The file is locked before it gets its
+// Create creates the mark of a balancer at the given listen address in a directory. The file is locked before it gets its
 // final name, so that no other process ever finds it unlocked while this one runs.
-func Leave(dir, address string) (*Mark, error) {
+func Create(dir, address string) (*Mark, error) {
 	if dir == "" {
 		return nil, errors.New("beside: no directory for the marks of processes")
 	}
@@ -49,9 +49,9 @@
 	return m, nil
 }
 
-// Others returns how many other running processes have marks for the same address, and removes the marks of processes
+// OtherProcesses returns how many other running processes have marks for the same address, and removes the marks of processes
 // that have ended. It returns 0 if the directory cannot be read.
-func (m *Mark) Others() int {
+func (m *Mark) OtherProcesses() int {
 	entries, err := os.ReadDir(m.dir)
 	if err != nil {
 		return 0
--- a/internal/beside/beside_test.go
+++ b/internal/beside/beside_test.go
@@ -11,7 +11,7 @@
 // TestMain lets the test binary act as another process that creates a mark and waits to be killed.
 func TestMain(m *testing.M) {
 	if dir := os.Getenv("PEWTERRUDDER_TEST_MARK_DIR"); dir != "" {
-		mark, err := Leave(dir, "127.0.0.1:1")
+		mark, err := Create(dir, "127.0.0.1:1")
 		if err != nil {
 			println(err.Error())
 			os.Exit(1)
@@ -28,17 +28,17 @@
 func TestOthersCountsLiveProcesses(t *testing.T) {
 	dir := t.TempDir()
 	os.WriteFile(filepath.Join(dir, "something.alive"), nil, 0o600)
-	m, err := Leave(dir, "127.0.0.1:1")
+	m, err := Create(dir, "127.0.0.1:1")
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer m.Close()
-	otherAddress, err := Leave(dir, "127.0.0.1:2")
+	otherAddress, err := Create(dir, "127.0.0.1:2")
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer otherAddress.Close()
-	if n := m.Others(); n != 0 {
+	if n := m.OtherProcesses(); n != 0 {
 		t.Fatalf("%d other processes, want 0", n)
 	}
 	other := exec.Command(os.Args[0])
@@ -53,24 +53,24 @@
 	if _, err := bufio.NewReader(out).ReadString('\n'); err != nil {
 		t.Fatal(err)
 	}
-	if n := m.Others(); n != 1 {
+	if n := m.OtherProcesses(); n != 1 {
 		t.Errorf("%d other processes, want 1", n)
 	}
 	other.Process.Kill()
 	other.Wait()
 	files := func() int { entries, _ := os.ReadDir(dir); return len(entries) }
 	before := files()
-	if n := m.Others(); n != 0 || files() != before-1 {
+	if n := m.OtherProcesses(); n != 0 || files() != before-1 {
 		t.Errorf("%d other processes after the kill, %d of %d files left", n, files(), before)
 	}
-	if m.Close(); otherAddress.Others() != 0 || files() != 2 {
+	if m.Close(); otherAddress.OtherProcesses() != 0 || files() != 2 {
 		t.Errorf("another process counted, or %d files left, want 2", files())
 	}
 }
 
 func TestLeaveWithoutDirectory(t *testing.T) {
 	for _, dir := range []string{"", filepath.Join(t.TempDir(), "none")} {
-		if _, err := Leave(dir, "127.0.0.1:1"); err == nil {
+		if _, err := Create(dir, "127.0.0.1:1"); err == nil {
 			t.Errorf("no error for the directory %q", dir)
 		}
 	}
--- a/internal/catalog/catalog.go
+++ b/internal/catalog/catalog.go
@@ -65,9 +65,9 @@
 	routesByPool map[string]map[*route]struct{} // routes that name a pool, by its name
 	poolIDs      idAllocator
 	tree         routes.Tree
-	ties         map[string][]routes.Tie // by routes.Claim.Place
-	shadowed     map[string]bool         // keys of routes that lose calls to others
-	unresolved   map[*route]struct{}     // routes that name a pool that does not exist
+	ties         map[string][]routes.Conflict // by routes.Claim.Place
+	shadowed     map[string]bool              // keys of routes that lose calls to others
+	unresolved   map[*route]struct{}          // routes that name a pool that does not exist
 
 	refused    map[string]version // latest version of each key whose latest value was refused
 	reasons    map[string]reason  // of at most maxNamedFlaws refused entries
@@ -86,14 +86,14 @@
 // New returns a catalog without entries that keeps its tenants in table. classes are the classes that calls can have.
 func New(classes []string, table *tenants.Table) *Catalog {
 	return &Catalog{classes: classes, tenants: table, fileTerms: map[string]tenants.Terms{}, routes: map[string]*route{},
-		pools: map[string]*pool{}, routesByPool: map[string]map[*route]struct{}{}, ties: map[string][]routes.Tie{},
+		pools: map[string]*pool{}, routesByPool: map[string]map[*route]struct{}{}, ties: map[string][]routes.Conflict{},
 		shadowed: map[string]bool{}, unresolved: map[*route]struct{}{}, refused: map[string]version{}, reasons: map[string]reason{},
 		tombstones: tombstoneSet{revisions: map[string]int64{}}}
 }
 
-// Classes replaces the classes that calls can have. Refused routes are checked again if their values were kept; others
+// SetClasses replaces the classes that calls can have. Refused routes are checked again if their values were kept; others
 // stay refused until the store sends them again. Accepted routes stay, and match no calls of removed classes.
-func (c *Catalog) Classes(classes []string) Changes {
+func (c *Catalog) SetClasses(classes []string) Changes {
 	var ch Changes
 	c.classes = classes
 	for _, key := range slices.Sorted(maps.Keys(c.reasons)) {
@@ -110,9 +110,9 @@
 
 // Changes is the result of a call that modifies the catalog.
 type Changes struct {
-	Pools  []PoolChange // in the order in which they took effect
-	Routed bool         // View returns a different view than before
-	Said   []string     // lines for the log
+	Pools       []PoolChange // in the order in which they took effect
+	ViewChanged bool         // View returns a different view than before
+	LogLines    []string     // lines for the log
 }
 
 // PoolChange is a pool that was added, changed or removed. Its ID is reused for another pool only after its removal.
@@ -126,12 +126,12 @@
 
 // addLog adds a log line, up to maxLogLines.
 func (ch *Changes) addLog(text string) {
-	switch len(ch.Said) {
+	switch len(ch.LogLines) {
 	case maxLogLines:
 	case maxLogLines - 1:
-		ch.Said = append(ch.Said, "catalog: further messages are omitted")
+		ch.LogLines = append(ch.LogLines, "catalog: further messages are omitted")
 	default:
-		ch.Said = append(ch.Said, "catalog: "+text)
+		ch.LogLines = append(ch.LogLines, "catalog: "+text)
 	}
 }
 
@@ -149,13 +149,13 @@
 			c.tombstones.clear() // they belong to the previous history
 		}
 	}
-	ch.Routed = ch.Routed || before.fallback != c.View().fallback
+	ch.ViewChanged = ch.ViewChanged || before.fallback != c.View().fallback
 	return ch
 }
 
 // applyRecord applies one record unless it is a duplicate or older than the stored one.
 func (c *Catalog) applyRecord(whole bool, r *Record, ch *Changes) {
-	revision, sum, ok := c.At(r.Key)
+	revision, sum, ok := c.Version(r.Key)
 	received := version{r.Revision, Sum(r.Value)}
 	switch {
 	case ok && !r.Deleted && received == version{revision, sum}:
@@ -219,8 +219,8 @@
 	return "", ""
 }
 
-// At returns the revision and Sum of the latest value of a key in the store, whether it was accepted or refused.
-func (c *Catalog) At(key string) (revision int64, sum uint32, ok bool) {
+// Version returns the revision and Sum of the latest value of a key in the store, whether it was accepted or refused.
+func (c *Catalog) Version(key string) (revision int64, sum uint32, ok bool) {
 	if v, ok := c.refused[key]; ok {
 		return v.revision, v.sum, true
 	}
@@ -240,7 +240,7 @@
 			return p.version
 		}
 	case tenantKey:
-		revision, sum, _ := c.tenants.At(name)
+		revision, sum, _ := c.tenants.Version(name)
 		return version{revision, sum}
 	}
 	return version{}
@@ -272,7 +272,7 @@
 			}
 		}
 		for name := range c.tenants.All() {
-			if revision, _, _ := c.tenants.At(name); !yieldStored(tenantKey+name, revision) {
+			if revision, _, _ := c.tenants.Version(name); !yieldStored(tenantKey+name, revision) {
 				return
 			}
 		}
--- a/internal/catalog/catalog_test.go
+++ b/internal/catalog/catalog_test.go
@@ -17,7 +17,7 @@
 // newTestCatalog returns a catalog with the pool "all" from the files.
 func newTestCatalog(t *testing.T) *Catalog {
 	c := New(classes, new(tenants.Table))
-	if _, err := c.Files([]config.Pool{{Name: "all"}}, nil); err != nil {
+	if _, err := c.ApplyFiles([]config.Pool{{Name: "all"}}, nil); err != nil {
 		t.Fatal(err)
 	}
 	return c
@@ -27,7 +27,7 @@
 func TestFlawsNameKeyAndRevision(t *testing.T) {
 	c := newTestCatalog(t)
 	applyOne(c, 4, "routes/a", `{"path":"/a","pool":"all"}`)
-	if ch := applyOne(c, 5, "routes/a", `{"path":"a","pool":"all"}`); len(ch.Said) != 1 || ch.Routed {
+	if ch := applyOne(c, 5, "routes/a", `{"path":"a","pool":"all"}`); len(ch.LogLines) != 1 || ch.ViewChanged {
 		t.Errorf("%+v", ch)
 	}
 	applyOne(c, 6, "routes/b", `{"path":"/b","pool":"far"}`)
@@ -62,8 +62,8 @@
 		unresolved = append(unresolved, Record{Key: fmt.Sprintf("routes/%d", i), Value: []byte(`{"pool":"none"}`), Revision: 5})
 	}
 	for _, list := range [][]Record{invalid, unresolved} {
-		if ch := c.Apply(false, 5, list); len(ch.Said) != maxLogLines {
-			t.Errorf("%d log lines", len(ch.Said))
+		if ch := c.Apply(false, 5, list); len(ch.LogLines) != maxLogLines {
+			t.Errorf("%d log lines", len(ch.LogLines))
 		}
 	}
 	if f := c.Flaws(); f.Refused != 1000 || f.Unresolved != 1000 || len(f.Named) != 2*maxNamedFlaws || c.Len() != 2000 {
@@ -79,11 +79,11 @@
 	if f := c.Flaws(); f.Refused != 1 || c.View().Match("x", "/", "GET", "bulk") != nil {
 		t.Errorf("%+v", f)
 	}
-	ch := c.Classes([]string{"read", "bulk"})
-	if f := c.Flaws(); f.Refused != 0 || !ch.Routed || c.View().Match("x", "/", "GET", "bulk") == nil {
+	ch := c.SetClasses([]string{"read", "bulk"})
+	if f := c.Flaws(); f.Refused != 0 || !ch.ViewChanged || c.View().Match("x", "/", "GET", "bulk") == nil {
 		t.Errorf("%+v %+v", f, ch)
 	}
-	if revision, _, ok := c.At("routes/a"); revision != 5 || !ok || c.Len() != 2 {
+	if revision, _, ok := c.Version("routes/a"); revision != 5 || !ok || c.Len() != 2 {
 		t.Errorf("held at %d, %v, among %d", revision, ok, c.Len())
 	}
 }
--- a/internal/catalog/cost_test.go
+++ b/internal/catalog/cost_test.go
@@ -26,7 +26,7 @@
 // newFilledCatalog returns a catalog of the given size, filled as by a full load from the store in parts.
 func newFilledCatalog(t testing.TB, routes, pools, tenantCount int) *Catalog {
 	c := New([]string{"read", "book"}, new(tenants.Table))
-	if _, err := c.Files([]config.Pool{{Name: "all"}}, nil); err != nil {
+	if _, err := c.ApplyFiles([]config.Pool{{Name: "all"}}, nil); err != nil {
 		t.Fatal(err)
 	}
 	var part []Record
--- a/internal/catalog/files.go
+++ b/internal/catalog/files.go
@@ -8,9 +8,9 @@
 	"pewterrudder/internal/config"
 )
 
-// Files replaces the routes and pools from the configuration files. New pools get the lowest free IDs in the order given,
+// ApplyFiles replaces the routes and pools from the configuration files. New pools get the lowest free IDs in the order given,
 // so on the first call the IDs are the indexes in the list. If a route is invalid, nothing is changed.
-func (c *Catalog) Files(pools []config.Pool, list []config.Route) (Changes, error) {
+func (c *Catalog) ApplyFiles(pools []config.Pool, list []config.Route) (Changes, error) {
 	var ch Changes
 	before := c.View()
 	names, listed := make([]string, len(list)), map[string]int{}
@@ -54,6 +54,6 @@
 			c.updatePool(name, p, &ch)
 		}
 	}
-	ch.Routed = ch.Routed || before.fallback != c.View().fallback
+	ch.ViewChanged = ch.ViewChanged || before.fallback != c.View().fallback
 	return ch, nil
 }
--- a/internal/catalog/flaws.go
+++ b/internal/catalog/flaws.go
@@ -60,7 +60,7 @@
 	some = nil
 	for _, ties := range c.ties {
 		for _, t := range ties {
-			some = append(some, fmt.Sprintf("%q of revision %d is shadowed: %v", t.Lost.Key, t.Lost.Revision, t))
+			some = append(some, fmt.Sprintf("%q of revision %d is shadowed: %v", t.Loser.Key, t.Loser.Revision, t))
 		}
 		if len(some) >= maxNamedFlaws {
 			break
--- a/internal/catalog/model_test.go
+++ b/internal/catalog/model_test.go
@@ -43,7 +43,7 @@
 			return false
 		}
 		var pools []string
-		for _, s := range rule.To {
+		for _, s := range rule.Shares {
 			pools = append(pools, s.Pool)
 		}
 		_, err = routes.Compile([]routes.Rule{rule}, pools, classes)
@@ -127,7 +127,7 @@
 	}
 	var single []candidate
 	for _, r := range list {
-		if slices.ContainsFunc(r.rule.To, func(s routes.Share) bool { _, ok := pools[s.Pool]; return !ok }) {
+		if slices.ContainsFunc(r.rule.Shares, func(s routes.Share) bool { _, ok := pools[s.Pool]; return !ok }) {
 			unresolved++
 			continue
 		}
@@ -186,8 +186,8 @@
 		entries = append(entries, config.Tenant{Name: name, Quota: list[name].Quota, Share: list[name].Share})
 	}
 	told := config.TenantsOf(entries)
-	b.catalog.Granted()
-	told.IntoBeside(b.table, b.round, b.catalog.Grant)
+	b.catalog.ClearFileTerms()
+	told.IntoBeside(b.table, b.round, b.catalog.SetFileTerms)
 }
 
 // applyChanges updates the pools and the view from a result of the catalog.
@@ -205,11 +205,11 @@
 		}
 		b.pools[p.ID] = *p.Pool
 	}
-	if ch.Routed {
+	if ch.ViewChanged {
 		b.view = b.catalog.View()
 	}
-	if len(ch.Said) > maxLogLines {
-		t.Fatalf("%d log lines", len(ch.Said))
+	if len(ch.LogLines) > maxLogLines {
+		t.Fatalf("%d log lines", len(ch.LogLines))
 	}
 }
 
@@ -219,7 +219,7 @@
 	keys := map[string]bool{}
 	refused := 0
 	for key, r := range m.latest {
-		revision, sum, ok := c.At(key)
+		revision, sum, ok := c.Version(key)
 		if r.Deleted {
 			if ok {
 				t.Fatalf("%s is held at revision %d, but was deleted", key, revision)
@@ -385,7 +385,7 @@
 func (s *store) sync(t *rapid.T, b *balancer, m *model, whole bool) {
 	var all []Record
 	for _, key := range slices.Sorted(maps.Keys(s.records)) {
-		if revision, sum, ok := b.catalog.At(key); !ok || revision != s.records[key].Revision || sum != Sum(s.records[key].Value) {
+		if revision, sum, ok := b.catalog.Version(key); !ok || revision != s.records[key].Revision || sum != Sum(s.records[key].Value) {
 			all = append(all, s.records[key])
 		}
 	}
@@ -440,7 +440,7 @@
 					m.fileRoutes = append(m.fileRoutes, r)
 				}
 			}
-			ch, err := b.catalog.Files(slices.Clone(m.filePools), slices.Clone(m.fileRoutes))
+			ch, err := b.catalog.ApplyFiles(slices.Clone(m.filePools), slices.Clone(m.fileRoutes))
 			if err != nil {
 				t.Fatal(err)
 			}
--- a/internal/catalog/route.go
+++ b/internal/catalog/route.go
@@ -93,7 +93,7 @@
 		delete(c.unresolved, r)
 		return
 	}
-	resolvedClaim, missing := claim.Lead(c.poolID)
+	resolvedClaim, missing := claim.ResolvePools(c.poolID)
 	if r.resolved = missing == ""; !r.resolved {
 		c.unresolved[r] = struct{}{}
 		return
@@ -105,22 +105,22 @@
 
 // updateTree adds a claim to the tree or removes it, and updates the ties at its place.
 func (c *Catalog) updateTree(claim *routes.Claim, in bool, ch *Changes) {
-	var ties []routes.Tie
+	var ties []routes.Conflict
 	if in {
 		c.tree, ties = c.tree.With(claim)
 	} else {
 		c.tree, ties = c.tree.Without(claim)
 	}
-	ch.Routed = true
+	ch.ViewChanged = true
 	at := claim.Place()
 	had := c.ties[at]
 	for i := range had {
-		delete(c.shadowed, had[i].Lost.Key)
+		delete(c.shadowed, had[i].Loser.Key)
 	}
 	for i := range ties {
-		key := ties[i].Lost.Key
-		if c.shadowed[key] = true; !slices.ContainsFunc(had, func(t routes.Tie) bool { return t.Lost.Key == key }) {
-			ch.addLog(fmt.Sprintf("%s of revision %d is shadowed: %v", key, ties[i].Lost.Revision, ties[i]))
+		key := ties[i].Loser.Key
+		if c.shadowed[key] = true; !slices.ContainsFunc(had, func(t routes.Conflict) bool { return t.Loser.Key == key }) {
+			ch.addLog(fmt.Sprintf("%s of revision %d is shadowed: %v", key, ties[i].Loser.Revision, ties[i]))
 		}
 	}
 	if len(ties) > 0 {
@@ -135,7 +135,7 @@
 	if r.indexed == nil {
 		return
 	}
-	for _, s := range r.indexed.To {
+	for _, s := range r.indexed.Shares {
 		users := c.routesByPool[s.Pool]
 		switch {
 		case add && users == nil:
@@ -152,7 +152,7 @@
 
 // missingPool returns the name of a pool that a route waits for; "": none.
 func (c *Catalog) missingPool(r *route) string {
-	_, pool := r.effective().Lead(c.poolID)
+	_, pool := r.effective().ResolvePools(c.poolID)
 	return pool
 }
 
--- a/internal/catalog/tenant.go
+++ b/internal/catalog/tenant.go
@@ -14,7 +14,7 @@
 	if err != nil {
 		return err
 	}
-	revision, sum, ok := c.tenants.At(name)
+	revision, sum, ok := c.tenants.Version(name)
 	if ok && revision == 0 {
 		had, _ := c.tenants.Find(name)
 		c.fileTerms[name] = had.Terms
@@ -26,7 +26,7 @@
 
 // removeTenant removes the store's terms of a tenant. Those granted by the files apply again, if there are any.
 func (c *Catalog) removeTenant(key, name string) {
-	revision, sum, _ := c.tenants.At(name)
+	revision, sum, _ := c.tenants.Version(name)
 	if revision == 0 {
 		return // from the files
 	}
@@ -39,9 +39,9 @@
 	c.tenants.Delete(name)
 }
 
-// Granted clears the terms that the files granted to tenants in the store. Call it before the files are read again; they
-// are then set by Grant.
-func (c *Catalog) Granted() { clear(c.fileTerms) }
+// ClearFileTerms clears the terms that the files granted to tenants in the store. Call it before the files are read again; they
+// are then set by SetFileTerms.
+func (c *Catalog) ClearFileTerms() { clear(c.fileTerms) }
 
-// Grant sets the terms that the files grant to a tenant that the store contains as well.
-func (c *Catalog) Grant(name string, t tenants.Terms) { c.fileTerms[name] = t }
+// SetFileTerms sets the terms that the files grant to a tenant that the store contains as well.
+func (c *Catalog) SetFileTerms(name string, t tenants.Terms) { c.fileTerms[name] = t }
--- a/internal/config/routes.go
+++ b/internal/config/routes.go
@@ -94,10 +94,10 @@
 	case (r.Pool != "") == (r.Split != nil):
 		return rule, errors.New("either pool or split says where it leads")
 	case r.Pool != "":
-		rule.To = []routes.Share{{Pool: r.Pool, Weight: 1}}
+		rule.Shares = []routes.Share{{Pool: r.Pool, Weight: 1}}
 	}
 	for _, p := range r.Split {
-		rule.To = append(rule.To, routes.Share(p))
+		rule.Shares = append(rule.Shares, routes.Share(p))
 	}
 	return rule, nil
 }
--- a/internal/config/tenants.go
+++ b/internal/config/tenants.go
@@ -179,7 +179,7 @@
 		block := t.entries[i : i+1]
 		for r := range block.all() {
 			terms := tenants.Terms{Quota: r.quota, Share: r.share}
-			if revision, _, ok := table.At(string(r.name)); ok && revision != 0 {
+			if revision, _, ok := table.Version(string(r.name)); ok && revision != 0 {
 				others(string(r.name), terms)
 			} else {
 				table.Put(string(r.name), terms, 0, round)
@@ -193,7 +193,7 @@
 	}
 	for name := range table.All() {
 		turn()
-		if revision, sum, ok := table.At(name); ok && revision == 0 && sum != round {
+		if revision, sum, ok := table.Version(name); ok && revision == 0 && sum != round {
 			table.Delete(name)
 		}
 	}
--- a/internal/config/tenants_test.go
+++ b/internal/config/tenants_test.go
@@ -389,7 +389,7 @@
 	if again, _ := table.Find("own"); !maps.Equal(got, want) || again.ID != own.ID {
 		t.Errorf("%v, want %v; the number %d became %d", got, want, own.ID, again.ID)
 	}
-	if revision, sum, ok := table.At("theirs"); revision != 17 || sum != 3 || !ok {
+	if revision, sum, ok := table.Version("theirs"); revision != 17 || sum != 3 || !ok {
 		t.Errorf("theirs has revision %d and sum %d", revision, sum)
 	}
 }
--- a/internal/config/zones.go
+++ b/internal/config/zones.go
@@ -73,9 +73,9 @@
 	if own < 0 {
 		return nil, fmt.Errorf("zones.names: the balancer's own zone %q is not among them", b.Zone)
 	}
-	s := &zones.Settings{Zones: z.Names, Own: own, Tiers: [][]int{{own}}, Balancers: max(1, b.Nodes/len(z.Names)), Fill: z.Fill, SpillFrom: z.FullAt,
-		SilentFor: FromMs(z.SilentMs), TrialEvery: FromMs(z.TrialMs), HoldFirst: FromMs(z.HoldFirstMs), HoldMost: FromMs(z.HoldMostMs),
-		Forgive: FromMs(z.ForgiveMs), Settle: FromMs(z.SettleMs)}
+	s := &zones.Settings{Zones: z.Names, OwnZone: own, Tiers: [][]int{{own}}, Balancers: max(1, b.Nodes/len(z.Names)), MaxFill: z.Fill, SpillFrom: z.FullAt,
+		SilenceTimeout: FromMs(z.SilentMs), TrialInterval: FromMs(z.TrialMs), HoldFirst: FromMs(z.HoldFirstMs), HoldMost: FromMs(z.HoldMostMs),
+		RelapseExpiry: FromMs(z.ForgiveMs), SettlingTime: FromMs(z.SettleMs)}
 	placed := map[int]bool{own: true}
 	add := func(names []string) {
 		var tier []int
--- a/internal/config/zones_test.go
+++ b/internal/config/zones_test.go
@@ -16,7 +16,7 @@
 		{Repeat: brain.Keyed, Scope: brain.ScopeZone, Worth: 5, Aim: time.Second}, {Repeat: brain.Keyed, Scope: brain.ScopeAll, Worth: 2, Aim: time.Second}}}
 	s, err := z.In(&b)
 	want := [][]int{{1}, {0}, {2}, {3}}
-	if err != nil || s.Own != 1 || !reflect.DeepEqual(s.Tiers, want) || s.SilentFor != 300*time.Millisecond || s.Fill != 0.7 || s.Balancers != 1 {
+	if err != nil || s.OwnZone != 1 || !reflect.DeepEqual(s.Tiers, want) || s.SilenceTimeout != 300*time.Millisecond || s.MaxFill != 0.7 || s.Balancers != 1 {
 		t.Fatalf("%+v, %v", s, err)
 	}
 	if !reflect.DeepEqual(s.Classes, []zones.Class{{Value: 1, Movable: true}, {Value: 5}, {Value: 2, Movable: true}}) {
--- a/internal/delegation/delegation.go
+++ b/internal/delegation/delegation.go
@@ -24,13 +24,13 @@
 )
 
 // MaxBody is the largest body that is buffered in full, in bytes.
-const MaxBody = flow.Hold
+const MaxBody = flow.MaxBufferedBytes
 
-// Bounds limits answers, and the memory of those that are too large to be buffered in full.
-type Bounds struct {
-	Largest int64         // longest answer body that is forwarded, in bytes
-	Room    *flow.Room    // memory for answers larger than flow.Hold
-	Wait    time.Duration // how long an answer waits for that memory
+// Limits limits answers, and the memory of those that are too large to be buffered in full.
+type Limits struct {
+	MaxAnswerBytes int64             // longest answer body that is forwarded, in bytes
+	Memory         *flow.MemoryLimit // memory for answers larger than flow.MaxBufferedBytes
+	MemoryWait     time.Duration     // how long an answer waits for that memory
 }
 
 // Connections is the set of connections to app nodes. Dial, Exchange and Close may be called only by the goroutine that
@@ -38,24 +38,24 @@
 type Connections struct {
 	post         func(reducer.Event)
 	columns      atomic.Pointer[[]string] // columns of a load report, by their names in the settings
-	bounds       Bounds
+	bounds       Limits
 	byID         map[uint64]*conn
 	writtenCalls atomic.Uint64
 }
 
-// Written returns how many calls have been written in full to app nodes since the start.
-func (c *Connections) Written() uint64 { return c.writtenCalls.Load() }
+// WrittenCalls returns how many calls have been written in full to app nodes since the start.
+func (c *Connections) WrittenCalls() uint64 { return c.writtenCalls.Load() }
 
 // New returns an empty set. post receives the events; columns are the names that the settings give the values of a load
 // report.
-func New(post func(reducer.Event), columns []string, bounds Bounds) *Connections {
+func New(post func(reducer.Event), columns []string, bounds Limits) *Connections {
 	c := &Connections{post: post, bounds: bounds, byID: map[uint64]*conn{}}
-	c.Retune(columns)
+	c.SetReportColumns(columns)
 	return c
 }
 
-// Retune replaces the columns of load reports.
-func (c *Connections) Retune(columns []string) { c.columns.Store(&columns) }
+// SetReportColumns replaces the columns of load reports.
+func (c *Connections) SetReportColumns(columns []string) { c.columns.Store(&columns) }
 
 // conn is one connection. nc is set before Dialed is posted and never after.
 type conn struct {
--- a/internal/delegation/delegation_test.go
+++ b/internal/delegation/delegation_test.go
@@ -18,7 +18,7 @@
 // App nodes send the settings' column names, the protocol's example has short ones. Reports in the first form were once
 // ignored, which left decisions without load figures and caused no error.
 func TestParseReportAcceptsAliases(t *testing.T) {
-	connections := New(nil, []string{"utilization", "backlog"}, Bounds{})
+	connections := New(nil, []string{"utilization", "backlog"}, Limits{})
 	for text, want := range map[string][]float64{
 		"utilization=0.878,backlog=5.063": {0.878, 5.063},
 		"inflight=7,queue=2,util=0.61":    {0.61, 2},
@@ -40,7 +40,7 @@
 	t           *testing.T
 	connections *Connections
 	events      chan reducer.Event
-	room        *flow.Room // for one body
+	room        *flow.MemoryLimit // for one body
 	nodeConn    net.Conn
 	nodeReader  *bufio.Reader
 
@@ -54,9 +54,9 @@
 	}
 	defer l.Close()
 	k := &testConn{t: t, readTimeout: time.Hour, flowReadTimeout: time.Hour, events: make(chan reducer.Event, 10)}
-	k.room = flow.NewRoom(1)
+	k.room = flow.NewMemoryLimit(1)
 	k.connections = New(func(e reducer.Event) { k.events <- e }, []string{"utilization", "backlog"},
-		Bounds{Largest: 1 << 20, Room: k.room, Wait: 20 * time.Second})
+		Limits{MaxAnswerBytes: 1 << 20, Memory: k.room, MemoryWait: 20 * time.Second})
 	k.connections.Dial(reducer.Dial{Conn: 1, Address: l.Addr().String(), Timeout: 10 * time.Second})
 	if k.nodeConn, err = l.Accept(); err != nil {
 		t.Fatal(err)
@@ -287,7 +287,7 @@
 	}
 	l.Close()
 	events := make(chan reducer.Event, 1)
-	c := New(func(e reducer.Event) { events <- e }, nil, Bounds{})
+	c := New(func(e reducer.Event) { events <- e }, nil, Limits{})
 	c.Dial(reducer.Dial{Conn: 1, Address: l.Addr().String(), Timeout: 10 * time.Second})
 	if d, ok := (<-events).(reducer.Dialed); !ok || d.Err == nil {
 		t.Errorf("%+v", d)
@@ -299,7 +299,7 @@
 func TestNothingIsWrittenAfterClientLeft(t *testing.T) {
 	for _, upload := range []bool{false, true} {
 		k := newTestConn(t)
-		call := &message.Call{Left: func() bool { return true }}
+		call := &message.Call{ClientGone: func() bool { return true }}
 		if upload {
 			call.Upload = flow.NewUpload(strings.NewReader("skip"), 4, 10, time.Hour, time.Now, func(time.Time) {}, func(time.Time) {})
 		}
@@ -313,7 +313,7 @@
 		}
 	}
 	k := newTestConn(t)
-	k.sendCall(&message.Call{Left: func() bool { return false }})
+	k.sendCall(&message.Call{ClientGone: func() bool { return false }})
 	if _, err := http.ReadRequest(k.nodeReader); err != nil {
 		t.Error(err)
 	}
--- a/internal/delegation/flow_test.go
+++ b/internal/delegation/flow_test.go
@@ -57,7 +57,7 @@
 			k.t.Fatalf("%+v", ev)
 		}
 		a := f.Message.(*message.Answer)
-		a.Flow.Open()
+		a.Flow.MarkOpened()
 		return a
 	case <-time.After(20 * time.Second):
 		k.t.Fatal("no Flowing event within 20 s")
@@ -68,7 +68,7 @@
 // checkNothingLent fails the test if memory is still lent.
 func (k *testConn) checkNothingLent() {
 	k.t.Helper()
-	if now, _ := k.room.Lent(); now != 0 {
+	if now, _ := k.room.Usage(); now != 0 {
 		k.t.Errorf("%d bytes still lent", now)
 	}
 }
@@ -99,7 +99,7 @@
 // For every framing, and for sizes around each buffer limit, the client receives every byte and the trailers, and a
 // connection is reused only if the framing proves the end of the body.
 func TestAnswerSizesAndFramings(t *testing.T) {
-	for _, n := range []int{0, 1, unknownLengthBuffer - 1, unknownLengthBuffer + 1, flow.Hold - 1, flow.Hold, flow.Hold + 1, 300 << 10, 1 << 20} {
+	for _, n := range []int{0, 1, unknownLengthBuffer - 1, unknownLengthBuffer + 1, flow.MaxBufferedBytes - 1, flow.MaxBufferedBytes, flow.MaxBufferedBytes + 1, 300 << 10, 1 << 20} {
 		body := randomBody(n)
 		for name, c := range map[string]struct {
 			text  string
@@ -116,7 +116,7 @@
 			k.respond(c.text, c.close)
 			var a *message.Answer
 			var got []byte
-			flows := n > flow.Hold || n > unknownLengthBuffer && name != "length" && name != "interim"
+			flows := n > flow.MaxBufferedBytes || n > unknownLengthBuffer && name != "length" && name != "interim"
 			if flows {
 				a = k.waitCommit()
 				var err error
@@ -240,12 +240,12 @@
 func TestLargeAnswerWithoutMemory(t *testing.T) {
 	for _, released := range []bool{true, false} {
 		k := newTestConn(t)
-		other, err := k.room.Take(nil, time.Second)
+		other, err := k.room.Acquire(nil, time.Second)
 		if err != nil {
 			t.Fatal(err)
 		}
 		if !released {
-			k.connections.bounds.Wait = 30 * time.Millisecond
+			k.connections.bounds.MemoryWait = 30 * time.Millisecond
 		}
 		k.send([]byte("skip"))
 		k.readRequest()
@@ -336,7 +336,7 @@
 	k = newTestConn(t) // the reducer closes while the writer waits for the client
 	half = newStallingUpload(strings.NewReader(""), 9)
 	k.sendCall(&message.Call{Upload: half.Upload})
-	for until := time.Now().Add(20 * time.Second); !half.Touched(); time.Sleep(time.Millisecond) {
+	for until := time.Now().Add(20 * time.Second); !half.Started(); time.Sleep(time.Millisecond) {
 		if time.Now().After(until) {
 			t.Fatal("the body was not read within 20 s")
 		}
--- a/internal/delegation/read.go
+++ b/internal/delegation/read.go
@@ -21,8 +21,8 @@
 	// maxInterimAnswers bounds the 1xx answers before the final one.
 	maxInterimAnswers = 4
 	// unknownLengthBuffer is how much of a body without a declared length is buffered before the answer is streamed, in
-	// bytes. It is smaller than flow.Hold because the client of a long answer waits for its first bytes, and an app node
-	// that writes slowly may take seconds to fill flow.Hold.
+	// bytes. It is smaller than flow.MaxBufferedBytes because the client of a long answer waits for its first bytes, and an app node
+	// that writes slowly may take seconds to fill flow.MaxBufferedBytes.
 	unknownLengthBuffer = 2 << 10
 )
 
@@ -183,7 +183,7 @@
 		e.Result = result
 	default:
 		a.Body = nil
-		a.Flow = flow.New(lease, held, resp.Body, k.connections.bounds.Largest-int64(len(held)))
+		a.Flow = flow.New(lease, held, resp.Body, k.connections.bounds.MaxAnswerBytes-int64(len(held)))
 		k.stream(ex, result, a, e)
 		e.Reusable = e.Result == reducer.ResultGood && !resp.Close && k.br.Buffered() == 0
 	}
@@ -200,7 +200,7 @@
 		case resp.StatusCode == http.StatusSwitchingProtocols:
 			return nil, errUnexpectedInterim // no request of ours asks for an upgrade
 		case resp.StatusCode < 200:
-		case resp.ContentLength > k.connections.bounds.Largest && resp.Body != http.NoBody: // too long to be forwarded
+		case resp.ContentLength > k.connections.bounds.MaxAnswerBytes && resp.Body != http.NoBody: // too long to be forwarded
 			return nil, flow.ErrBodyTooLarge
 		default:
 			return resp, nil
@@ -228,7 +228,7 @@
 	if resp.Body == http.NoBody { // HEAD, 204, 304, or a length of 0
 		return nil, nil, nil
 	}
-	if n := resp.ContentLength; n >= 0 && n <= flow.Hold {
+	if n := resp.ContentLength; n >= 0 && n <= flow.MaxBufferedBytes {
 		held = make([]byte, n)
 		_, err = io.ReadFull(resp.Body, held)
 		return held, nil, err
@@ -244,10 +244,10 @@
 			return nil, nil, err
 		}
 	}
-	if lease, err = k.connections.bounds.Room.Take(k.closed, k.connections.bounds.Wait); err != nil {
+	if lease, err = k.connections.bounds.Memory.Acquire(k.closed, k.connections.bounds.MemoryWait); err != nil {
 		return nil, nil, err
 	}
-	buffer := append(lease.Held(), held...)
+	buffer := append(lease.Buffer(), held...)
 	if len(buffer) == 0 { // declared as large: its first bytes are enough to begin
 		buffer, err = readOnce(resp.Body, buffer)
 	}
--- a/internal/delegation/write.go
+++ b/internal/delegation/write.go
@@ -53,7 +53,7 @@
 	k.mu.Lock()
 	// Last check for the client: the call may have waited for a connection or for the scheduler, and the event of the
 	// client's disconnect may still be queued.
-	ex.clientLeft = ex.call.Left != nil && ex.call.Left()
+	ex.clientLeft = ex.call.ClientGone != nil && ex.call.ClientGone()
 	ex.sending = err == nil && !ex.clientLeft && !k.readerDone && k.quiet()
 	sending := ex.sending
 	k.mu.Unlock()
@@ -92,7 +92,7 @@
 
 func (r *uploadReader) Read(p []byte) (int, error) {
 	r.mu.Lock()
-	if r.stopped && !r.upload.Whole() { // net/http reads a complete upload once more to see io.EOF
+	if r.stopped && !r.upload.Complete() { // net/http reads a complete upload once more to see io.EOF
 		defer r.mu.Unlock()
 		return 0, flow.ErrStopped
 	}
--- a/internal/flow/bench_test.go
+++ b/internal/flow/bench_test.go
@@ -29,23 +29,23 @@
 type ringBuffer struct {
 	mu                sync.Mutex
 	changed           *sync.Cond
-	buf               [Hold]byte
+	buf               [MaxBufferedBytes]byte
 	readPos, writePos int // bytes read and written in total
 	done              bool
 }
 
 // fill copies src into the buffer until src ends, and waits while the buffer is full.
 func (r *ringBuffer) fill(src io.Reader) {
-	p := make([]byte, Copy)
+	p := make([]byte, CopyBufferBytes)
 	for {
 		n, err := src.Read(p)
 		r.mu.Lock()
 		for part := p[:n]; len(part) > 0; {
-			for r.writePos-r.readPos == Hold {
+			for r.writePos-r.readPos == MaxBufferedBytes {
 				r.changed.Wait()
 			}
-			at := r.writePos % Hold
-			k := copy(r.buf[at:min(Hold, at+Hold-(r.writePos-r.readPos))], part)
+			at := r.writePos % MaxBufferedBytes
+			k := copy(r.buf[at:min(MaxBufferedBytes, at+MaxBufferedBytes-(r.writePos-r.readPos))], part)
 			r.writePos, part = r.writePos+k, part[k:]
 			r.changed.Signal()
 		}
@@ -67,8 +67,8 @@
 		}
 		r.changed.Wait()
 	}
-	at := r.readPos % Hold
-	n := copy(p, r.buf[at:min(Hold, at+r.writePos-r.readPos)])
+	at := r.readPos % MaxBufferedBytes
+	n := copy(p, r.buf[at:min(MaxBufferedBytes, at+r.writePos-r.readPos)])
 	r.readPos += n
 	r.changed.Signal()
 	return n, nil
@@ -79,20 +79,20 @@
 	const size = 1 << 20
 	for name, transfer := range map[string]func(dst io.Writer, src io.Reader){
 		"hand-over": func(dst io.Writer, src io.Reader) {
-			room := NewRoom(1)
-			l, _ := room.Take(nil, 0)
-			held := l.Held()[:Hold]
+			room := NewMemoryLimit(1)
+			l, _ := room.Acquire(nil, 0)
+			held := l.Buffer()[:MaxBufferedBytes]
 			io.ReadFull(src, held)
 			f := New(l, held, src, size)
-			f.Open()
-			io.CopyBuffer(struct{ io.Writer }{dst}, struct{ io.Reader }{f}, make([]byte, Copy))
+			f.MarkOpened()
+			io.CopyBuffer(struct{ io.Writer }{dst}, struct{ io.Reader }{f}, make([]byte, CopyBufferBytes))
 			f.Close()
 		},
 		"ring": func(dst io.Writer, src io.Reader) {
 			r := new(ringBuffer)
 			r.changed = sync.NewCond(&r.mu)
 			go r.fill(src)
-			io.CopyBuffer(struct{ io.Writer }{dst}, struct{ io.Reader }{r}, make([]byte, Copy))
+			io.CopyBuffer(struct{ io.Writer }{dst}, struct{ io.Reader }{r}, make([]byte, CopyBufferBytes))
 		},
 	} {
 		b.Run(name, func(b *testing.B) {
--- a/internal/flow/flow.go
+++ b/internal/flow/flow.go
@@ -29,8 +29,8 @@
 	return &Flow{lease: lease, held: held, rest: rest, bytesLeft: limit, ended: make(chan struct{})}
 }
 
-// Open notes that the acceptor has the flow and will close it.
-func (f *Flow) Open() {
+// MarkOpened notes that the acceptor has the flow and will close it.
+func (f *Flow) MarkOpened() {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.opened = true
--- a/internal/flow/flow_test.go
+++ b/internal/flow/flow_test.go
@@ -17,21 +17,21 @@
 
 const testTimeout = 20 * time.Second // reached only if something hangs
 
-func mustTake(t *testing.T, r *Room) *Lease {
+func mustTake(t *testing.T, r *MemoryLimit) *Lease {
 	t.Helper()
-	l, err := r.Take(nil, testTimeout)
+	l, err := r.Acquire(nil, testTimeout)
 	if err != nil {
 		t.Fatal(err)
 	}
 	return l
 }
 
-func lent(r *Room) int { n, _ := r.Lent(); return n }
+func lent(r *MemoryLimit) int { n, _ := r.Usage(); return n }
 
 // At the limit callers wait in order of arrival. Each is admitted as soon as there is memory for it, whether from a whole
 // lease or from released buffers.
 func TestFullRoomAdmitsInOrder(t *testing.T) {
-	r := NewRoom(3 * leaseSize)
+	r := NewMemoryLimit(3 * leaseSize)
 	a, b, c := mustTake(t, r), mustTake(t, r), mustTake(t, r)
 	order := make(chan int, 3)
 	waitForWaiters := func(n int) {
@@ -49,7 +49,7 @@
 	}
 	for i := range 3 {
 		go func() {
-			if _, err := r.Take(nil, testTimeout); err != nil {
+			if _, err := r.Acquire(nil, testTimeout); err != nil {
 				t.Error(err)
 			}
 			order <- i
@@ -57,7 +57,7 @@
 		waitForWaiters(i + 1)
 	}
 	a.ReleaseBuffer()
-	if len(order) != 0 || lent(r) != 3*leaseSize-Hold {
+	if len(order) != 0 || lent(r) != 3*leaseSize-MaxBufferedBytes {
 		t.Fatalf("caller admitted, or %d of %d bytes lent", lent(r), r.limit)
 	}
 	b.ReleaseBuffer() // both buffers together are enough for one lease
@@ -72,22 +72,22 @@
 	b.Release()
 	b.Release() // a second call does nothing
 	<-order
-	if now, peak := r.Lent(); now != 3*leaseSize || peak != 3*leaseSize {
+	if now, peak := r.Usage(); now != 3*leaseSize || peak != 3*leaseSize {
 		t.Errorf("%d bytes lent, peak %d, limit %d", now, peak, r.limit)
 	}
 }
 
-// A Take that gives up gets no lease and leaves no reservation and no waiter behind.
+// An Acquire that gives up gets no lease and leaves no reservation and no waiter behind.
 func TestTakeGivesUp(t *testing.T) {
-	r := NewRoom(leaseSize)
+	r := NewMemoryLimit(leaseSize)
 	a := mustTake(t, r)
-	if _, err := r.Take(nil, 0); err != ErrMemoryLimit {
-		t.Errorf("Take after its wait: %v", err)
+	if _, err := r.Acquire(nil, 0); err != ErrMemoryLimit {
+		t.Errorf("Acquire after its wait: %v", err)
 	}
 	stop := make(chan struct{})
 	close(stop)
-	if _, err := r.Take(stop, testTimeout); err != ErrStopped {
-		t.Errorf("Take after stop: %v", err)
+	if _, err := r.Acquire(stop, testTimeout); err != ErrStopped {
+		t.Errorf("Acquire after stop: %v", err)
 	}
 	a.Release()
 	mustTake(t, r).Release()
@@ -101,13 +101,13 @@
 func TestRoomAccounting(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		leases := rapid.IntRange(1, 4).Draw(t, "leases")
-		r := NewRoom(leases * leaseSize)
+		r := NewMemoryLimit(leases * leaseSize)
 		var out []*Lease
 		t.Repeat(map[string]func(*rapid.T){
 			"take": func(t *rapid.T) {
-				l, err := r.Take(nil, 0)
+				l, err := r.Acquire(nil, 0)
 				if (err == nil) != (lent(r)-leaseSize*boolToInt(err == nil)+leaseSize <= r.limit) {
-					t.Fatalf("Take: %v with %d of %d bytes lent", err, lent(r), r.limit)
+					t.Fatalf("Acquire: %v with %d of %d bytes lent", err, lent(r), r.limit)
 				}
 				if err == nil {
 					out = append(out, l)
@@ -163,17 +163,17 @@
 }
 
 // openFlow returns an opened flow with the given buffered beginning.
-func openFlow(r *Room, held string, rest io.Reader, limit int64) *Flow {
-	l, _ := r.Take(nil, testTimeout)
-	f := New(l, append(l.Held(), held...), rest, limit)
-	f.Open()
+func openFlow(r *MemoryLimit, held string, rest io.Reader, limit int64) *Flow {
+	l, _ := r.Acquire(nil, testTimeout)
+	f := New(l, append(l.Buffer(), held...), rest, limit)
+	f.MarkOpened()
 	return f
 }
 
 // The buffered beginning is read first, then the rest. The buffer is returned as soon as it is empty, the remaining
 // reservation by Close.
 func TestFlowReadsBufferThenRest(t *testing.T) {
-	r := NewRoom(leaseSize)
+	r := NewMemoryLimit(leaseSize)
 	f := openFlow(r, "held ", &pieceReader{[]string{"and ", "the rest"}, io.EOF}, 100)
 	p := make([]byte, 3)
 	f.Read(p)
@@ -181,7 +181,7 @@
 		t.Errorf("%d bytes lent while part of the buffer is unread", lent(r))
 	}
 	f.Read(make([]byte, 2))
-	if lent(r) != Copy {
+	if lent(r) != CopyBufferBytes {
 		t.Errorf("%d bytes lent once the buffer is empty", lent(r))
 	}
 	got, err := io.ReadAll(f)
@@ -189,7 +189,7 @@
 		t.Errorf("read %q and %q, error %v, Err %v", p, got, err, f.Err())
 	}
 	<-f.Ended()
-	if lent(r) != Copy {
+	if lent(r) != CopyBufferBytes {
 		t.Errorf("%d bytes lent between the end and Close", lent(r))
 	}
 	if f.Close(); lent(r) != 0 || f.Err() != io.EOF {
@@ -213,7 +213,7 @@
 		"aborted":      {&pieceReader{[]string{"x"}, io.EOF}, 9, func(f *Flow) { f.Abort(reset); f.Abort(io.EOF) }, reset},
 		"closed":       {&pieceReader{[]string{"x"}, io.EOF}, 9, func(f *Flow) { f.Close(); f.Abort(reset) }, ErrStopped},
 	} {
-		r := NewRoom(leaseSize)
+		r := NewMemoryLimit(leaseSize)
 		f := openFlow(r, "held", c.rest, c.limit)
 		c.do(f)
 		_, err := io.Copy(io.Discard, f)
@@ -228,9 +228,9 @@
 			t.Errorf("%s: %d bytes lent", name, lent(r))
 		}
 	}
-	r := NewRoom(leaseSize) // never opened, so that the owner's Abort has to release everything
-	l, _ := r.Take(nil, testTimeout)
-	if New(l, l.Held(), strings.NewReader(""), 9).Abort(reset); lent(r) != 0 {
+	r := NewMemoryLimit(leaseSize) // never opened, so that the owner's Abort has to release everything
+	l, _ := r.Acquire(nil, testTimeout)
+	if New(l, l.Buffer(), strings.NewReader(""), 9).Abort(reset); lent(r) != 0 {
 		t.Errorf("%d bytes lent to a flow that nobody opened", lent(r))
 	}
 }
@@ -238,20 +238,20 @@
 // An Abort while the buffer is read must not let the reader see memory that is leased again, nor an end that looks
 // complete.
 func TestAbortDuringRead(t *testing.T) {
-	r := NewRoom(leaseSize)
+	r := NewMemoryLimit(leaseSize)
 	for range 300 {
-		f := openFlow(r, strings.Repeat("x", Hold), &pieceReader{nil, io.EOF}, 9)
+		f := openFlow(r, strings.Repeat("x", MaxBufferedBytes), &pieceReader{nil, io.EOF}, 9)
 		var both sync.WaitGroup
 		both.Go(func() {
 			got, err := io.ReadAll(f)
-			if bytes.ContainsAny(got, "y") || err == nil && len(got) != Hold {
+			if bytes.ContainsAny(got, "y") || err == nil && len(got) != MaxBufferedBytes {
 				t.Errorf("%d bytes, %v", len(got), err)
 			}
 			f.Close()
 		})
 		both.Go(func() { f.Abort(io.ErrClosedPipe) })
 		both.Wait()
-		l, err := r.Take(nil, 0) // the next body uses the same array
+		l, err := r.Acquire(nil, 0) // the next body uses the same array
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -311,15 +311,15 @@
 		}
 		got <- string(body)
 	}()
-	for until := time.Now().Add(testTimeout); !u.Touched(); time.Sleep(time.Millisecond) {
+	for until := time.Now().Add(testTimeout); !u.Started(); time.Sleep(time.Millisecond) {
 		if time.Now().After(until) {
 			t.Fatal("no read within the test's timeout")
 		}
 	}
 	u.Interrupt()
 	u.Close()
-	if body := <-got; body != "half" && body != "" || u.Failed() || u.Whole() {
-		t.Errorf("read %q, failed: %v, whole: %v", body, u.Failed(), u.Whole())
+	if body := <-got; body != "half" && body != "" || u.Failed() || u.Complete() {
+		t.Errorf("read %q, failed: %v, whole: %v", body, u.Failed(), u.Complete())
 	}
 	if _, err := u.Read(make([]byte, 1)); err != ErrStopped {
 		t.Errorf("read after Close: %v", err)
@@ -328,7 +328,7 @@
 	u = NewUpload(io.LimitReader(c, 5), 5, 100, time.Second, now, c.setDeadline, func(time.Time) { completed++ })
 	body, err := io.ReadAll(u)
 	u.Interrupt()
-	if string(body) != "whole" || err != nil || !u.Whole() || !c.deadline.IsZero() || completed != 1 {
+	if string(body) != "whole" || err != nil || !u.Complete() || !c.deadline.IsZero() || completed != 1 {
 		t.Errorf("read %q, %v, deadline %v, completed %d times", body, err, c.deadline, completed)
 	}
 	if n, err := u.Read(make([]byte, 1)); n != 0 || err != io.EOF {
@@ -339,8 +339,8 @@
 // An upload whose client sends less than it declared has failed and is not whole.
 func TestShortUpload(t *testing.T) {
 	u := NewUpload(&pieceReader{[]string{"x"}, io.ErrUnexpectedEOF}, 9, 100, time.Second, time.Now, func(time.Time) {}, func(time.Time) {})
-	if _, err := io.ReadAll(u); err == nil || !u.Failed() || u.Whole() {
-		t.Errorf("read error %v, failed %v, whole %v", err, u.Failed(), u.Whole())
+	if _, err := io.ReadAll(u); err == nil || !u.Failed() || u.Complete() {
+		t.Errorf("read error %v, failed %v, whole %v", err, u.Failed(), u.Complete())
 	}
 }
 
@@ -374,22 +374,22 @@
 		maxBytes    int64
 		good        bool
 	}{
-		{"minimum rate", Slowest, 100, 1 << 20, true},
-		{"minimum rate, in large pieces", Slowest, 2 * Slowest, 1 << 20, true},
-		{"too slow", Slowest / 2, 100, 1 << 20, false},
-		{"fast and too long", 100 * Slowest, 4096, 900_000, false},
+		{"minimum rate", MinUploadRate, 100, 1 << 20, true},
+		{"minimum rate, in large pieces", MinUploadRate, 2 * MinUploadRate, 1 << 20, true},
+		{"too slow", MinUploadRate / 2, 100, 1 << 20, false},
+		{"fast and too long", 100 * MinUploadRate, 4096, 900_000, false},
 	} {
 		p := &pacedClient{now: time.Unix(1000, 0), pieceSize: c.piece, bytesLeft: 1_000_000, readTime: time.Duration(c.piece) * time.Second / time.Duration(c.rate)}
 		completed := 0
 		u := NewUpload(p, -1, c.maxBytes, 2500*time.Millisecond, func() time.Time { return p.now }, func(at time.Time) { p.deadline = at }, func(time.Time) { completed++ })
-		buffer := make([]byte, 2*Slowest)
+		buffer := make([]byte, 2*MinUploadRate)
 		var err error
 		for err == nil {
 			_, err = u.Read(buffer)
 			p.now = p.now.Add(time.Second) // the app node is slower than the client
 		}
-		if good := err == io.EOF; good != c.good || u.Whole() != c.good || u.Failed() == c.good || (completed == 1) != c.good {
-			t.Errorf("%s: %v, whole %v, failed %v, completed %d times", c.name, err, u.Whole(), u.Failed(), completed)
+		if good := err == io.EOF; good != c.good || u.Complete() != c.good || u.Failed() == c.good || (completed == 1) != c.good {
+			t.Errorf("%s: %v, whole %v, failed %v, completed %d times", c.name, err, u.Complete(), u.Failed(), completed)
 		}
 	}
 }
--- a/internal/flow/room.go
+++ b/internal/flow/memory.go
@@ -1,7 +1,7 @@
 // Package flow streams bodies that are too large to be buffered in full, and owns their memory: the buffers that hold
 // the beginnings of large answers until they are committed to the client, and the two kinds of body that are read by the
 // side that forwards them, answers by the acceptor (Flow) and uploads by the delegation (Upload). Memory is leased from
-// a Room with a limit, so it depends on the number of bodies in transit and not on their size. The package must never
+// a MemoryLimit, so it depends on the number of bodies in transit and not on their size. The package must never
 // open or close a socket, decide what follows from a failed body, or keep a byte past its lease.
 package flow
 
@@ -13,15 +13,15 @@
 )
 
 const (
-	// Hold is how much of an answer is buffered before it is committed to the client, in bytes. Until then another app
+	// MaxBufferedBytes is how much of an answer is buffered before it is committed to the client, in bytes. Until then another app
 	// node can still be tried. It is also the largest body of the platform's protocol, so that bodies that follow the
 	// protocol are buffered in full.
-	Hold = 64 << 10
-	// Copy is the size of the buffer through which the rest of a body is copied, in bytes; each streamed body has one.
+	MaxBufferedBytes = 64 << 10
+	// CopyBufferBytes is the size of the buffer through which the rest of a body is copied, in bytes; each streamed body has one.
 	// With half of it, the default of httputil.ReverseProxy, a megabyte took a tenth longer than through a plain proxy.
-	Copy = 64 << 10
+	CopyBufferBytes = 64 << 10
 	// leaseSize is the memory reserved for a body in transit, in bytes.
-	leaseSize = Hold + Copy
+	leaseSize = MaxBufferedBytes + CopyBufferBytes
 )
 
 var (
@@ -31,31 +31,31 @@
 	ErrStopped = errors.New("flow: canceled")
 )
 
-// Room limits the memory of all bodies in transit. Bodies that find it full wait in order of arrival.
-type Room struct {
+// MemoryLimit limits the memory of all bodies in transit. Bodies that find it full wait in order of arrival.
+type MemoryLimit struct {
 	mu      sync.Mutex
 	limit   int       // bytes
 	lent    int       // bytes
 	peak    int       // largest value of lent
 	waiters list.List // of chan struct{} in order of arrival; closed once memory is reserved
-	buffers sync.Pool // of *[Hold]byte
+	buffers sync.Pool // of *[MaxBufferedBytes]byte
 }
 
-// NewRoom returns a room of the given size, raised to fit one body.
-func NewRoom(bytes int) *Room {
-	return &Room{limit: max(bytes, leaseSize), buffers: sync.Pool{New: func() any { return new([Hold]byte) }}}
+// NewMemoryLimit returns a limit of the given size, raised to fit one body.
+func NewMemoryLimit(bytes int) *MemoryLimit {
+	return &MemoryLimit{limit: max(bytes, leaseSize), buffers: sync.Pool{New: func() any { return new([MaxBufferedBytes]byte) }}}
 }
 
-// Lent returns how many bytes are reserved now, and the largest number so far.
-func (r *Room) Lent() (now, peak int) {
+// Usage returns how many bytes are reserved now, and the largest number so far.
+func (r *MemoryLimit) Usage() (now, peak int) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.lent, r.peak
 }
 
-// Take reserves the memory of one body. It waits for it at most for wait, and then returns ErrMemoryLimit; once stop is
+// Acquire reserves the memory of one body. It waits for it at most for wait, and then returns ErrMemoryLimit; once stop is
 // closed, it returns ErrStopped. A nil stop is never closed.
-func (r *Room) Take(stop <-chan struct{}, wait time.Duration) (*Lease, error) {
+func (r *MemoryLimit) Acquire(stop <-chan struct{}, wait time.Duration) (*Lease, error) {
 	r.mu.Lock()
 	if r.lent+leaseSize <= r.limit { // nobody waits then: every body needs the same, and waiters are admitted at once
 		r.reserve()
@@ -87,24 +87,24 @@
 }
 
 // reserve accounts for one more body; the caller holds r.mu.
-func (r *Room) reserve() {
+func (r *MemoryLimit) reserve() {
 	r.lent += leaseSize
 	r.peak = max(r.peak, r.lent)
 }
 
 // newLease returns the lease of memory that has been reserved.
-func (r *Room) newLease() *Lease {
-	return &Lease{room: r, buffer: r.buffers.Get().(*[Hold]byte), reserved: leaseSize}
+func (r *MemoryLimit) newLease() *Lease {
+	return &Lease{room: r, buffer: r.buffers.Get().(*[MaxBufferedBytes]byte), reserved: leaseSize}
 }
 
 // release returns n bytes and admits waiters; no other code frees memory. The caller holds r.mu.
-func (r *Room) release(n int) {
+func (r *MemoryLimit) release(n int) {
 	r.lent -= n
 	r.admitWaiters()
 }
 
 // admitWaiters reserves memory for waiters in order of arrival, as far as it suffices. The caller holds r.mu.
-func (r *Room) admitWaiters() {
+func (r *MemoryLimit) admitWaiters() {
 	for front := r.waiters.Front(); front != nil && r.lent+leaseSize <= r.limit; front = r.waiters.Front() {
 		r.waiters.Remove(front)
 		r.reserve()
@@ -112,19 +112,19 @@
 	}
 }
 
-// Lease is the memory of one body: a buffer of Hold bytes for its beginning, and a reservation of Copy bytes for the
+// Lease is the memory of one body: a buffer of MaxBufferedBytes for its beginning, and a reservation of CopyBufferBytes for the
 // buffer that copies the rest. It is not safe for concurrent use.
 type Lease struct {
-	room     *Room
-	buffer   *[Hold]byte // nil once released
-	reserved int         // bytes
+	room     *MemoryLimit
+	buffer   *[MaxBufferedBytes]byte // nil once released
+	reserved int                     // bytes
 }
 
-// Held returns the buffer with length 0 and capacity Hold. It must not be used after ReleaseBuffer or Release.
-func (l *Lease) Held() []byte { return l.buffer[:0] }
+// Buffer returns the buffer with length 0 and capacity MaxBufferedBytes. It must not be used after ReleaseBuffer or Release.
+func (l *Lease) Buffer() []byte { return l.buffer[:0] }
 
 // ReleaseBuffer returns the buffer; the reservation for copying remains.
-func (l *Lease) ReleaseBuffer() { l.shrinkTo(Copy) }
+func (l *Lease) ReleaseBuffer() { l.shrinkTo(CopyBufferBytes) }
 
 // Release returns all memory. Further calls do nothing.
 func (l *Lease) Release() { l.shrinkTo(0) }
--- a/internal/flow/upload.go
+++ b/internal/flow/upload.go
@@ -16,7 +16,7 @@
 
 	body        io.Reader
 	maxBytes    int64         // limit of the body
-	slack       time.Duration // how far a client may fall behind the rate of Slowest
+	slack       time.Duration // how far a client may fall behind the rate of MinUploadRate
 	clientWait  time.Duration // total time that reads waited for the client; guarded by reading
 	lastWait    time.Time     // end of the last read that waited: later bytes may have arrived since then
 	onComplete  func(lastWait time.Time)
@@ -33,15 +33,15 @@
 }
 
 const (
-	// Slowest is the minimum rate of a client, in bytes per second. A slower client fails once its slack is used up.
-	Slowest = 64_000
+	// MinUploadRate is the minimum rate of a client, in bytes per second. A slower client fails once its slack is used up.
+	MinUploadRate = 64_000
 	// maxReadTimeout is how long a client that has been faster may then pause.
 	maxReadTimeout = 4 * time.Second
 	// maxNonBlockingRead is the longest read that counts as one of bytes that had already arrived.
 	maxNonBlockingRead = time.Millisecond
 )
 
-// NewUpload returns an upload of at most maxBytes. A client may fall behind the rate of Slowest by slack; only time in
+// NewUpload returns an upload of at most maxBytes. A client may fall behind the rate of MinUploadRate by slack; only time in
 // which a Read waits for the client counts. setDeadline sets the read deadline of the client's connection, the zero time
 // for none. onComplete is called once the whole body has been read, with the end of the last read that waited: the last
 // byte may have arrived at any time since.
@@ -100,7 +100,7 @@
 	case u.stopped:
 		return ErrStopped
 	}
-	u.setDeadline(u.now().Add(min(u.slack+time.Duration(u.received.Load()*int64(time.Second)/Slowest)-u.clientWait, maxReadTimeout)))
+	u.setDeadline(u.now().Add(min(u.slack+time.Duration(u.received.Load()*int64(time.Second)/MinUploadRate)-u.clientWait, maxReadTimeout)))
 	return nil
 }
 
@@ -132,8 +132,8 @@
 	defer u.reading.Unlock()
 }
 
-// Whole reports whether the body has been read to its end.
-func (u *Upload) Whole() bool {
+// Complete reports whether the body has been read to its end.
+func (u *Upload) Complete() bool {
 	u.mu.Lock()
 	defer u.mu.Unlock()
 	return u.whole
@@ -142,7 +142,7 @@
 // LastByteRead reports whether the last byte has been read and so may have reached an app node, even if the end has not
 // been read yet.
 func (u *Upload) LastByteRead() bool {
-	return u.Length >= 0 && u.received.Load() >= u.Length || u.Whole()
+	return u.Length >= 0 && u.received.Load() >= u.Length || u.Complete()
 }
 
 // Interrupted reports whether the upload was ended on our side.
@@ -152,8 +152,8 @@
 	return u.stopped && !u.failed
 }
 
-// Touched reports whether reading the body has begun, so that it cannot be sent again.
-func (u *Upload) Touched() bool { return u.touched.Load() }
+// Started reports whether reading the body has begun, so that it cannot be sent again.
+func (u *Upload) Started() bool { return u.touched.Load() }
 
 // Failed reports whether the client failed to send the body as declared, in time and within the limit.
 func (u *Upload) Failed() bool {
--- a/internal/lab/capacity/balancers.go
+++ b/internal/lab/capacity/balancers.go
@@ -215,7 +215,7 @@
 		var hosts, paths []string
 		for i := range n {
 			r := installation{pools: fewPools, routes: n}.route(i, 0)
-			rules = append(rules, routes.Rule{Name: r.Name, Host: r.Host, Prefix: r.Path, To: []routes.Share{{Pool: r.Pool, Weight: 1}}})
+			rules = append(rules, routes.Rule{Name: r.Name, Host: r.Host, Prefix: r.Path, Shares: []routes.Share{{Pool: r.Pool, Weight: 1}}})
 			hosts, paths = append(hosts, r.Host), append(paths, r.Path+"/some/thing")
 		}
 		table, err := routes.Compile(rules, pools, nil)
--- a/internal/lab/histories/client.go
+++ b/internal/lab/histories/client.go
@@ -50,7 +50,7 @@
 func (c *client) breaks(h *history, pause time.Duration) {
 	c.up, c.asked, c.way, c.open = false, false, nil, nil
 	c.next = h.now + pause
-	h.r.Broke(h.now, c.source, "broken off")
+	h.r.RecordError(h.now, c.source, "broken off")
 }
 
 // fault is one of those that a client may meet.
@@ -136,7 +136,7 @@
 			return
 		}
 		c.up, c.epoch, c.heard, c.sent = true, s.epoch, h.now, c.rev
-		if h.r.Wants(c.source) || c.lineage != s.lineage || h.rng.IntN(4) == 0 {
+		if h.r.NeedsFullList(c.source) || c.lineage != s.lineage || h.rng.IntN(4) == 0 {
 			c.sent = 0 // the whole
 		}
 	}
@@ -168,7 +168,7 @@
 		c.heard = h.now
 		switch {
 		case m.beat:
-			h.r.Heard(h.now, c.source)
+			h.r.RecordContact(h.now, c.source)
 			continue
 		case c.polls:
 			c.asked, c.next = false, h.now+pollEvery
@@ -180,7 +180,7 @@
 			break
 		}
 		clear(h.named[c.source][:])
-		h.take(h.r.Said(h.now, c.source, m.whole, m.rev, m.entries))
+		h.take(h.r.Apply(h.now, c.source, m.whole, m.rev, m.entries))
 		h.told(c.source, m.whole, m.rev, m.entries)
 		if m.whole {
 			h.lacked(c.source)
@@ -203,7 +203,7 @@
 		}
 		return
 	}
-	if h.r.Wants(c.source) && c.up && len(c.way) == 0 {
+	if h.r.NeedsFullList(c.source) && c.up && len(c.way) == 0 {
 		c.breaks(h, 100*time.Millisecond)
 	}
 }
--- a/internal/lab/histories/histories.go
+++ b/internal/lab/histories/histories.go
@@ -188,7 +188,7 @@
 		c.read(h)
 	}
 	for n := 0; ; n++ {
-		due, ok := h.r.Due()
+		due, ok := h.r.NextTick()
 		if !ok || due > h.now {
 			break
 		}
@@ -317,7 +317,7 @@
 			within := h.now < l.at+h.cfg.Hold
 			if within || !l.undone && (len(h.words) == 1 || l.state == roster.Draining) {
 				h.breaks("gone: n%d is up, and source %d said %v at revision %d, %v ago; %s", i, source, l.state, l.rev, h.now-l.at,
-					h.r.Why(v.ID))
+					h.r.Explain(v.ID))
 			}
 		}
 	}
@@ -367,7 +367,7 @@
 		case !want.in && doubted > 0:
 			continue
 		}
-		h.breaks("quiet: exact %v: the list has n%d as %+v, and the store as %+v; %s", exact, i, v, want, h.r.Why("n"+strconv.Itoa(i)))
+		h.breaks("quiet: exact %v: the list has n%d as %+v, and the store as %+v; %s", exact, i, v, want, h.r.Explain("n"+strconv.Itoa(i)))
 	}
 }
 
--- a/internal/lab/zonelab/pools.go
+++ b/internal/lab/zonelab/pools.go
@@ -24,9 +24,9 @@
 	kinds []string
 	rules []routes.Rule
 }{
-	"canary": {[]string{"m1", "canary"}, []routes.Rule{{To: []routes.Share{{Pool: "m1", Weight: 9}, {Pool: "canary", Weight: 1}}}}},
-	"pool-lost": {[]string{"m1", "office"}, []routes.Rule{{To: []routes.Share{{Pool: "m1", Weight: 1}}},
-		{Class: "desk", To: []routes.Share{{Pool: "office", Weight: 1}}}}},
+	"canary": {[]string{"m1", "canary"}, []routes.Rule{{Shares: []routes.Share{{Pool: "m1", Weight: 9}, {Pool: "canary", Weight: 1}}}}},
+	"pool-lost": {[]string{"m1", "office"}, []routes.Rule{{Shares: []routes.Share{{Pool: "m1", Weight: 1}}},
+		{Class: "desk", Shares: []routes.Share{{Pool: "office", Weight: 1}}}}},
 }
 
 // divided tells the pool of a wish by its place, and the layout that follows it. The number of a wish stands for the
@@ -65,7 +65,7 @@
 	for _, c := range sc.Classes {
 		led = append(led, false)
 		for _, r := range pools[sc.Name].rules {
-			if r.Class == c.Name && len(r.To) == 1 && r.To[0].Pool != pools[sc.Name].kinds[0] {
+			if r.Class == c.Name && len(r.Shares) == 1 && r.Shares[0].Pool != pools[sc.Name].kinds[0] {
 				led[len(led)-1] = true
 			}
 		}
@@ -79,7 +79,7 @@
 	if !ok {
 		return nil, fmt.Errorf("%s has no pools", sc.Name)
 	}
-	split := slices.ContainsFunc(p.rules, func(r routes.Rule) bool { return len(r.To) > 1 }) // of every call: none is left to a default
+	split := slices.ContainsFunc(p.rules, func(r routes.Rule) bool { return len(r.Shares) > 1 }) // of every call: none is left to a default
 	var named []config.Pool
 	for i, kind := range p.kinds {
 		named = append(named, config.Pool{Name: kind, Default: i == 0 && !split, Members: config.Members{Kinds: []string{kind}}})
@@ -87,10 +87,10 @@
 	var led []config.Route
 	for _, r := range p.rules {
 		one := config.Route{Class: r.Class}
-		if len(r.To) == 1 {
-			one.Pool = r.To[0].Pool
+		if len(r.Shares) == 1 {
+			one.Pool = r.Shares[0].Pool
 		} else {
-			for _, share := range r.To {
+			for _, share := range r.Shares {
 				one.Split = append(one.Split, config.Share{Pool: share.Pool, Weight: share.Weight})
 			}
 		}
--- a/internal/lab/zonelab/zonelab.go
+++ b/internal/lab/zonelab/zonelab.go
@@ -191,10 +191,10 @@
 			z.Zones = append(z.Zones, name)
 		}
 	}
-	z.Own = slices.Index(z.Zones, ownOf(cfg.Zone))
-	z.Tiers = [][]int{{z.Own}}
+	z.OwnZone = slices.Index(z.Zones, ownOf(cfg.Zone))
+	z.Tiers = [][]int{{z.OwnZone}}
 	for i := range z.Zones {
-		if i != z.Own {
+		if i != z.OwnZone {
 			z.Tiers = append(z.Tiers, []int{i})
 		}
 	}
--- a/internal/patience/patience.go
+++ b/internal/patience/patience.go
@@ -37,17 +37,17 @@
 // Fixed returns an estimator whose timeout is constant.
 func Fixed(wait time.Duration) *Estimator { return &Estimator{fixed: wait} }
 
-// Wait returns the timeout for the next bytes of an answer.
-func (e *Estimator) Wait() time.Duration {
+// Timeout returns the timeout for the next bytes of an answer.
+func (e *Estimator) Timeout() time.Duration {
 	if e.fixed > 0 {
 		return e.fixed
 	}
 	return min(max(time.Duration(math.Ceil(e.mean+deviationFactor*e.deviation)), e.minTimeout)<<e.doublings, e.maxTimeout)
 }
 
-// Whole records the longest pause of an answer that arrived complete and resets the doubling. Answers that needed no
+// ObservePause records the longest pause of an answer that arrived complete and resets the doubling. Answers that needed no
 // waiting are not recorded.
-func (e *Estimator) Whole(pause time.Duration) {
+func (e *Estimator) ObservePause(pause time.Duration) {
 	e.doublings = 0
 	if !e.hasSample {
 		e.hasSample, e.mean, e.deviation = true, float64(pause), float64(pause)/2 // RFC 6298, section 2.2
@@ -58,5 +58,5 @@
 	e.mean += meanGain * difference
 }
 
-// RanOut records that the timeout expired without a byte, and doubles the next one.
-func (e *Estimator) RanOut() { e.doublings = min(e.doublings+1, maxDoublings) }
+// ObserveTimeout records that the timeout expired without a byte, and doubles the next one.
+func (e *Estimator) ObserveTimeout() { e.doublings = min(e.doublings+1, maxDoublings) }
--- a/internal/reducer/delegations.go
+++ b/internal/reducer/delegations.go
@@ -96,7 +96,7 @@
 	if att.bodyUsed = att.call.StreamedBody; att.bodyUsed {
 		att.call.uploading, timeLeft = true, att.call.timeout // the app node, too, counts from the last byte
 	}
-	stall := r.stallEstimators[att.call.Class].Wait()
+	stall := r.stallEstimators[att.call.Class].Timeout()
 	flowStall := flowStallFactor * stall
 	if r.fixedStall == 0 {
 		flowStall = max(flowStall, minFlowStall)
@@ -187,9 +187,9 @@
 		cn.srv.lastFailure = r.now
 	}
 	if e.Result == ResultStalled {
-		r.stallEstimators[c.Class].RanOut()
+		r.stallEstimators[c.Class].ObserveTimeout()
 	} else if e.LongestPause > 0 && e.Result != ResultBroken {
-		r.stallEstimators[c.Class].Whole(e.LongestPause)
+		r.stallEstimators[c.Class].ObservePause(e.LongestPause)
 	}
 	if wasFlowing {
 		r.onFlowEnded(att, e)
--- a/internal/reducer/members.go
+++ b/internal/reducer/members.go
@@ -19,7 +19,7 @@
 func (r *Reducer) matchPools(s *server) (matching, using []uint16) {
 	matching = r.matchBuffers[0][:0]
 	if s.member.State != brain.Gone {
-		matching = r.selectors.Of(&s.member, matching)
+		matching = r.selectors.Match(&s.member, matching)
 	}
 	r.matchBuffers[0] = matching
 	if r.subsetSize == 0 {
--- a/internal/reducer/reducer.go
+++ b/internal/reducer/reducer.go
@@ -632,7 +632,7 @@
 		}
 	case SourceAlive:
 		if r.roster != nil {
-			r.roster.Heard(r.now, e.Source)
+			r.roster.RecordContact(r.now, e.Source)
 			r.pollRoster()
 		}
 	case SourceFailed:
--- a/internal/reducer/roster.go
+++ b/internal/reducer/roster.go
@@ -44,7 +44,7 @@
 	slice := job.entries[job.nextEntry:end]
 	switch {
 	case !job.complete:
-		changes = r.roster.Said(r.now, job.source, false, job.revision, slice)
+		changes = r.roster.Apply(r.now, job.source, false, job.revision, slice)
 	case job.nextEntry == 0:
 		r.roster.Begin(r.now, job.source, job.revision)
 		fallthrough
@@ -105,11 +105,11 @@
 
 // pollRoster logs the roster's notes, requests the lists that it needs, and arms its next timer.
 func (r *Reducer) pollRoster() {
-	for _, line := range r.roster.Notes() {
+	for _, line := range r.roster.TakeLogLines() {
 		r.emit(Log{"roster: " + line})
 	}
 	for i := range r.refetching {
-		if wants := r.roster.Wants(i); wants && !r.refetching[i] {
+		if wants := r.roster.NeedsFullList(i); wants && !r.refetching[i] {
 			if i == r.discoverySource {
 				r.listRevision = 0
 				r.openWatch()
@@ -117,9 +117,9 @@
 				r.emit(Refetch{i})
 			}
 		}
-		r.refetching[i] = r.roster.Wants(i)
+		r.refetching[i] = r.roster.NeedsFullList(i)
 	}
-	at, ok := r.roster.Due()
+	at, ok := r.roster.NextTick()
 	if !ok || r.rosterTimerAt > 0 && r.rosterTimerAt <= at {
 		return
 	}
@@ -133,6 +133,6 @@
 	if r.roster == nil {
 		return
 	}
-	r.roster.Broke(r.now, source, err.Error())
+	r.roster.RecordError(r.now, source, err.Error())
 	r.pollRoster()
 }
--- a/internal/reducer/roster_test.go
+++ b/internal/reducer/roster_test.go
@@ -149,8 +149,8 @@
 	for i := 0; i < 2000 && state() == brain.Ready; i++ {
 		run(false)
 	}
-	if state() != brain.Draining || !strings.Contains(h.r.Roster().Why("s2"), "connect") {
-		t.Fatalf("after %d connects to s2: %v, %s", connects, state(), h.r.Roster().Why("s2"))
+	if state() != brain.Draining || !strings.Contains(h.r.Roster().Explain("s2"), "connect") {
+		t.Fatalf("after %d connects to s2: %v, %s", connects, state(), h.r.Roster().Explain("s2"))
 	}
 	connects = 0
 	for range 1000 { // 20 s
@@ -163,7 +163,7 @@
 		run(true)
 	}
 	if state() != brain.Ready {
-		t.Errorf("s2 reachable again: %v, %s", state(), h.r.Roster().Why("s2"))
+		t.Errorf("s2 reachable again: %v, %s", state(), h.r.Roster().Explain("s2"))
 	}
 }
 
--- a/internal/reducer/zones.go
+++ b/internal/reducer/zones.go
@@ -115,7 +115,7 @@
 		return warmth >= 1
 	})
 	t.stale = false
-	zv.state.Members(r.now, zone, t.capacity-missing, t.ready, len(t.warming))
+	zv.state.SetMembers(r.now, zone, t.capacity-missing, t.ready, len(t.warming))
 }
 
 // recordZoneAttempt reports a new attempt to the zones.
--- a/internal/reducer/zones_test.go
+++ b/internal/reducer/zones_test.go
@@ -14,7 +14,7 @@
 	h := &harness{t: t, now: time.Hour, cfg: settings()}
 	h.cfg.Columns = []brain.Column{brain.ColUtilization, brain.ColQueue}
 	h.start(100)
-	z := &zones.Settings{Zones: []string{"a", "b"}, Own: 0, Tiers: [][]int{{0}, {1}}, Balancers: 1,
+	z := &zones.Settings{Zones: []string{"a", "b"}, OwnZone: 0, Tiers: [][]int{{0}, {1}}, Balancers: 1,
 		Classes: []zones.Class{{Value: 1, Movable: true}, {Value: 5}}}
 	r, err := NewWithLayout(h.cfg, 7, 100, Layout{Pools: []PoolSpec{{Name: "all", Zones: z}}})
 	if err != nil {
--- a/internal/roster/bench_test.go
+++ b/internal/roster/bench_test.go
@@ -32,7 +32,7 @@
 	}
 	all := makeEntries(entryCount)
 	for i := range sources {
-		r.Said(time.Hour, i, true, 1, all)
+		r.Apply(time.Hour, i, true, 1, all)
 	}
 	tickUntilIdle(r, time.Hour)
 	return r, all
@@ -41,7 +41,7 @@
 // tickUntilIdle calls Tick until nothing is due, and returns all changes.
 func tickUntilIdle(r *Roster, now time.Duration) (all []Change) {
 	for {
-		at, ok := r.Due()
+		at, ok := r.NextTick()
 		if !ok || at > now {
 			return all
 		}
@@ -66,7 +66,7 @@
 				}
 				rev++
 				now += 10 * time.Millisecond
-				if got := r.Said(now, 0, false, rev, all[i%entryCount:i%entryCount+1]); len(got) > 1 {
+				if got := r.Apply(now, 0, false, rev, all[i%entryCount:i%entryCount+1]); len(got) > 1 {
 					b.Fatal(got)
 				}
 				r.Tick(now)
@@ -81,7 +81,7 @@
 	now := time.Hour
 	for b.Loop() {
 		now += time.Second
-		if got := r.Said(now, 0, true, 1, all); len(got) > 0 {
+		if got := r.Apply(now, 0, true, 1, all); len(got) > 0 {
 			b.Fatal(got)
 		}
 	}
@@ -101,7 +101,7 @@
 		}
 		r.Commit(now, 0)
 		for {
-			if at, ok := r.Due(); !ok || at > now {
+			if at, ok := r.NextTick(); !ok || at > now {
 				break
 			}
 			from := time.Now()
--- a/internal/roster/cases_test.go
+++ b/internal/roster/cases_test.go
@@ -49,23 +49,23 @@
 				}
 				return ""
 			case "whole", "changes":
-				all = r.Said(now, source, d.Cmd == "whole", rev, parseEntries(t, d.Input))
+				all = r.Apply(now, source, d.Cmd == "whole", rev, parseEntries(t, d.Input))
 			case "heard": // every 4 s from since on, if it is given
 				since := at
 				d.MaybeScanArgs(t, "since", &since)
 				for ; since < at; since += 4 {
-					r.Heard(time.Hour+time.Duration(since*float64(time.Second)), source)
+					r.RecordContact(time.Hour+time.Duration(since*float64(time.Second)), source)
 				}
-				r.Heard(now, source)
+				r.RecordContact(now, source)
 			case "broke":
-				r.Broke(now, source, d.Input)
+				r.RecordError(now, source, d.Input)
 			case "connect":
 				for range max(1, times) {
 					r.Connect(now, id, d.HasArg("ok"))
 				}
 			case "tick":
 			case "why":
-				return r.Why(id)
+				return r.Explain(id)
 			case "sources":
 				out := ""
 				for _, s := range r.Sources() {
@@ -77,13 +77,13 @@
 				t.Fatalf("%s: unknown command", d.Cmd)
 			}
 			for {
-				if due, ok := r.Due(); !ok || due > now {
+				if due, ok := r.NextTick(); !ok || due > now {
 					break
 				}
 				all = append(all, r.Tick(now)...)
 			}
 			out := ""
-			for _, line := range r.Notes() {
+			for _, line := range r.TakeLogLines() {
 				out += "# " + line + "\n"
 			}
 			for _, c := range all {
--- a/internal/roster/model_test.go
+++ b/internal/roster/model_test.go
@@ -505,7 +505,7 @@
 	return all
 }
 
-// For any sequence of calls, the changes of the roster add up to the state of the model, and Due is never later than the
+// For any sequence of calls, the changes of the roster add up to the state of the model, and NextTick is never later than the
 // next change.
 func TestMatchesReferenceModel(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
@@ -528,7 +528,7 @@
 		settle := func(what string) {
 			m.resolve()
 			for {
-				at, ok := r.Due()
+				at, ok := r.NextTick()
 				if !ok || at > now {
 					break
 				}
@@ -573,14 +573,14 @@
 				}
 				m.commitList(i)
 				m.updateStandings()
-				take(r.Said(now, i, true, rev, entries))
+				take(r.Apply(now, i, true, rev, entries))
 				settle("a whole list")
 			},
 			"changes": func(t *rapid.T) {
 				i := rapid.IntRange(0, len(lists)-1).Draw(t, "source")
 				rev, entries := revision(i), drawEntries(t, ids)
 				m.applyChanges(i, rev, entries)
-				take(r.Said(now, i, false, rev, entries))
+				take(r.Apply(now, i, false, rev, entries))
 				settle("changes")
 			},
 			"slices": func(t *rapid.T) {
@@ -612,7 +612,7 @@
 					settle("a list in slices")
 				} else {
 					s.listOpen = false
-					r.Broke(now, i, "broken")
+					r.RecordError(now, i, "broken")
 				}
 			},
 			"heard": func(t *rapid.T) {
@@ -620,7 +620,7 @@
 				if m.sources[i].heard {
 					m.markAlive(i, false)
 				}
-				r.Heard(now, i)
+				r.RecordContact(now, i)
 				settle("a sign of life")
 			},
 			"connect": func(t *rapid.T) {
@@ -635,11 +635,11 @@
 				for range rapid.IntRange(1, 5).Draw(t, "seconds") {
 					now += time.Second
 					m.now = now
-					at, ok := r.Due()
+					at, ok := r.NextTick()
 					m.tick()
 					all := r.Tick(now)
 					if len(all) > 0 && !(ok && at <= now) {
-						t.Fatalf("changes %v at %v, but Due returned %v, %v", all, now, at, ok)
+						t.Fatalf("changes %v at %v, but NextTick returned %v, %v", all, now, at, ok)
 					}
 					take(all)
 					settle("a second")
@@ -657,12 +657,12 @@
 	return s
 }
 
-// explainDifferences returns Roster.Why for each id on which the roster and the model differ.
+// explainDifferences returns Roster.Explain for each id on which the roster and the model differ.
 func explainDifferences(r *Roster, m *model, view map[string]Change) (s string) {
 	for i := range 10 {
 		id := "n" + strconv.Itoa(i)
 		if a, b := view[id], m.view[id]; !a.equal(&b.Entry) || a.Suspect != b.Suspect {
-			s += r.Why(id) + "\n"
+			s += r.Explain(id) + "\n"
 		}
 	}
 	return s
--- a/internal/roster/reports.go
+++ b/internal/roster/reports.go
@@ -2,9 +2,9 @@
 
 import "time"
 
-// Said applies a full list or changes from a source, and returns the resulting changes. The revision is 0 for a source
+// Apply applies a full list or changes from a source, and returns the resulting changes. The revision is 0 for a source
 // without revisions. A full list is processed in this one call; see Begin for long lists.
-func (r *Roster) Said(now time.Duration, source int, whole bool, revision int64, entries []Entry) []Change {
+func (r *Roster) Apply(now time.Duration, source int, whole bool, revision int64, entries []Entry) []Change {
 	s := r.sourceAt(source)
 	if s == nil {
 		return nil
@@ -26,7 +26,7 @@
 }
 
 // Begin starts a full list that is given in slices: Add for each, then Commit. The entries of a slice take effect at once;
-// entries absent from the list are removed after Commit, also in slices. Broke or another Begin abandons the list.
+// entries absent from the list are removed after Commit, also in slices. RecordError or another Begin abandons the list.
 func (r *Roster) Begin(now time.Duration, source int, revision int64) {
 	r.advance(now)
 	s := r.sourceAt(source)
--- a/internal/roster/roster.go
+++ b/internal/roster/roster.go
@@ -20,7 +20,7 @@
 //     then has the id that the deciding, more trusted source uses. Two ids at one address in one source are two nodes.
 //   - Lower revisions. A source that continues with lower revisions has lost data. Its full list is accepted, but the
 //     drains and removals that it reported before still apply for Hold; of changes with lower revisions only drains and
-//     removals are taken (see Wants).
+//     removals are taken (see NeedsFullList).
 //   - Loss. A full list that is shorter than a share of the source's previous list is doubted: entries absent from it are
 //     kept for LossFor. After that the list is accepted, except for entries to which a connect succeeded within LossFor,
 //     and unless the list is empty or the source is not fresh. A source that lists far fewer entries than another does not
@@ -243,13 +243,13 @@
 	return r, nil
 }
 
-// note adds a line to Notes.
+// note adds a line to those that TakeLogLines returns.
 func (r *Roster) note(format string, args ...any) {
 	r.notes = append(r.notes, fmt.Sprintf(format, args...))
 }
 
-// Notes returns the log lines added since the previous call.
-func (r *Roster) Notes() []string {
+// TakeLogLines returns the log lines added since the previous call.
+func (r *Roster) TakeLogLines() []string {
 	n := r.notes
 	r.notes = nil
 	return n
@@ -274,8 +274,8 @@
 	return r.flush()
 }
 
-// Due returns when Tick is to be called next; ok is false if nothing is pending. A time in the past means now.
-func (r *Roster) Due() (at time.Duration, ok bool) {
+// NextTick returns when Tick is to be called next; ok is false if nothing is pending. A time in the past means now.
+func (r *Roster) NextTick() (at time.Duration, ok bool) {
 	add := func(t time.Duration) {
 		if !ok || t < at {
 			at, ok = t, true
--- a/internal/roster/sources.go
+++ b/internal/roster/sources.go
@@ -246,17 +246,17 @@
 	r.updateStandings()
 }
 
-// Heard records contact with a source without changes: its list is still the one last reported.
-func (r *Roster) Heard(now time.Duration, source int) {
+// RecordContact records contact with a source without changes: its list is still the one last reported.
+func (r *Roster) RecordContact(now time.Duration, source int) {
 	r.advance(now)
 	if s := r.sourceAt(source); s != nil && s.heard {
 		r.markAlive(s, false)
 	}
 }
 
-// Broke records that the watch of a source ended or a call to it failed. A list that is being received is abandoned; the
+// RecordError records that the watch of a source ended or a call to it failed. A list that is being received is abandoned; the
 // entries received so far stay.
-func (r *Roster) Broke(now time.Duration, source int, why string) {
+func (r *Roster) RecordError(now time.Duration, source int, why string) {
 	r.advance(now)
 	s := r.sourceAt(source)
 	if s == nil {
@@ -270,9 +270,9 @@
 	s.lastError = why
 }
 
-// Wants reports whether the full list of a source must be requested, because its changes do not continue from the stored
+// NeedsFullList reports whether the full list of a source must be requested, because its changes do not continue from the stored
 // state.
-func (r *Roster) Wants(source int) bool {
+func (r *Roster) NeedsFullList(source int) bool {
 	s := r.sourceAt(source)
 	return s != nil && s.needsFullList
 }
--- a/internal/roster/views.go
+++ b/internal/roster/views.go
@@ -64,8 +64,8 @@
 	return out
 }
 
-// Why explains in one line what each source reports about an id, and the resulting state.
-func (r *Roster) Why(id string) string {
+// Explain explains in one line what each source reports about an id, and the resulting state.
+func (r *Roster) Explain(id string) string {
 	n := r.nodes[id]
 	if n == nil {
 		return id + ": no source lists it"
--- a/internal/routes/bench_test.go
+++ b/internal/routes/bench_test.go
@@ -30,7 +30,7 @@
 		rules, calls := generateRules(n)
 		tail := strings.Repeat("/x", 24)
 		for i := range min(n, 64) {
-			rules = append(rules, Rule{Host: rules[i].Host, Prefix: fmt.Sprint("/deep-", i, tail), To: rules[i].To})
+			rules = append(rules, Rule{Host: rules[i].Host, Prefix: fmt.Sprint("/deep-", i, tail), Shares: rules[i].Shares})
 		}
 		table, err := Compile(rules, []string{"p"}, nil)
 		if err != nil {
@@ -80,7 +80,7 @@
 				names = append(names, fmt.Sprint("p", i))
 				to = append(to, Share{names[i], 1})
 			}
-			table, err := Compile([]Rule{{To: to}}, names, nil)
+			table, err := Compile([]Rule{{Shares: to}}, names, nil)
 			if err != nil {
 				b.Fatal(err)
 			}
--- a/internal/routes/claim.go
+++ b/internal/routes/claim.go
@@ -15,7 +15,7 @@
 	entry
 }
 
-// NewClaim validates a rule, except that its pools exist, which Lead checks. classes are those that calls can have, as
+// NewClaim validates a rule, except that its pools exist, which ResolvePools checks. classes are those that calls can have, as
 // for Compile.
 func NewClaim(r Rule, key string, revision int64, classes []string) (*Claim, error) {
 	c := &Claim{Key: key, Revision: revision, entry: entry{Rule: r}}
@@ -25,14 +25,14 @@
 	return c, nil
 }
 
-// Lead returns a copy of the claim with the indexes of its pools, as indexOf gives them. If a pool has none,
+// ResolvePools returns a copy of the claim with the indexes of its pools, as indexOf gives them. If a pool has none,
 // resolved is nil and missing is the pool's name.
-func (c *Claim) Lead(indexOf func(pool string) (int, bool)) (resolved *Claim, missing string) {
+func (c *Claim) ResolvePools(indexOf func(pool string) (int, bool)) (resolved *Claim, missing string) {
 	resolved = new(Claim)
 	*resolved = *c
 	resolved.shares = make([]share, 0, len(c.shares))
 	next := 0
-	for _, s := range c.To {
+	for _, s := range c.Shares {
 		pool, ok := indexOf(s.Pool)
 		if !ok {
 			return nil, s.Pool
@@ -62,16 +62,16 @@
 // String describes what the claim matches.
 func (c *Claim) String() string { return c.describe() }
 
-// Tie is a claim that loses calls to another one, which matches them with equal precedence and comes first by revision
+// Conflict is a claim that loses calls to another one, which matches them with equal precedence and comes first by revision
 // and key.
-type Tie struct {
-	Lost, To *Claim
-	Methods  []string // for which Lost loses its calls; nil: it loses all calls
+type Conflict struct {
+	Loser, Winner *Claim
+	Methods       []string // for which Loser loses its calls; nil: it loses all calls
 }
 
-func (t Tie) String() string {
+func (t Conflict) String() string {
 	if t.Methods == nil {
-		return fmt.Sprintf("%s: held by %s of revision %d", t.Lost, t.To.Key, t.To.Revision)
+		return fmt.Sprintf("%s: held by %s of revision %d", t.Loser, t.Winner.Key, t.Winner.Revision)
 	}
-	return fmt.Sprintf("%s: %s held by %s of revision %d", t.Lost, strings.Join(t.Methods, "|"), t.To.Key, t.To.Revision)
+	return fmt.Sprintf("%s: %s held by %s of revision %d", t.Loser, strings.Join(t.Methods, "|"), t.Winner.Key, t.Winner.Revision)
 }
--- a/internal/routes/explain.go
+++ b/internal/routes/explain.go
@@ -108,11 +108,11 @@
 // describeEntry returns one line with the label, conditions and pools of an entry.
 func (t *Table) describeEntry(i int) string {
 	e := &t.entries[i]
-	sum, to := 0.0, make([]string, len(e.To))
-	for _, s := range e.To {
+	sum, to := 0.0, make([]string, len(e.Shares))
+	for _, s := range e.Shares {
 		sum += s.Weight
 	}
-	for k, s := range e.To {
+	for k, s := range e.Shares {
 		if to[k] = s.Pool; len(to) > 1 {
 			to[k] += fmt.Sprintf(" %.4g %%", 100*s.Weight/sum)
 		}
--- a/internal/routes/reference_test.go
+++ b/internal/routes/reference_test.go
@@ -95,7 +95,7 @@
 func drawRule(t *rapid.T) Rule {
 	r := Rule{Host: rapid.SampledFrom(ruleHosts).Draw(t, "host"),
 		Prefix: rapid.SampledFrom(rulePrefixes).Draw(t, "prefix"),
-		Class:  rapid.SampledFrom(append([]string{""}, ruleClasses...)).Draw(t, "class"), To: []Share{{"p", 1}}}
+		Class:  rapid.SampledFrom(append([]string{""}, ruleClasses...)).Draw(t, "class"), Shares: []Share{{"p", 1}}}
 	for _, m := range ruleMethods {
 		if rapid.IntRange(0, 3).Draw(t, m) == 0 {
 			r.Methods = append(r.Methods, m)
@@ -208,7 +208,7 @@
 // of hosts at every size: of ten rules, six share a host, two share a wildcard domain, and two have no host.
 func generateRules(n int) (rules []Rule, calls []call) {
 	for i := range n {
-		r := Rule{Name: fmt.Sprint("r", i), To: []Share{{"p", 1}}}
+		r := Rule{Name: fmt.Sprint("r", i), Shares: []Share{{"p", 1}}}
 		c := call{method: "GET", class: "read"}
 		switch group := i / 10; {
 		case i%10 < 6:
--- a/internal/routes/routes.go
+++ b/internal/routes/routes.go
@@ -95,7 +95,7 @@
 	Prefix  string   // whole segments of the path, with the leading slash
 	Methods []string // nil: every method; an empty list is an error
 	Class   string
-	To      []Share
+	Shares  []Share
 }
 
 // Share is a pool's part of the calls that a route matches.
--- a/internal/routes/routes_test.go
+++ b/internal/routes/routes_test.go
@@ -102,7 +102,7 @@
 
 func TestLargeTableMatchesReference(t *testing.T) {
 	rules, calls := generateRules(2000)
-	rules = append(rules, Rule{Name: "rest", To: []Share{{"p", 1}}})
+	rules = append(rules, Rule{Name: "rest", Shares: []Share{{"p", 1}}})
 	table, err := Compile(rules, []string{"p"}, nil)
 	if err != nil {
 		t.Fatal(err)
@@ -120,8 +120,8 @@
 func TestPathsAreMatchedWithoutDecoding(t *testing.T) {
 	p, longest := []Share{{"p", 1}}, strings.Repeat("x.", 126)+"x"
 	table, err := Compile([]Rule{
-		{Host: "a.yard.example", Prefix: "/booking", To: p}, {Host: "*.yard.example", Prefix: "/booking", To: p},
-		{Host: "[::1]", To: p}, {Host: longest, To: p},
+		{Host: "a.yard.example", Prefix: "/booking", Shares: p}, {Host: "*.yard.example", Prefix: "/booking", Shares: p},
+		{Host: "[::1]", Shares: p}, {Host: longest, Shares: p},
 	}, []string{"p"}, nil)
 	if err != nil {
 		t.Fatal(err)
@@ -155,39 +155,39 @@
 	p := []Share{{"p", 1}}
 	for want, rules := range map[string][]Rule{
 		`routes[1] "b" can never match: routes[0] "a" matches just the same: x, /a, GET|PUT, class read`: {
-			{Name: "a", Host: "x", Prefix: "/a", Methods: []string{"GET", "PUT"}, Class: "read", To: p},
-			{Name: "b", Host: "X", Prefix: "/a", Methods: []string{"PUT", "GET"}, Class: "read", To: p}},
+			{Name: "a", Host: "x", Prefix: "/a", Methods: []string{"GET", "PUT"}, Class: "read", Shares: p},
+			{Name: "b", Host: "X", Prefix: "/a", Methods: []string{"PUT", "GET"}, Class: "read", Shares: p}},
 		`routes[0] and routes[1] both match PUT, and neither goes first`: {
-			{Methods: []string{"PUT"}, To: p}, {Prefix: "/", Methods: []string{"GET", "PUT"}, To: p}},
+			{Methods: []string{"PUT"}, Shares: p}, {Prefix: "/", Methods: []string{"GET", "PUT"}, Shares: p}},
 		`routes[0] "rest" can never match: routes[1] and routes[2] "b" go before it in each class`: {
-			{Name: "rest", Prefix: "/a", To: p}, {Prefix: "/a", Class: "read", To: p},
-			{Name: "b", Prefix: "/a", Class: "book", To: p}},
-		`routes[0] "a" and routes[1] "a" have the same name`:    {{Name: "a", Host: "x", To: p}, {Name: "a", Host: "y", To: p}},
-		`routes[0]: methods: an empty list`:                     {{Methods: []string{}, To: p}},
-		`routes[0]: methods: "get"`:                             {{Methods: []string{"get"}, To: p}},
-		`routes[0]: methods: GET is listed twice`:               {{Methods: []string{"GET", "GET"}, To: p}},
-		`routes[0]: class: "bulk" can never match`:              {{Class: "bulk", To: p}},
-		`host: "*" matches every host`:                          {{Host: "*", To: p}},
-		`host: "*.*.x" has a misplaced *`:                       {{Host: "*.*.x", To: p}},
-		`host: "a.*.x" has a misplaced *`:                       {{Host: "a.*.x", To: p}},
-		`host: "a*.x" has '*'`:                                  {{Host: "a*.x", To: p}},
-		"host: \"\u212a.x\" has":                                {{Host: "\u212a.x", To: p}}, // its lower case is an ASCII k
-		`host: "x:80" has a port`:                               {{Host: "x:80", To: p}},
-		`host: "x." has an empty label`:                         {{Host: "x.", To: p}},
-		`is not an IP address`:                                  {{Host: "[x]", To: p}},
-		`a label has at most 63`:                                {{Host: strings.Repeat("x", 64), To: p}},
-		`a host name has at most 253`:                           {{Host: "*." + strings.Repeat("x.", 126), To: p}},
-		`path: "a" does not begin`:                              {{Prefix: "a", To: p}},
-		`path: "/a/" has an empty segment`:                      {{Prefix: "/a/", To: p}},
-		`path: "/a/../b" has a segment ..`:                      {{Prefix: "/a/../b", To: p}},
-		`path: "/a%2" has a % without`:                          {{Prefix: "/a%2", To: p}},
-		`path: "/a?" has '?' in it`:                             {{Prefix: "/a?", To: p}},
+			{Name: "rest", Prefix: "/a", Shares: p}, {Prefix: "/a", Class: "read", Shares: p},
+			{Name: "b", Prefix: "/a", Class: "book", Shares: p}},
+		`routes[0] "a" and routes[1] "a" have the same name`:    {{Name: "a", Host: "x", Shares: p}, {Name: "a", Host: "y", Shares: p}},
+		`routes[0]: methods: an empty list`:                     {{Methods: []string{}, Shares: p}},
+		`routes[0]: methods: "get"`:                             {{Methods: []string{"get"}, Shares: p}},
+		`routes[0]: methods: GET is listed twice`:               {{Methods: []string{"GET", "GET"}, Shares: p}},
+		`routes[0]: class: "bulk" can never match`:              {{Class: "bulk", Shares: p}},
+		`host: "*" matches every host`:                          {{Host: "*", Shares: p}},
+		`host: "*.*.x" has a misplaced *`:                       {{Host: "*.*.x", Shares: p}},
+		`host: "a.*.x" has a misplaced *`:                       {{Host: "a.*.x", Shares: p}},
+		`host: "a*.x" has '*'`:                                  {{Host: "a*.x", Shares: p}},
+		"host: \"\u212a.x\" has":                                {{Host: "\u212a.x", Shares: p}}, // its lower case is an ASCII k
+		`host: "x:80" has a port`:                               {{Host: "x:80", Shares: p}},
+		`host: "x." has an empty label`:                         {{Host: "x.", Shares: p}},
+		`is not an IP address`:                                  {{Host: "[x]", Shares: p}},
+		`a label has at most 63`:                                {{Host: strings.Repeat("x", 64), Shares: p}},
+		`a host name has at most 253`:                           {{Host: "*." + strings.Repeat("x.", 126), Shares: p}},
+		`path: "a" does not begin`:                              {{Prefix: "a", Shares: p}},
+		`path: "/a/" has an empty segment`:                      {{Prefix: "/a/", Shares: p}},
+		`path: "/a/../b" has a segment ..`:                      {{Prefix: "/a/../b", Shares: p}},
+		`path: "/a%2" has a % without`:                          {{Prefix: "/a%2", Shares: p}},
+		`path: "/a?" has '?' in it`:                             {{Prefix: "/a?", Shares: p}},
 		`routes[0]: leads to no pool`:                           {{}},
-		`routes[0]: pool: there is none named "q"`:              {{To: []Share{{"q", 1}}}},
-		`routes[0]: pool: "p" is listed twice`:                  {{To: []Share{{"p", 1}, {"p", 2}}}},
-		`routes[0]: weight: -1 of "p"`:                          {{To: []Share{{"p", -1}}}},
-		`routes[0]: weight: NaN of "p"`:                         {{To: []Share{{"p", math.NaN()}}}},
-		`routes[0]: weight: all are 0, so that no pool is left`: {{To: []Share{{"p", 0}}}},
+		`routes[0]: pool: there is none named "q"`:              {{Shares: []Share{{"q", 1}}}},
+		`routes[0]: pool: "p" is listed twice`:                  {{Shares: []Share{{"p", 1}, {"p", 2}}}},
+		`routes[0]: weight: -1 of "p"`:                          {{Shares: []Share{{"p", -1}}}},
+		`routes[0]: weight: NaN of "p"`:                         {{Shares: []Share{{"p", math.NaN()}}}},
+		`routes[0]: weight: all are 0, so that no pool is left`: {{Shares: []Share{{"p", 0}}}},
 	} {
 		_, err := Compile(rules, []string{"p"}, []string{"read", "book"})
 		if err == nil || !strings.Contains(err.Error(), want) {
@@ -199,10 +199,10 @@
 func TestDescribeAndExplain(t *testing.T) {
 	methods := []string{"PUT", "POST"}
 	table, err := Compile([]Rule{
-		{Name: "rest", To: []Share{{"all", 1}}},
-		{Name: "canary", Host: "*.yard.example", Prefix: "/booking", To: []Share{{"old", 95}, {"new", 5}}},
-		{Name: "writes", Host: "*.yard.example", Prefix: "/booking", Methods: methods, To: []Share{{"old", 1}}},
-		{Name: "office", Host: "office.yard.example", Class: "bulk", To: []Share{{"all", 1}}},
+		{Name: "rest", Shares: []Share{{"all", 1}}},
+		{Name: "canary", Host: "*.yard.example", Prefix: "/booking", Shares: []Share{{"old", 95}, {"new", 5}}},
+		{Name: "writes", Host: "*.yard.example", Prefix: "/booking", Methods: methods, Shares: []Share{{"old", 1}}},
+		{Name: "office", Host: "office.yard.example", Class: "bulk", Shares: []Share{{"all", 1}}},
 	}, []string{"all", "old", "new"}, nil)
 	if err != nil {
 		t.Fatal(err)
@@ -232,8 +232,8 @@
 // Chains without branches must be merged into one node. Matching does not depend on it, memory and speed do.
 func TestUnbranchedPathsAreOneNode(t *testing.T) {
 	p := []Share{{"p", 1}}
-	table, err := Compile([]Rule{{Prefix: "/a/b/c/d", To: p}, {Prefix: "/a/b/c/d/e/f", To: p},
-		{Prefix: "/x/y/z", To: p}, {Prefix: "/x/y/w", To: p}}, []string{"p"}, nil)
+	table, err := Compile([]Rule{{Prefix: "/a/b/c/d", Shares: p}, {Prefix: "/a/b/c/d/e/f", Shares: p},
+		{Prefix: "/x/y/z", Shares: p}, {Prefix: "/x/y/w", Shares: p}}, []string{"p"}, nil)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -268,7 +268,7 @@
 					w[i] = ""
 				}
 			}
-			r := Rule{Host: w[0], Prefix: w[1], Class: w[3], To: []Share{{"p", 1}}}
+			r := Rule{Host: w[0], Prefix: w[1], Class: w[3], Shares: []Share{{"p", 1}}}
 			if w[2] != "" {
 				r.Methods = strings.Split(w[2], ",")
 			}
@@ -299,7 +299,7 @@
 
 func TestTableMatchDoesNotAllocate(t *testing.T) {
 	rules, calls := generateRules(1000)
-	rules[0].To = []Share{{"p", 95}, {"q", 5}}
+	rules[0].Shares = []Share{{"p", 95}, {"q", 5}}
 	table, err := Compile(rules, []string{"p", "q"}, nil)
 	if err != nil {
 		t.Fatal(err)
--- a/internal/routes/split.go
+++ b/internal/routes/split.go
@@ -61,11 +61,11 @@
 
 // checkShares validates the shares and, unless poolIndexes is nil, that their pools exist. It fills e.shares.
 func (e *entry) checkShares(poolIndexes map[string]int) error {
-	if len(e.To) == 0 {
+	if len(e.Shares) == 0 {
 		return errors.New("leads to no pool")
 	}
 	seen := map[string]bool{}
-	for _, s := range e.To {
+	for _, s := range e.Shares {
 		index, ok := poolIndexes[s.Pool]
 		switch {
 		case poolIndexes != nil && !ok:
--- a/internal/routes/split_test.go
+++ b/internal/routes/split_test.go
@@ -10,7 +10,7 @@
 
 // poolsOfKeys returns the pools of the keys 0 to n-1.
 func poolsOfKeys(t interface{ Fatalf(string, ...any) }, n int, to ...Share) (pools []int) {
-	table, err := Compile([]Rule{{To: to}}, []string{"a", "b", "c", "d"}, nil)
+	table, err := Compile([]Rule{{Shares: to}}, []string{"a", "b", "c", "d"}, nil)
 	if err != nil {
 		t.Fatalf("%v", err)
 	}
--- a/internal/routes/tree.go
+++ b/internal/routes/tree.go
@@ -127,12 +127,12 @@
 }
 
 // With returns the tree with one more claim, which must not be in it yet, and all ties at that claim's host and prefix.
-func (t Tree) With(c *Claim) (Tree, []Tie) { return t.update(c, true) }
+func (t Tree) With(c *Claim) (Tree, []Conflict) { return t.update(c, true) }
 
 // Without returns the tree without one of its claims, and the ties that remain at that claim's host and prefix.
-func (t Tree) Without(c *Claim) (Tree, []Tie) { return t.update(c, false) }
+func (t Tree) Without(c *Claim) (Tree, []Conflict) { return t.update(c, false) }
 
-func (t Tree) update(c *Claim, in bool) (Tree, []Tie) {
+func (t Tree) update(c *Claim, in bool) (Tree, []Conflict) {
 	e := edit{claim: c, adding: in}
 	root := t.roots[c.kind]
 	if root == nil {
@@ -155,7 +155,7 @@
 	claim      *Claim
 	adding     bool
 	sizeChange int
-	ties       []Tie
+	ties       []Conflict
 }
 
 // updateHost changes the node of a host itself, which paths begin at. The node is never merged with a child, and it is
@@ -253,21 +253,21 @@
 	}
 	byCondition := map[condition]int{}
 	for i, c := range next.claims {
-		var tie Tie
+		var tie Conflict
 		for _, a := range c.conditions() {
 			first, held := byCondition[a]
 			if !held {
 				byCondition[a] = i
 				continue
 			}
-			if tie.Lost == nil {
-				tie = Tie{Lost: c, To: next.claims[first]}
+			if tie.Loser == nil {
+				tie = Conflict{Loser: c, Winner: next.claims[first]}
 			}
 			if a.method != "" {
 				tie.Methods = append(tie.Methods, a.method)
 			}
 		}
-		if tie.Lost != nil {
+		if tie.Loser != nil {
 			e.ties = append(e.ties, tie)
 		}
 	}
--- a/internal/routes/tree_test.go
+++ b/internal/routes/tree_test.go
@@ -17,7 +17,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	claim, missing := c.Lead(func(pool string) (int, bool) { return int(pool[0] - 'a'), true })
+	claim, missing := c.ResolvePools(func(pool string) (int, bool) { return int(pool[0] - 'a'), true })
 	if claim == nil {
 		t.Fatal(missing)
 	}
@@ -106,7 +106,7 @@
 		var tree Tree
 		var claims []*Claim
 		var kept []version
-		ties := map[hostAndPrefix][]Tie{}
+		ties := map[hostAndPrefix][]Conflict{}
 		agrees := func(v version, tries int) {
 			for range tries {
 				c := call{rapid.SampledFrom(callHosts).Draw(t, "host"), rapid.SampledFrom(callPaths).Draw(t, "path"),
@@ -119,7 +119,7 @@
 		narrow := rapid.Bool().Draw(t, "one place") // many ties, and many claims at one node
 		for n := range rapid.IntRange(1, 60).Draw(t, "changes") {
 			var changed *Claim
-			var newTies []Tie
+			var newTies []Conflict
 			if len(claims) > 0 && rapid.IntRange(0, 2).Draw(t, "out") == 0 {
 				i := rapid.IntRange(0, len(claims)-1).Draw(t, "which")
 				changed = claims[i]
@@ -144,7 +144,7 @@
 		var named []string
 		for _, at := range ties {
 			for _, x := range at {
-				named = append(named, x.Lost.Key)
+				named = append(named, x.Loser.Key)
 			}
 		}
 		slices.Sort(named)
@@ -183,8 +183,8 @@
 func TestLargeTreeMatchesTable(t *testing.T) {
 	rules, calls := generateRules(10_000)
 	for i := range rules {
-		if rules[i].To = []Share{{"a", 1}}; i%5 == 0 {
-			rules[i].To = []Share{{"a", 95}, {"b", 5}, {"c", 0}}
+		if rules[i].Shares = []Share{{"a", 1}}; i%5 == 0 {
+			rules[i].Shares = []Share{{"a", 95}, {"b", 5}, {"c", 0}}
 		}
 	}
 	tree, claims := newTestTree(t, rules)
@@ -234,7 +234,7 @@
 func TestTreeMatchDoesNotAllocate(t *testing.T) {
 	rules, calls := generateRules(1000)
 	for i := range rules {
-		rules[i].To = []Share{{"a", 95}, {"b", 5}}
+		rules[i].Shares = []Share{{"a", 95}, {"b", 5}}
 	}
 	tree, _ := newTestTree(t, rules)
 	i := 0
@@ -252,7 +252,7 @@
 	for _, n := range []int{1000, 10_000} {
 		rules, _ := generateRules(n)
 		for i := range rules {
-			rules[i].To = []Share{{"a", 1}}
+			rules[i].Shares = []Share{{"a", 1}}
 		}
 		tree, claims := newTestTree(t, rules)
 		var before, after runtime.MemStats
@@ -271,17 +271,17 @@
 }
 
 func TestLeadNeedsEveryPool(t *testing.T) {
-	c, err := NewClaim(Rule{To: []Share{{"a", 1}, {"b", 0}, {"c", 2}}}, "k", 1, nil)
+	c, err := NewClaim(Rule{Shares: []Share{{"a", 1}, {"b", 0}, {"c", 2}}}, "k", 1, nil)
 	if err != nil {
 		t.Fatal(err)
 	}
 	there := map[string]int{"a": 7, "c": 9}
 	find := func(pool string) (int, bool) { at, ok := there[pool]; return at, ok }
-	if led, missing := c.Lead(find); led != nil || missing != "b" { // a pool with a weight of 0 must exist as well
+	if led, missing := c.ResolvePools(find); led != nil || missing != "b" { // a pool with a weight of 0 must exist as well
 		t.Errorf("claim %v, missing pool %q", led, missing)
 	}
 	there["b"] = 8
-	led, _ := c.Lead(find)
+	led, _ := c.ResolvePools(find)
 	met := map[int]bool{}
 	for key := range uint64(100) {
 		met[led.Pool(key)] = true
--- a/internal/selector/index.go
+++ b/internal/selector/index.go
@@ -123,8 +123,8 @@
 	}
 }
 
-// Of appends the ids of the selectors that match a server to a slice, in increasing order and without duplicates.
-func (x *Index) Of(m *brain.Member, into []uint16) []uint16 {
+// Match appends the ids of the selectors that match a server to a slice, in increasing order and without duplicates.
+func (x *Index) Match(m *brain.Member, into []uint16) []uint16 {
 	from := len(into)
 	into = x.appendMatches(x.unkeyed, m, into)
 	into = x.appendMatches(x.byCell[m.Cell], m, into)
--- a/internal/selector/index_test.go
+++ b/internal/selector/index_test.go
@@ -53,7 +53,7 @@
 					}
 				}
 				slices.Sort(want)
-				if got := x.Of(&m, []uint16{7})[1:]; !slices.Equal(got, want) {
+				if got := x.Match(&m, []uint16{7})[1:]; !slices.Equal(got, want) {
 					t.Fatalf("%+v is matched by %v, want %v", m, got, want)
 				}
 			},
--- a/internal/tenants/tenants.go
+++ b/internal/tenants/tenants.go
@@ -61,8 +61,8 @@
 	return Tenant{ID: int(p.id[i]), Terms: p.terms[i]}, true
 }
 
-// At returns the revision of an entry and the checksum of its text, as given to Put.
-func (t *Table) At(name string) (revision int64, checksum uint32, ok bool) {
+// Version returns the revision of an entry and the checksum of its text, as given to Put.
+func (t *Table) Version(name string) (revision int64, checksum uint32, ok bool) {
 	hash := xxhash.Sum64String(name)
 	s := t.shardOf(hash)
 	if s == nil {
--- a/internal/tenants/tenants_test.go
+++ b/internal/tenants/tenants_test.go
@@ -45,7 +45,7 @@
 	for _, name := range names {
 		want, there := model[name]
 		got, ok := table.Find(name)
-		revision, checksum, hasVersion := table.At(name)
+		revision, checksum, hasVersion := table.Version(name)
 		if ok != there || hasVersion != there || there && (got != Tenant{want.id, want.Terms} || revision != want.revision || checksum != want.checksum) {
 			t.Fatalf("%q: %v %v, revision %d, checksum %d; the model has %v %v", name, got, ok, revision, checksum, want, there)
 		}
@@ -180,7 +180,7 @@
 			if _, ok := table.Find(name); ok {
 				found++
 			}
-			if _, _, ok := table.At(name); ok {
+			if _, _, ok := table.Version(name); ok {
 				found++
 			}
 		}
--- a/internal/zones/health.go
+++ b/internal/zones/health.go
@@ -37,7 +37,7 @@
 
 	requiredTrials = 3               // successful trials, with no failure in between
 	maxTrialPause  = 2 * time.Second // longest interval between trials
-	trialsPerHold  = 8               // trials per hold time, within the bounds of Settings.TrialEvery and maxTrialPause
+	trialsPerHold  = 8               // trials per hold time, within the bounds of Settings.TrialInterval and maxTrialPause
 
 	// A returning zone's answers count as good as before within these bounds.
 	maxOnTimeDrop  = 0.05 // permitted drop of the share of answers in time
@@ -62,7 +62,7 @@
 
 	capacity          float64 // total size of the ready members, those in slow start counted by their warmth
 	ready, cold       int
-	membersKnown      bool    // Members was called
+	membersKnown      bool    // SetMembers was called
 	capacityPerMember float64 // largest capacity seen per ready member, taken as that of a fully warm one
 
 	// load reports
@@ -124,10 +124,10 @@
 	return min(1, max(0.05, z.capacity/(float64(z.ready)*z.capacityPerMember)))
 }
 
-// Members sets what is left of a zone after the member list and the health of single app nodes: the total size of its
+// SetMembers sets what is left of a zone after the member list and the health of single app nodes: the total size of its
 // ready members, those in slow start counted by their warmth, and the numbers of ready and of cold members. It is called
 // again as members warm up.
-func (s *State) Members(now time.Duration, zone int, capacity float64, ready, cold int) {
+func (s *State) SetMembers(now time.Duration, zone int, capacity float64, ready, cold int) {
 	if zone < 0 || zone >= len(s.zones) {
 		return
 	}
@@ -218,7 +218,7 @@
 func (s *State) usualLatency(zone, class int) time.Duration {
 	p := &s.zones[zone].latency[class]
 	if !p.seen {
-		p = &s.zones[s.cfg.Own].latency[class]
+		p = &s.zones[s.cfg.OwnZone].latency[class]
 	}
 	return time.Duration((p.mean + latencyDeviations*p.dev) * float64(time.Second))
 }
@@ -247,7 +247,7 @@
 	if z.state == dark || waiting < longSilenceMinCalls {
 		return
 	}
-	quiet, limit := s.now-z.waitingSince, s.cfg.SilentFor
+	quiet, limit := s.now-z.waitingSince, s.cfg.SilenceTimeout
 	for i := range z.latency {
 		if p := &z.latency[i]; p.seen {
 			limit = max(limit, time.Duration(silenceLatencyFactor*(p.mean+latencyDeviations*p.dev)/z.warmth()*float64(time.Second)))
@@ -276,10 +276,10 @@
 	if z.relapses < 0 {
 		z.relapses = 0
 	} else {
-		z.relapses = max(0, z.relapses+1-int((s.now-z.returnedAt)/s.cfg.Forgive))
+		z.relapses = max(0, z.relapses+1-int((s.now-z.returnedAt)/s.cfg.RelapseExpiry))
 	}
 	z.state, z.darkSince, z.trialSuccesses = dark, s.now, 0
-	z.nextTrialAt = s.now + s.cfg.TrialEvery
+	z.nextTrialAt = s.now + s.cfg.TrialInterval
 	z.limited, z.limit, z.tokens = true, 0, 0
 	s.addNote(zone, "%s: dark; trials for %v before it gets calls back", why, s.holdTime(z))
 }
@@ -311,7 +311,7 @@
 			if z.trialSuccesses == 0 {
 				pause = (s.now - z.darkSince) / 20 // the longer a zone has been dark, the rarer its trials
 			}
-			z.nextTrialAt = s.now + max(s.cfg.TrialEvery, min(pause, maxTrialPause))
+			z.nextTrialAt = s.now + max(s.cfg.TrialInterval, min(pause, maxTrialPause))
 			b := Bound{First: 1 << i, Later: 1 << i, Trial: true}
 			if s.classes[class].Movable {
 				if rest := s.laterZones(i); rest != 0 {
@@ -331,7 +331,7 @@
 	case o == OK && inTime:
 		if z.trialSuccesses++; z.trialSuccesses == 1 {
 			z.firstSuccessAt = s.now
-			z.nextTrialAt = min(z.nextTrialAt, s.now+s.cfg.TrialEvery)
+			z.nextTrialAt = min(z.nextTrialAt, s.now+s.cfg.TrialInterval)
 		}
 		if z.trialSuccesses >= requiredTrials && s.now-z.firstSuccessAt >= s.holdTime(z) && z.capacity > 0 {
 			s.beginReturn(zone)
--- a/internal/zones/limit.go
+++ b/internal/zones/limit.go
@@ -20,7 +20,7 @@
 	minFirstReports    = 6                      // reports behind a first limit: a few from each of a few app nodes
 	maxFirstReportWait = 400 * time.Millisecond // after that, one report is enough
 
-	// fillMargin is kept free below Settings.Fill. It absorbs the noise of reports (3 to 10% each, plus the variation of
+	// fillMargin is kept free below Settings.MaxFill. It absorbs the noise of reports (3 to 10% each, plus the variation of
 	// the load from second to second) and the unsynchronized steps of several balancers.
 	fillMargin = 0.08
 	// firstLimitGain is the share of the observed spare capacity that a first limit takes. The first reports are too
@@ -65,7 +65,7 @@
 
 // full reports whether a zone is too busy for further attempts of calls that went to another zone first.
 func (s *State) full(z *zone) bool {
-	return z.busyKnown && s.now-z.busyAt < maxReportAge && z.busy > s.cfg.Fill
+	return z.busyKnown && s.now-z.busyAt < maxReportAge && z.busy > s.cfg.MaxFill
 }
 
 // cost returns the load that a call puts on a zone, in core-seconds.
@@ -75,7 +75,7 @@
 // attributes 1/n of that load to itself. If it sends more or less than that, or n is wrong, its scale is wrong by the
 // inverse factor, so that the share of the spare capacity that all balancers take together is still right.
 func (s *State) learnCostScale() {
-	z := &s.zones[s.cfg.Own]
+	z := &s.zones[s.cfg.OwnZone]
 	dt := (s.now - z.lastStepAt).Seconds()
 	if z.state != well || z.limited || dt < updateInterval.Seconds() {
 		return
@@ -102,10 +102,10 @@
 
 // targetBusy returns the busy share that a zone's limit is controlled to.
 func (s *State) targetBusy(zone int) float64 {
-	if zone == s.cfg.Own && s.zones[zone].state == well {
+	if zone == s.cfg.OwnZone && s.zones[zone].state == well {
 		return s.cfg.SpillFrom
 	}
-	return s.cfg.Fill - fillMargin
+	return s.cfg.MaxFill - fillMargin
 }
 
 // ---- the bucket ----
@@ -123,7 +123,7 @@
 func (s *State) remaining(zone, class int) float64 {
 	z := &s.zones[zone]
 	if !z.limited {
-		if zone == s.cfg.Own {
+		if zone == s.cfg.OwnZone {
 			return math.Inf(1)
 		}
 		s.setFirstLimit(zone)
@@ -195,7 +195,7 @@
 	z.tokensAt = s.now
 	z.sentWork = 0
 	z.answers, z.answersOnTime, z.slowdownSum, z.failures = 0, 0, 0, 0
-	z.lastStepAt, z.nextStepAt = s.now, s.now+s.cfg.Settle
+	z.lastStepAt, z.nextStepAt = s.now, s.now+s.cfg.SettlingTime
 }
 
 // setFirstLimit opens another zone to spilled calls. Its limit is a guess until its first reports come, since a zone
@@ -231,7 +231,7 @@
 // liftLimitAfter without a refused call, and another zone's after that time without a refused or an accepted one.
 func (s *State) adjustLimit(zone int) {
 	z := &s.zones[zone]
-	own := zone == s.cfg.Own
+	own := zone == s.cfg.OwnZone
 	switch {
 	case z.state == dark || !z.membersKnown || s.now < z.nextStepAt:
 		return
@@ -247,9 +247,9 @@
 		return
 	}
 	sentRate := z.sentWork / (s.now - z.lastStepAt).Seconds()
-	known := z.busyKnown && s.now-z.busyAt < s.cfg.Settle
+	known := z.busyKnown && s.now-z.busyAt < s.cfg.SettlingTime
 	if !known && z.state == returning {
-		z.nextStepAt = s.now + s.cfg.Settle/4
+		z.nextStepAt = s.now + s.cfg.SettlingTime/4
 		return
 	}
 	if !known {
@@ -261,12 +261,12 @@
 		gain = 1 // the limit refused nothing, so a full step cannot overshoot
 	}
 	limit := sentRate + gain*s.spareShare(zone, z.busy)
-	if z.busy > s.cfg.Fill && !own {
+	if z.busy > s.cfg.MaxFill && !own {
 		limit = min(limit, sentRate*s.targetBusy(zone)/z.busy)
 	}
 	if z.state == returning {
 		if z.answers < minStepAnswers && z.failures == 0 {
-			z.nextStepAt = s.now + s.cfg.Settle/4 // too few to judge by
+			z.nextStepAt = s.now + s.cfg.SettlingTime/4 // too few to judge by
 			return
 		}
 		if limit = s.growReturning(zone, sentRate, limit); z.state == dark {
@@ -301,7 +301,7 @@
 func (s *State) liftLimit(zone int) {
 	z := &s.zones[zone]
 	z.limited, z.limitGuessed, z.sentWork, z.lastStepAt = false, false, 0, s.now
-	z.nextStepAt = s.now + s.cfg.Settle
+	z.nextStepAt = s.now + s.cfg.SettlingTime
 	s.finishReturn(zone)
 }
 
@@ -349,7 +349,7 @@
 	switch {
 	case z.limited:
 		z.limit *= share // the current step continues, since losses may come one by one
-	case zone == s.cfg.Own:
+	case zone == s.cfg.OwnZone:
 		s.setLimit(z, s.sendRate*s.costScale*share)
 		z.refusedAt = s.now
 		s.addNote(zone, "%.0f%% of its capacity is left: it cannot carry its load", 100*remainingShare)
--- a/internal/zones/simulation_test.go
+++ b/internal/zones/simulation_test.go
@@ -89,7 +89,7 @@
 	shed       [2]int
 	spilled    int
 	late       int
-	notes      []Note
+	notes      []LogLine
 	onStep     func(now time.Duration)
 }
 
@@ -122,7 +122,7 @@
 		for i := range cfg.Classes {
 			cfg.Classes[i].Work *= work
 		}
-		cfg.Own, cfg.Tiers = home, [][]int{{home}, {1 - home}}
+		cfg.OwnZone, cfg.Tiers = home, [][]int{{home}, {1 - home}}
 		l.balancers = append(l.balancers, newState(t, cfg))
 		l.ownZones = append(l.ownZones, home)
 		l.rate = append(l.rate, load/meanCallWork)
@@ -133,7 +133,7 @@
 
 func (l *simulation) announceMembers(zone int, ready, cold int) {
 	for _, b := range l.balancers {
-		b.Members(l.now, zone, l.zones[zone].capacityAt(l.now), ready, cold)
+		b.SetMembers(l.now, zone, l.zones[zone].capacityAt(l.now), ready, cold)
 	}
 }
 
--- a/internal/zones/zones.go
+++ b/internal/zones/zones.go
@@ -30,22 +30,22 @@
 	Movable bool    // an attempt that may have been executed may be repeated in another zone
 }
 
-// Settings are fixed for the lifetime of a State. For the numbers and durations from Fill on, 0 means the default.
+// Settings are fixed for the lifetime of a State. For the numbers and durations from MaxFill on, 0 means the default.
 type Settings struct {
 	Zones     []string // names; a zone's index is also its bit in a Bound
-	Own       int      // the balancer's zone
+	OwnZone   int      // the balancer's zone
 	Tiers     [][]int  // zones in order of preference; those of one tier are equivalent
 	Balancers int      // number of balancers that send to the same zones, this one included, without coordination
 	Classes   []Class
 
-	Fill       float64       // share of another zone's capacity up to which calls may spill there
-	SpillFrom  float64       // share of the own zone's capacity from which calls leave it
-	SilentFor  time.Duration // time without any response, while calls are outstanding, after which a zone is dark
-	TrialEvery time.Duration // initial interval between trials of a dark zone
-	HoldFirst  time.Duration // how long trials must succeed before a zone gets calls back; doubled at each relapse
-	HoldMost   time.Duration // upper bound of the doubled HoldFirst
-	Forgive    time.Duration // good service of this length cancels one relapse
-	Settle     time.Duration // time until load reports fully show a change of the load sent to a zone
+	MaxFill        float64       // share of another zone's capacity up to which calls may spill there
+	SpillFrom      float64       // share of the own zone's capacity from which calls leave it
+	SilenceTimeout time.Duration // time without any response, while calls are outstanding, after which a zone is dark
+	TrialInterval  time.Duration // initial interval between trials of a dark zone
+	HoldFirst      time.Duration // how long trials must succeed before a zone gets calls back; doubled at each relapse
+	HoldMost       time.Duration // upper bound of the doubled HoldFirst
+	RelapseExpiry  time.Duration // good service of this length cancels one relapse
+	SettlingTime   time.Duration // time until load reports fully show a change of the load sent to a zone
 }
 
 // Defaults of Settings.
@@ -96,8 +96,8 @@
 	Cancelled
 )
 
-// Note is a log line.
-type Note struct {
+// LogLine is a log line.
+type LogLine struct {
 	Zone int // zone index; -1: all zones
 	Text string
 }
@@ -115,7 +115,7 @@
 	now           time.Duration
 	zones         []zone
 	classes       []class
-	notes         []Note
+	notes         []LogLine
 	allDown       bool // no zone is usable
 	membersSeen   bool // some zone was usable at some time
 	anyMovable    bool // some class is movable
@@ -133,14 +133,14 @@
 
 // New checks the settings and returns a State in which every zone is presumed well.
 func New(cfg Settings) (*State, error) {
-	setDefault(&cfg.Fill, defaultFill)
+	setDefault(&cfg.MaxFill, defaultFill)
 	setDefault(&cfg.SpillFrom, defaultSpillFrom)
-	setDefault(&cfg.SilentFor, defaultSilentFor)
-	setDefault(&cfg.TrialEvery, defaultTrialEvery)
+	setDefault(&cfg.SilenceTimeout, defaultSilentFor)
+	setDefault(&cfg.TrialInterval, defaultTrialEvery)
 	setDefault(&cfg.HoldFirst, defaultHoldFirst)
 	setDefault(&cfg.HoldMost, defaultHoldMost)
-	setDefault(&cfg.Forgive, defaultForgive)
-	setDefault(&cfg.Settle, defaultSettle)
+	setDefault(&cfg.RelapseExpiry, defaultForgive)
+	setDefault(&cfg.SettlingTime, defaultSettle)
 	if err := checkSettings(&cfg); err != nil {
 		return nil, err
 	}
@@ -177,15 +177,15 @@
 	switch n := len(cfg.Zones); {
 	case n == 0 || n > 63:
 		return fmt.Errorf("zones: Zones: %d zones, want 1 to 63", n)
-	case cfg.Own < 0 || cfg.Own >= n:
-		return fmt.Errorf("zones: Own: there is no zone %d", cfg.Own)
+	case cfg.OwnZone < 0 || cfg.OwnZone >= n:
+		return fmt.Errorf("zones: Own: there is no zone %d", cfg.OwnZone)
 	case cfg.Balancers < 1:
 		return errors.New("zones: Balancers must be at least 1")
 	case len(cfg.Classes) == 0:
 		return errors.New("zones: Classes is empty")
-	case cfg.Fill < 0.1 || cfg.Fill > 1:
-		return fmt.Errorf("zones: Fill: %v is not in 0.1 to 1", cfg.Fill)
-	case cfg.SpillFrom < cfg.Fill || cfg.SpillFrom > 1:
+	case cfg.MaxFill < 0.1 || cfg.MaxFill > 1:
+		return fmt.Errorf("zones: Fill: %v is not in 0.1 to 1", cfg.MaxFill)
+	case cfg.SpillFrom < cfg.MaxFill || cfg.SpillFrom > 1:
 		return fmt.Errorf("zones: SpillFrom: %v is not between Fill and 1", cfg.SpillFrom)
 	}
 	for i, c := range cfg.Classes {
@@ -201,14 +201,14 @@
 			seen |= 1 << z
 		}
 	}
-	if len(cfg.Tiers) == 0 || len(cfg.Tiers[0]) != 1 || cfg.Tiers[0][0] != cfg.Own {
+	if len(cfg.Tiers) == 0 || len(cfg.Tiers[0]) != 1 || cfg.Tiers[0][0] != cfg.OwnZone {
 		return errors.New("zones: Tiers[0] must hold the own zone and no other")
 	}
 	for _, d := range []struct {
 		key string
 		v   time.Duration
-	}{{"SilentFor", cfg.SilentFor}, {"TrialEvery", cfg.TrialEvery}, {"HoldFirst", cfg.HoldFirst}, {"HoldMost", cfg.HoldMost},
-		{"Forgive", cfg.Forgive}, {"Settle", cfg.Settle}} {
+	}{{"SilentFor", cfg.SilenceTimeout}, {"TrialEvery", cfg.TrialInterval}, {"HoldFirst", cfg.HoldFirst}, {"HoldMost", cfg.HoldMost},
+		{"Forgive", cfg.RelapseExpiry}, {"Settle", cfg.SettlingTime}} {
 		if d.v < 0 {
 			return fmt.Errorf("zones: %s is negative", d.key)
 		}
@@ -251,7 +251,7 @@
 }
 
 // Tick updates time-dependent state and returns the log lines since the last call of Tick.
-func (s *State) Tick(now time.Duration) []Note {
+func (s *State) Tick(now time.Duration) []LogLine {
 	s.now = max(s.now, now)
 	s.update()
 	notes := s.notes
@@ -267,7 +267,7 @@
 		text = "zone " + s.cfg.Zones[zone] + ": " + text
 	}
 	if len(s.notes) < maxNotes {
-		s.notes = append(s.notes, Note{zone, text})
+		s.notes = append(s.notes, LogLine{zone, text})
 	}
 }
 
@@ -287,7 +287,7 @@
 		}
 	}
 	// A busy own zone is better than none while it is well: whoever picks its app node sees how busy each one is.
-	if own := s.cfg.Own; s.zones[own].state == well && s.zones[own].capacity > 0 {
+	if own := s.cfg.OwnZone; s.zones[own].state == well && s.zones[own].capacity > 0 {
 		s.reserve(own, class)
 		return s.boundFor(own, class)
 	}
--- a/internal/zones/zones_test.go
+++ b/internal/zones/zones_test.go
@@ -17,7 +17,7 @@
 // twoZones returns settings with two classes: 0 (look) is movable and of low value, 1 (order) stays in its zone and is
 // of higher value.
 func twoZones(balancers int) Settings {
-	return Settings{Zones: []string{"north", "south"}, Own: 0, Tiers: [][]int{{0}, {1}}, Balancers: balancers,
+	return Settings{Zones: []string{"north", "south"}, OwnZone: 0, Tiers: [][]int{{0}, {1}}, Balancers: balancers,
 		Classes: []Class{{Value: 1, Work: 10, Movable: true}, {Value: 5, Work: 30}}}
 }
 
@@ -28,7 +28,7 @@
 		t.Fatal(err)
 	}
 	for i := range cfg.Zones {
-		s.Members(0, i, 4, 4, 0)
+		s.SetMembers(0, i, 4, 4, 0)
 	}
 	return s
 }
@@ -36,15 +36,15 @@
 func TestInvalidSettingsAreNamed(t *testing.T) {
 	for want, invalidate := range map[string]func(*Settings){
 		"Zones: 0":           func(s *Settings) { s.Zones = nil },
-		"Own: there is no":   func(s *Settings) { s.Own = 2 },
+		"Own: there is no":   func(s *Settings) { s.OwnZone = 2 },
 		"Balancers must":     func(s *Settings) { s.Balancers = 0 },
 		"Classes is empty":   func(s *Settings) { s.Classes = nil },
-		"Fill: 1.5":          func(s *Settings) { s.Fill = 1.5 },
+		"Fill: 1.5":          func(s *Settings) { s.MaxFill = 1.5 },
 		"SpillFrom: 0.5":     func(s *Settings) { s.SpillFrom = 0.5 },
 		"Classes[1]: Value":  func(s *Settings) { s.Classes[1].Work = -1 },
 		"Tiers[1]: zone 0":   func(s *Settings) { s.Tiers[1][0] = 0 },
 		"Tiers[0] must":      func(s *Settings) { s.Tiers = s.Tiers[1:] },
-		"Settle is negative": func(s *Settings) { s.Settle = -1 },
+		"Settle is negative": func(s *Settings) { s.SettlingTime = -1 },
 	} {
 		cfg := twoZones(1)
 		invalidate(&cfg)
@@ -73,7 +73,7 @@
 		bound, limits := make([][]sent, n), make([][]sent, n) // in the last second, by zone
 		limitedAt, trialAt := make([]time.Duration, n), make([]time.Duration, n)
 		holdTimes, wasDark := make([]time.Duration, n), make([]bool, n)
-		notes := []Note{}
+		notes := []LogLine{}
 		var downNotes, downChanges int
 		wasDown := s.allDown
 		check := func() {
@@ -90,7 +90,7 @@
 				if isDark := z.state == dark; isDark != wasDark[i] {
 					wasDark[i] = isDark
 					if h := s.holdTime(z); isDark {
-						if h < holdTimes[i] && now-z.returnedAt < cfg.Forgive {
+						if h < holdTimes[i] && now-z.returnedAt < cfg.RelapseExpiry {
 							t.Fatalf("zone %d relapsed after %v and has a hold time of %v, less than the %v before", i, now-z.returnedAt, h, holdTimes[i])
 						}
 						holdTimes[i] = h
@@ -136,7 +136,7 @@
 						sum += v.cost
 						last = max(last, v.cost)
 					}
-					own := i == cfg.Own && z.state == well // is used beyond its limit if the others are full
+					own := i == cfg.OwnZone && z.state == well // is used beyond its limit if the others are full
 					if z.limited && !own && limitedAt[i] < now-time.Second && sum > maxLimit*(1+maxCredit+maxDebt)+2*last {
 						t.Fatalf("zone %d has a limit of %.3f cores and got %.3f core-seconds within a second", i, maxLimit, sum)
 					}
@@ -166,7 +166,7 @@
 					rapid.Float64Range(-0.1, 1.2).Draw(t, "util"), 0)
 			case 9:
 				k := rapid.IntRange(0, 4).Draw(t, "members")
-				s.Members(now, zone.Draw(t, "zone"), float64(k)*rapid.Float64Range(0.2, 1).Draw(t, "warmth"), k, 0)
+				s.SetMembers(now, zone.Draw(t, "zone"), float64(k)*rapid.Float64Range(0.2, 1).Draw(t, "warmth"), k, 0)
 			}
 			check()
 			notes = append(notes, s.Tick(now)...)
@@ -282,7 +282,7 @@
 func TestAllZonesDownSendsCallsEverywhereAndLogsOnce(t *testing.T) {
 	s := newState(t, twoZones(1))
 	serveWell(s, 0, 5*time.Second, 12*ms)
-	s.Members(5*time.Second, 1, 0, 0, 0)
+	s.SetMembers(5*time.Second, 1, 0, 0, 0)
 	lines := 0
 	for now := 5 * time.Second; now < 9*time.Second; now += 12 * ms {
 		b := s.Arrived(now, 1)
@@ -320,7 +320,7 @@
 	for now < 20*time.Second {
 		step(0.625)
 	}
-	s.Members(now, 0, 2, 2, 0)
+	s.SetMembers(now, 0, 2, 2, 0)
 	spilled, all := 0, 0
 	for from := now; now < from+time.Second; all++ {
 		if b := step(0.625); b.First == 2 {
@@ -366,7 +366,7 @@
 	s := newState(t, twoZones(1))
 	serveWell(s, 0, 20*time.Second, 12*ms)
 	now := 20*time.Second + timeUntilDark(t, s, 20*time.Second, 12*ms)
-	s.Members(now, 0, 2, 4, 4)
+	s.SetMembers(now, 0, 2, 4, 4)
 	return s, now + timeUntilReturn(t, s, now)
 }
 
