--- a/internal/acceptor/acceptor.go
+++ b/internal/acceptor/acceptor.go
@@ -30,8 +30,8 @@
 	// and memory that they need.
 	headerTimeout = 2600 * time.Millisecond // clients may take 2 s; one that sends no header must be closed within 3 s
 	bodyTimeout   = 2 * time.Second
-	// maxUploadLag is how far a client may fall behind the minimum rate of an upload (flow.MinUploadRate). A client that sends
-	// nothing must be answered within 3 s.
+	// maxUploadLag is how far a client may fall behind the minimum rate of an upload (flow.MinUploadRate). A client that
+	// sends nothing must be answered within 3 s.
 	maxUploadLag   = 2500 * time.Millisecond
 	idleTimeout    = 3 * time.Second // of a connection without a call; a client whose request crosses the close retries
 	writeTimeout   = 2 * time.Second // for one write of a buffered answer
@@ -68,8 +68,8 @@
 	bodyLimits                     BodyLimits
 }
 
-// ClassLimits are the call classes that a request may name: Classes maps a class name to its index, and Deadlines gives the
-// longest deadline of a call by class index.
+// ClassLimits are the call classes that a request may name: Classes maps a class name to its index, and Deadlines gives
+// the longest deadline of a call by class index.
 type ClassLimits struct {
 	Classes   map[string]int
 	Deadlines []time.Duration
@@ -177,15 +177,16 @@
 	return a.server.Shutdown(ctx)
 }
 
-// SetDraining takes the acceptor out of rotation, or puts it back: while it is out, each answer closes its connection and the
-// readiness check fails.
+// SetDraining takes the acceptor out of rotation, or puts it back: while it is out, each answer closes its connection
+// and the readiness check fails.
 func (a *Acceptor) SetDraining(outOfRotation bool) { a.outOfRotation.Store(outOfRotation) }
 
-// CloseClientConns closes the connections without a call: the idle ones and, if includeNew, those without a first request too.
+// CloseClientConns closes the connections without a call: the idle ones and, if includeNew, those without a first
+// request too.
 func (a *Acceptor) CloseClientConns(includeNew bool) { a.conns.closeIdle(includeNew) }
 
-// DivideLimits divides the connection budget among that many processes that listen on the same address. 1 restores the whole
-// budget.
+// DivideLimits divides the connection budget among that many processes that listen on the same address. 1 restores the
+// whole budget.
 func (a *Acceptor) DivideLimits(parts int) {
 	a.addressShared.Store(parts > 1)
 	a.conns.setShare(parts)
--- a/internal/acceptor/disconnect_test.go
+++ b/internal/acceptor/disconnect_test.go
@@ -200,8 +200,8 @@
 	}
 }
 
-// ClientGone must report a disconnect also after the server has closed the connection, because the ClientGone event may still
-// wait in the reducer's queue.
+// ClientDisconnected must report a disconnect also after the server has closed the connection, because the ClientGone
+// event may still wait in the reducer's queue.
 func TestLeftAfterConnectionIsClosed(t *testing.T) {
 	for kind, end := range disconnects {
 		t.Run(kind, func(t *testing.T) {
@@ -225,7 +225,7 @@
 			case <-time.After(20 * time.Second):
 				t.Fatal("the connection is still open")
 			}
-			if !callMessage(call).ClientGone() {
+			if !callMessage(call).ClientDisconnected() {
 				t.Error("the client counts as connected")
 			}
 		})
@@ -249,7 +249,7 @@
 				}
 				c.Conn.Close()
 			}()
-			for until := time.Now().Add(5 * time.Second); !callMessage(call).ClientGone(); time.Sleep(time.Millisecond) {
+			for until := time.Now().Add(5 * time.Second); !callMessage(call).ClientDisconnected(); time.Sleep(time.Millisecond) {
 				if time.Now().After(until) {
 					t.Fatal("the client counts as connected")
 				}
@@ -269,7 +269,7 @@
 				}
 			}
 			for until := time.Now().Add(4 * bufferFullTimeout); time.Now().Before(until); time.Sleep(time.Millisecond) {
-				if callMessage(call).ClientGone() {
+				if callMessage(call).ClientDisconnected() {
 					t.Fatal("the client counts as disconnected")
 				}
 			}
--- a/internal/acceptor/request.go
+++ b/internal/acceptor/request.go
@@ -59,8 +59,9 @@
 		Deadline: a.now() + min(timeout, terms.Deadlines[class])}, nil // caps the timers of the call
 }
 
-// readBody reads a body of up to flow.MaxBufferedBytes bytes within the connection's read deadline, and returns a longer one as an
-// upload that is read while it is forwarded. A body whose Content-Length is over the limit is rejected unread.
+// readBody reads a body of up to flow.MaxBufferedBytes bytes within the connection's read deadline, and returns a
+// longer one as an upload that is read while it is forwarded. A body whose Content-Length is over the limit is rejected
+// unread.
 func (a *Acceptor) readBody(w http.ResponseWriter, r *http.Request, callID uint64) (*message.Call, error) {
 	limit := max(a.bodyLimits.MaxUploadBytes, flow.MaxBufferedBytes)
 	switch {
--- a/internal/acceptor/response.go
+++ b/internal/acceptor/response.go
@@ -43,7 +43,7 @@
 	}
 	ended := make(chan struct{})
 	var once sync.Once
-	out.ClientGone = func() bool {
+	out.ClientDisconnected = func() bool {
 		check := conn.isPresumedGone
 		if out.Upload != nil && !out.Upload.Complete() { // unread bytes belong to the upload
 			check = conn.isDisconnected
@@ -59,7 +59,7 @@
 	a.pending[call.ID] = replies
 	a.mu.Unlock()
 	a.post(reducer.Arrived{Call: call})
-	reply, err := a.awaitReply(r, call, out.ClientGone, ended, replies)
+	reply, err := a.awaitReply(r, call, out.ClientDisconnected, ended, replies)
 	if err != nil {
 		a.mu.Lock()
 		delete(a.pending, call.ID)
@@ -75,7 +75,7 @@
 }
 
 // awaitReply waits for the final answer of a call, or for its client to disconnect. ended is closed when a check of
-// out.ClientGone has seen the disconnect.
+// out.ClientDisconnected has seen the disconnect.
 func (a *Acceptor) awaitReply(r *http.Request, call *reducer.Call, clientLeft func() bool, ended <-chan struct{}, replies <-chan reducer.Reply) (reducer.Reply, error) {
 	upload := call.Message.(*message.Call).Upload
 	gone := r.Context().Done()
--- a/internal/beside/beside.go
+++ b/internal/beside/beside.go
@@ -23,8 +23,8 @@
 	file              *os.File // holds the lock
 }
 
-// Create creates the mark of a balancer at the given listen address in a directory. The file is locked before it gets its
-// final name, so that no other process ever finds it unlocked while this one runs.
+// Create creates the mark of a balancer at the given listen address in a directory. The file is locked before it gets
+// its final name, so that no other process ever finds it unlocked while this one runs.
 func Create(dir, address string) (*Mark, error) {
 	if dir == "" {
 		return nil, errors.New("beside: no directory for the marks of processes")
@@ -49,8 +49,8 @@
 	return m, nil
 }
 
-// OtherProcesses returns how many other running processes have marks for the same address, and removes the marks of processes
-// that have ended. It returns 0 if the directory cannot be read.
+// OtherProcesses returns how many other running processes have marks for the same address, and removes the marks of
+// processes that have ended. It returns 0 if the directory cannot be read.
 func (m *Mark) OtherProcesses() int {
 	entries, err := os.ReadDir(m.dir)
 	if err != nil {
--- a/internal/catalog/catalog.go
+++ b/internal/catalog/catalog.go
@@ -91,8 +91,8 @@
 		tombstones: tombstoneSet{revisions: map[string]int64{}}}
 }
 
-// SetClasses replaces the classes that calls can have. Refused routes are checked again if their values were kept; others
-// stay refused until the store sends them again. Accepted routes stay, and match no calls of removed classes.
+// SetClasses replaces the classes that calls can have. Refused routes are checked again if their values were kept;
+// others stay refused until the store sends them again. Accepted routes stay, and match no calls of removed classes.
 func (c *Catalog) SetClasses(classes []string) Changes {
 	var ch Changes
 	c.classes = classes
--- a/internal/catalog/files.go
+++ b/internal/catalog/files.go
@@ -8,8 +8,8 @@
 	"pewterrudder/internal/config"
 )
 
-// ApplyFiles replaces the routes and pools from the configuration files. New pools get the lowest free IDs in the order given,
-// so on the first call the IDs are the indexes in the list. If a route is invalid, nothing is changed.
+// ApplyFiles replaces the routes and pools from the configuration files. New pools get the lowest free IDs in the order
+// given, so on the first call the IDs are the indexes in the list. If a route is invalid, nothing is changed.
 func (c *Catalog) ApplyFiles(pools []config.Pool, list []config.Route) (Changes, error) {
 	var ch Changes
 	before := c.View()
--- a/internal/catalog/tenant.go
+++ b/internal/catalog/tenant.go
@@ -39,8 +39,8 @@
 	c.tenants.Delete(name)
 }
 
-// ClearFileTerms clears the terms that the files granted to tenants in the store. Call it before the files are read again; they
-// are then set by SetFileTerms.
+// ClearFileTerms clears the terms that the files granted to tenants in the store. Call it before the files are read
+// again; they are then set by SetFileTerms.
 func (c *Catalog) ClearFileTerms() { clear(c.fileTerms) }
 
 // SetFileTerms sets the terms that the files grant to a tenant that the store contains as well.
--- a/internal/delegation/delegation_test.go
+++ b/internal/delegation/delegation_test.go
@@ -299,7 +299,7 @@
 func TestNothingIsWrittenAfterClientLeft(t *testing.T) {
 	for _, upload := range []bool{false, true} {
 		k := newTestConn(t)
-		call := &message.Call{ClientGone: func() bool { return true }}
+		call := &message.Call{ClientDisconnected: func() bool { return true }}
 		if upload {
 			call.Upload = flow.NewUpload(strings.NewReader("skip"), 4, 10, time.Hour, time.Now, func(time.Time) {}, func(time.Time) {})
 		}
@@ -313,7 +313,7 @@
 		}
 	}
 	k := newTestConn(t)
-	k.sendCall(&message.Call{ClientGone: func() bool { return false }})
+	k.sendCall(&message.Call{ClientDisconnected: func() bool { return false }})
 	if _, err := http.ReadRequest(k.nodeReader); err != nil {
 		t.Error(err)
 	}
--- a/internal/delegation/read.go
+++ b/internal/delegation/read.go
@@ -21,8 +21,8 @@
 	// maxInterimAnswers bounds the 1xx answers before the final one.
 	maxInterimAnswers = 4
 	// unknownLengthBuffer is how much of a body without a declared length is buffered before the answer is streamed, in
-	// bytes. It is smaller than flow.MaxBufferedBytes because the client of a long answer waits for its first bytes, and an app node
-	// that writes slowly may take seconds to fill flow.MaxBufferedBytes.
+	// bytes. It is smaller than flow.MaxBufferedBytes because the client of a long answer waits for its first bytes, and
+	// an app node that writes slowly may take seconds to fill flow.MaxBufferedBytes.
 	unknownLengthBuffer = 2 << 10
 )
 
--- a/internal/delegation/write.go
+++ b/internal/delegation/write.go
@@ -53,7 +53,7 @@
 	k.mu.Lock()
 	// Last check for the client: the call may have waited for a connection or for the scheduler, and the event of the
 	// client's disconnect may still be queued.
-	ex.clientLeft = ex.call.ClientGone != nil && ex.call.ClientGone()
+	ex.clientLeft = ex.call.ClientDisconnected != nil && ex.call.ClientDisconnected()
 	ex.sending = err == nil && !ex.clientLeft && !k.readerDone && k.quiet()
 	sending := ex.sending
 	k.mu.Unlock()
--- a/internal/flow/memory.go
+++ b/internal/flow/memory.go
@@ -13,12 +13,13 @@
 )
 
 const (
-	// MaxBufferedBytes is how much of an answer is buffered before it is committed to the client, in bytes. Until then another app
-	// node can still be tried. It is also the largest body of the platform's protocol, so that bodies that follow the
-	// protocol are buffered in full.
+	// MaxBufferedBytes is how much of an answer is buffered before it is committed to the client, in bytes. Until then
+	// another app node can still be tried. It is also the largest body of the platform's protocol, so that bodies that
+	// follow the protocol are buffered in full.
 	MaxBufferedBytes = 64 << 10
-	// CopyBufferBytes is the size of the buffer through which the rest of a body is copied, in bytes; each streamed body has one.
-	// With half of it, the default of httputil.ReverseProxy, a megabyte took a tenth longer than through a plain proxy.
+	// CopyBufferBytes is the size of the buffer through which the rest of a body is copied, in bytes; each streamed body
+	// has one. With half of it, the default of httputil.ReverseProxy, a megabyte took a tenth longer than through a plain
+	// proxy.
 	CopyBufferBytes = 64 << 10
 	// leaseSize is the memory reserved for a body in transit, in bytes.
 	leaseSize = MaxBufferedBytes + CopyBufferBytes
@@ -53,8 +54,8 @@
 	return r.lent, r.peak
 }
 
-// Acquire reserves the memory of one body. It waits for it at most for wait, and then returns ErrMemoryLimit; once stop is
-// closed, it returns ErrStopped. A nil stop is never closed.
+// Acquire reserves the memory of one body. It waits for it at most for wait, and then returns ErrMemoryLimit; once stop
+// is closed, it returns ErrStopped. A nil stop is never closed.
 func (r *MemoryLimit) Acquire(stop <-chan struct{}, wait time.Duration) (*Lease, error) {
 	r.mu.Lock()
 	if r.lent+leaseSize <= r.limit { // nobody waits then: every body needs the same, and waiters are admitted at once
@@ -112,15 +113,16 @@
 	}
 }
 
-// Lease is the memory of one body: a buffer of MaxBufferedBytes for its beginning, and a reservation of CopyBufferBytes for the
-// buffer that copies the rest. It is not safe for concurrent use.
+// Lease is the memory of one body: a buffer of MaxBufferedBytes for its beginning, and a reservation of CopyBufferBytes
+// for the buffer that copies the rest. It is not safe for concurrent use.
 type Lease struct {
 	room     *MemoryLimit
 	buffer   *[MaxBufferedBytes]byte // nil once released
 	reserved int                     // bytes
 }
 
-// Buffer returns the buffer with length 0 and capacity MaxBufferedBytes. It must not be used after ReleaseBuffer or Release.
+// Buffer returns the buffer with length 0 and capacity MaxBufferedBytes. It must not be used after ReleaseBuffer or
+// Release.
 func (l *Lease) Buffer() []byte { return l.buffer[:0] }
 
 // ReleaseBuffer returns the buffer; the reservation for copying remains.
--- a/internal/flow/upload.go
+++ b/internal/flow/upload.go
@@ -41,10 +41,10 @@
 	maxNonBlockingRead = time.Millisecond
 )
 
-// NewUpload returns an upload of at most maxBytes. A client may fall behind the rate of MinUploadRate by slack; only time in
-// which a Read waits for the client counts. setDeadline sets the read deadline of the client's connection, the zero time
-// for none. onComplete is called once the whole body has been read, with the end of the last read that waited: the last
-// byte may have arrived at any time since.
+// NewUpload returns an upload of at most maxBytes. A client may fall behind the rate of MinUploadRate by slack; only
+// time in which a Read waits for the client counts. setDeadline sets the read deadline of the client's connection, the
+// zero time for none. onComplete is called once the whole body has been read, with the end of the last read that
+// waited: the last byte may have arrived at any time since.
 func NewUpload(body io.Reader, length, maxBytes int64, slack time.Duration, now func() time.Time, setDeadline func(time.Time), onComplete func(lastWait time.Time)) *Upload {
 	return &Upload{Length: length, body: body, maxBytes: maxBytes, slack: slack, setDeadline: setDeadline, now: now, onComplete: onComplete, lastWait: now()}
 }
--- a/internal/message/message.go
+++ b/internal/message/message.go
@@ -10,11 +10,11 @@
 
 // Call is a client's request as it is sent to an app node.
 type Call struct {
-	Request    *http.Request // method, target and header
-	Body       []byte
-	Upload     *flow.Upload // in place of a Body that is too large to be buffered; nil: none
-	Trailer    http.Header  // of a chunked upload; complete once its body has been read to the end
-	ClientGone func() bool  // reports, without blocking, whether the client has closed its connection; nil: unknown
+	Request            *http.Request // method, target and header
+	Body               []byte
+	Upload             *flow.Upload // in place of a Body that is too large to be buffered; nil: none
+	Trailer            http.Header  // of a chunked upload; complete once its body has been read to the end
+	ClientDisconnected func() bool  // reports, without blocking, whether the client has closed its connection; nil: unknown
 }
 
 // Answer is an app node's answer for the client.
--- a/internal/patience/patience.go
+++ b/internal/patience/patience.go
@@ -45,8 +45,8 @@
 	return min(max(time.Duration(math.Ceil(e.mean+deviationFactor*e.deviation)), e.minTimeout)<<e.doublings, e.maxTimeout)
 }
 
-// ObservePause records the longest pause of an answer that arrived complete and resets the doubling. Answers that needed no
-// waiting are not recorded.
+// ObservePause records the longest pause of an answer that arrived complete and resets the doubling. Answers that
+// needed no waiting are not recorded.
 func (e *Estimator) ObservePause(pause time.Duration) {
 	e.doublings = 0
 	if !e.hasSample {
--- a/internal/reducer/adjust.go
+++ b/internal/reducer/adjust.go
@@ -10,8 +10,8 @@
 // then the routes change, and only then do removed pools lose their app nodes. So no call reaches a pool that has not
 // seen the list. A rejected change does not affect the others.
 
-// PoolsChanged changes some of the pools and the routes. Done is called once the change is in force: from then on all new
-// calls follow Route.
+// PoolsChanged changes some of the pools and the routes. Done is called once the change is in force: from then on all
+// new calls follow Route.
 type PoolsChanged struct {
 	Pools []PoolChange
 	Route func(*Call) int // returns the ID of a call's pool; nil: unchanged
--- a/internal/reducer/drain.go
+++ b/internal/reducer/drain.go
@@ -30,7 +30,8 @@
 type (
 	// SetDraining says whether clients are sent away from now on.
 	SetDraining struct{ Draining bool }
-	// CloseClientConns closes client connections that carry no call, and with IncludeSilent also those that have not sent anything yet.
+	// CloseClientConns closes client connections that carry no call, and with IncludeSilent also those that have not sent
+	// anything yet.
 	CloseClientConns struct{ IncludeSilent bool }
 	// DivideLimits says how many parts the machine's limits are divided into from now on.
 	DivideLimits struct{ Parts int }
--- a/internal/reducer/peers.go
+++ b/internal/reducer/peers.go
@@ -10,8 +10,8 @@
 // Peers: the view keeps track of the other balancers. Here its result is applied: the number of balancers that share an
 // app node, which the decider divides by. Without a view it is the number in the settings.
 
-// PeerEvent is an event for the view of the other balancers: a message from them, or the passage of time. Inspect, if not nil,
-// may inspect the view.
+// PeerEvent is an event for the view of the other balancers: a message from them, or the passage of time. Inspect, if
+// not nil, may inspect the view.
 type PeerEvent struct {
 	Event   view.Event
 	Inspect func(v *view.View)
@@ -34,7 +34,8 @@
 	return map[string]view.Limit{ListSizeFact: {Age: time.Minute, Bytes: 400, Weight: 0, Keys: 1}}
 }
 
-// announceInterval is how often an unchanged list size is announced again. It must be well below the age limit in FactLimits.
+// announceInterval is how often an unchanged list size is announced again. It must be well below the age limit in
+// FactLimits.
 const announceInterval = 20 * time.Second
 
 // UsePeers makes the number of balancers follow a view. It must be called before the first event.
--- a/internal/reducer/reducer.go
+++ b/internal/reducer/reducer.go
@@ -161,8 +161,8 @@
 		Watch uint64
 		List  List
 	}
-	// SourceList, SourceAlive and SourceFailed come from registries other than the platform's discovery: a list or changes to it, a
-	// sign of life, and a failure to reach the registry. They need a roster.
+	// SourceList, SourceAlive and SourceFailed come from registries other than the platform's discovery: a list or changes
+	// to it, a sign of life, and a failure to reach the registry. They need a roster.
 	SourceList struct {
 		Source   int
 		Complete bool
@@ -474,7 +474,8 @@
 	return r
 }
 
-// NewWithDeciders creates the state of a balancer with the pools of a layout. newDecider creates the decider of each pool.
+// NewWithDeciders creates the state of a balancer with the pools of a layout. newDecider creates the decider of each
+// pool.
 func NewWithDeciders(cfg brain.Settings, budget int, l Layout, newDecider func(string) brain.Decider) (*Reducer, error) {
 	r := &Reducer{cfg: cfg, newDecider: newDecider, connBudget: budget, fullConnBudget: budget,
 		calls: map[uint64]*call{}, callsByDeciderID: map[string]*call{}, callsByClientID: map[string]*call{}, recentClientIDs: [2]map[string]struct{}{{}, {}},
@@ -491,8 +492,8 @@
 	return r, nil
 }
 
-// SetFixedStallTimeout sets a fixed stall timeout for answers in place of the learned ones. It must be called before the first
-// event.
+// SetFixedStallTimeout sets a fixed stall timeout for answers in place of the learned ones. It must be called before
+// the first event.
 func (r *Reducer) SetFixedStallTimeout(wait time.Duration) {
 	r.fixedStall = wait
 	for i := range r.stallEstimators {
--- a/internal/reducer/retune_test.go
+++ b/internal/reducer/retune_test.go
@@ -147,8 +147,8 @@
 	}
 }
 
-// Hundreds of pools are notified of settings in slices, and SettingsChanged follows the last of them: a call with a new class
-// must find every pool prepared. Newer settings restart the round, and SettingsChanged is emitted once.
+// Hundreds of pools are notified of settings in slices, and SettingsChanged follows the last of them: a call with a new
+// class must find every pool prepared. Newer settings restart the round, and SettingsChanged is emitted once.
 func TestSettingsReachPoolsInSlices(t *testing.T) {
 	var l Layout
 	for i := range 10 * maxRetunesPerEvent {
--- a/internal/roster/model_test.go
+++ b/internal/roster/model_test.go
@@ -505,8 +505,8 @@
 	return all
 }
 
-// For any sequence of calls, the changes of the roster add up to the state of the model, and NextTick is never later than the
-// next change.
+// For any sequence of calls, the changes of the roster add up to the state of the model, and NextTick is never later
+// than the next change.
 func TestMatchesReferenceModel(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		cfg := drawSettings(t)
--- a/internal/roster/reports.go
+++ b/internal/roster/reports.go
@@ -26,7 +26,8 @@
 }
 
 // Begin starts a full list that is given in slices: Add for each, then Commit. The entries of a slice take effect at once;
-// entries absent from the list are removed after Commit, also in slices. RecordError or another Begin abandons the list.
+// entries absent from the list are removed after Commit, also in slices. RecordError or another Begin abandons the
+// list.
 func (r *Roster) Begin(now time.Duration, source int, revision int64) {
 	r.advance(now)
 	s := r.sourceAt(source)
--- a/internal/roster/sources.go
+++ b/internal/roster/sources.go
@@ -254,8 +254,8 @@
 	}
 }
 
-// RecordError records that the watch of a source ended or a call to it failed. A list that is being received is abandoned; the
-// entries received so far stay.
+// RecordError records that the watch of a source ended or a call to it failed. A list that is being received is
+// abandoned; the entries received so far stay.
 func (r *Roster) RecordError(now time.Duration, source int, why string) {
 	r.advance(now)
 	s := r.sourceAt(source)
@@ -270,8 +270,8 @@
 	s.lastError = why
 }
 
-// NeedsFullList reports whether the full list of a source must be requested, because its changes do not continue from the stored
-// state.
+// NeedsFullList reports whether the full list of a source must be requested, because its changes do not continue from
+// the stored state.
 func (r *Roster) NeedsFullList(source int) bool {
 	s := r.sourceAt(source)
 	return s != nil && s.needsFullList
--- a/internal/routes/claim.go
+++ b/internal/routes/claim.go
@@ -15,8 +15,8 @@
 	entry
 }
 
-// NewClaim validates a rule, except that its pools exist, which ResolvePools checks. classes are those that calls can have, as
-// for Compile.
+// NewClaim validates a rule, except that its pools exist, which ResolvePools checks. classes are those that calls can
+// have, as for Compile.
 func NewClaim(r Rule, key string, revision int64, classes []string) (*Claim, error) {
 	c := &Claim{Key: key, Revision: revision, entry: entry{Rule: r}}
 	if err := c.validate(nil, classes); err != nil {
@@ -62,8 +62,8 @@
 // String describes what the claim matches.
 func (c *Claim) String() string { return c.describe() }
 
-// Conflict is a claim that loses calls to another one, which matches them with equal precedence and comes first by revision
-// and key.
+// Conflict is a claim that loses calls to another one, which matches them with equal precedence and comes first by
+// revision and key.
 type Conflict struct {
 	Loser, Winner *Claim
 	Methods       []string // for which Loser loses its calls; nil: it loses all calls
--- a/internal/zones/health.go
+++ b/internal/zones/health.go
@@ -124,9 +124,9 @@
 	return min(1, max(0.05, z.capacity/(float64(z.ready)*z.capacityPerMember)))
 }
 
-// SetMembers sets what is left of a zone after the member list and the health of single app nodes: the total size of its
-// ready members, those in slow start counted by their warmth, and the numbers of ready and of cold members. It is called
-// again as members warm up.
+// SetMembers sets what is left of a zone after the member list and the health of single app nodes: the total size of
+// its ready members, those in slow start counted by their warmth, and the numbers of ready and of cold members. It is
+// called again as members warm up.
 func (s *State) SetMembers(now time.Duration, zone int, capacity float64, ready, cold int) {
 	if zone < 0 || zone >= len(s.zones) {
 		return
--- a/internal/zones/limit.go
+++ b/internal/zones/limit.go
@@ -20,8 +20,8 @@
 	minFirstReports    = 6                      // reports behind a first limit: a few from each of a few app nodes
 	maxFirstReportWait = 400 * time.Millisecond // after that, one report is enough
 
-	// fillMargin is kept free below Settings.MaxFill. It absorbs the noise of reports (3 to 10% each, plus the variation of
-	// the load from second to second) and the unsynchronized steps of several balancers.
+	// fillMargin is kept free below Settings.MaxFill. It absorbs the noise of reports (3 to 10% each, plus the variation
+	// of the load from second to second) and the unsynchronized steps of several balancers.
 	fillMargin = 0.08
 	// firstLimitGain is the share of the observed spare capacity that a first limit takes. The first reports are too
 	// low, because most answers come from the less busy app nodes.
