--- a/cmd/pewterrudder/main.go
+++ b/cmd/pewterrudder/main.go
@@ -107,29 +107,29 @@
 	if err != nil {
 		return fmt.Errorf("settings file: %w", err)
 	}
-	state, err := reducer.NewLaid(cfg.Brain, cfg.Prng, delegationBudget, divided)
+	state, err := reducer.NewWithLayout(cfg.Brain, cfg.Prng, delegationBudget, divided)
 	if err != nil {
 		return fmt.Errorf("settings: %w", err)
 	}
 	flows := cfg.Service.Flow
 	if stall := flows.Stall(); stall > 0 {
-		state.FixStall(stall)
+		state.SetFixedStallTimeout(stall)
 	}
 	var deadlines []time.Duration
 	for _, c := range cfg.Brain.Classes {
 		deadlines = append(deadlines, c.Deadline)
 	}
 	front := acceptor.New(now, post, cfg.Settings.Places(), deadlines, tenants, clientBudget, keptBudget,
-		acceptor.Bounds{Upload: flows.MaxUploadBytes, ClientIdle: flows.ClientIdle()})
-	nodes := delegation.New(post, cfg.Settings.Stats.Columns, delegation.Bounds{Largest: flows.MaxAnswerBytes,
-		Room: flow.NewRoom(flows.Room(cfg.Limits)), Wait: flows.Wait()})
+		acceptor.BodyLimits{MaxUploadBytes: flows.MaxUploadBytes, ClientIdleTimeout: flows.ClientIdle()})
+	nodes := delegation.New(post, cfg.Settings.Stats.Columns, delegation.Limits{MaxAnswerBytes: flows.MaxAnswerBytes,
+		Memory: flow.NewMemoryLimit(flows.Room(cfg.Limits)), MemoryWait: flows.Wait()})
 	list := registry.New(post, func(text string) { log.Print(text) }, started)
 	discovery, err := believe(cfg, state)
 	if err != nil {
 		return err
 	}
 	if discovery >= 0 {
-		list.Hear(func() { post(reducer.Heard{Source: discovery}) })
+		list.Hear(func() { post(reducer.SourceAlive{Source: discovery}) })
 	}
 
 	// With a second address a later version may start beside this process. The clients' address is then opened once calls
@@ -154,7 +154,7 @@
 	if fellows != nil {
 		defer fellows.Close()
 	}
-	counter, err := attend(cfg, post, &standing, nodes.Written, fellows, told)
+	counter, err := attend(cfg, post, &standing, nodes.WrittenCalls, fellows, told)
 	if err != nil {
 		return err
 	}
@@ -175,36 +175,36 @@
 					nodes.Close(e)
 				case reducer.Watch:
 					list.Watch(e)
-				case reducer.Tell:
+				case reducer.RunCallback:
 					e.Do()
 				case reducer.Refetch:
 					others.again(e.Source)
-				case reducer.Arm:
+				case reducer.StartTimer:
 					time.AfterFunc(e.After, func() { post(e.Event) })
 				case reducer.Ready:
 					able <- struct{}{}
 				case reducer.Log:
 					log.Print(e.Text)
-				case reducer.Retuned:
+				case reducer.SettingsChanged:
 					next := e.Tag.(*config.Settings)
-					terms := acceptor.Terms{Classes: e.Places}
+					terms := acceptor.ClassLimits{Classes: e.ClassSlots}
 					for i := range e.Classes {
 						terms.Deadlines = append(terms.Deadlines, e.Classes[i].Deadline)
 					}
-					front.Retune(terms)
-					nodes.Retune(next.Stats.Columns)
-				case reducer.Raise:
+					front.SetClassLimits(terms)
+					nodes.SetReportColumns(next.Stats.Columns)
+				case reducer.RaiseStamp:
 					fellows.Raise(e.Stamp)
-				case reducer.Say:
+				case reducer.AnnounceFact:
 					fellows.Say(e.Fact)
-				case reducer.Turn:
-					front.Turn(e.Away)
-					standing.away.Store(e.Away)
-				case reducer.Share:
-					front.Share(e.Parts)
+				case reducer.SetDraining:
+					front.SetDraining(e.Draining)
+					standing.away.Store(e.Draining)
+				case reducer.DivideLimits:
+					front.DivideLimits(e.Parts)
 					shareMemory(cfg, e.Parts)
-				case reducer.Part:
-					front.Part(e.Silent)
+				case reducer.CloseClientConns:
+					front.CloseClientConns(e.IncludeSilent)
 				case reducer.Publish:
 					counter.figures.Store(e.Figures)
 				}
@@ -242,7 +242,7 @@
 				}
 				go func() { served <- front.Serve(listener) }()
 			}
-			front.Ready()
+			front.SetReady()
 			standing.ready.Store(true)
 			others.show(eureka.Serving)
 		case err := <-served:
@@ -265,7 +265,7 @@
 			}
 			if err != nil { // nothing of it is taken
 				log.Printf("reload: %v; the old configuration stays", err)
-				post(reducer.TurnedDown{})
+				post(reducer.ReloadRejected{})
 				continue
 			}
 			for _, key := range cfg.Fixed(next) {
--- a/internal/config/tenants.go
+++ b/internal/config/tenants.go
@@ -183,7 +183,7 @@
 		block := t.entries[i : i+1]
 		for r := range block.all() {
 			terms := tenants.Terms{Quota: r.quota, Share: r.share}
-			if revision, _, ok := table.At(string(r.name)); ok && revision != 0 {
+			if revision, _, ok := table.Version(string(r.name)); ok && revision != 0 {
 				onForeign(string(r.name), terms)
 			} else {
 				table.Put(string(r.name), terms, 0, listID)
@@ -197,7 +197,7 @@
 	}
 	for name := range table.All() {
 		yieldRegularly()
-		if revision, sum, ok := table.At(name); ok && revision == 0 && sum != listID {
+		if revision, sum, ok := table.Version(name); ok && revision == 0 && sum != listID {
 			table.Delete(name)
 		}
 	}
--- a/internal/delegation/delegation_test.go
+++ b/internal/delegation/delegation_test.go
@@ -18,7 +18,7 @@
 // App nodes send the settings' column names, the protocol's example has short ones. Reports in the first form were once
 // ignored, which left decisions without load figures and caused no error.
 func TestParseReportAcceptsAliases(t *testing.T) {
-	connections := New(nil, []string{"utilization", "backlog"}, Bounds{})
+	connections := New(nil, []string{"utilization", "backlog"}, Limits{})
 	for text, want := range map[string][]float64{
 		"utilization=0.878,backlog=5.063": {0.878, 5.063},
 		"inflight=7,queue=2,util=0.61":    {0.61, 2},
@@ -40,7 +40,7 @@
 	t           *testing.T
 	connections *Connections
 	events      chan reducer.Event
-	room        *flow.Room // for one body
+	room        *flow.MemoryLimit // for one body
 	nodeConn    net.Conn
 	nodeReader  *bufio.Reader
 
@@ -54,9 +54,9 @@
 	}
 	defer l.Close()
 	k := &testConn{t: t, readTimeout: time.Hour, flowReadTimeout: time.Hour, events: make(chan reducer.Event, 10)}
-	k.room = flow.NewRoom(1)
+	k.room = flow.NewMemoryLimit(1)
 	k.connections = New(func(e reducer.Event) { k.events <- e }, []string{"utilization", "backlog"},
-		Bounds{Largest: 1 << 20, Room: k.room, Wait: 20 * time.Second})
+		Limits{MaxAnswerBytes: 1 << 20, Memory: k.room, MemoryWait: 20 * time.Second})
 	k.connections.Dial(reducer.Dial{Conn: 1, Address: l.Addr().String(), Timeout: 10 * time.Second})
 	if k.nodeConn, err = l.Accept(); err != nil {
 		t.Fatal(err)
@@ -77,7 +77,7 @@
 func (k *testConn) sendCall(call *message.Call) {
 	call.Request = &http.Request{Method: "POST", Host: "origin.svc", RequestURI: "/booking//a%2Fb?q=1;2&x=%zz",
 		Header: http.Header{"X-Request-Id": {"9b1f"}, "Idempotency-Key": {"5c"}, "Expect": {"100-continue"}}}
-	k.connections.Exchange(reducer.Exchange{Conn: 1, Wait: 300 * time.Millisecond, Stall: k.readTimeout, FlowStall: k.flowReadTimeout,
+	k.connections.Exchange(reducer.Exchange{Conn: 1, TimeLeft: 300 * time.Millisecond, ReadTimeout: k.readTimeout, FlowReadTimeout: k.flowReadTimeout,
 		Call: &reducer.Call{Message: call}})
 }
 
@@ -166,16 +166,16 @@
 		k := newTestConn(t)
 		e := k.exchange(c.response)
 		k.checkNothingLent()
-		status, want := 0, reducer.Broke
+		status, want := 0, reducer.ResultBroken
 		if e.Err == nil {
 			switch c.status {
 			case 200, 204:
-				want = reducer.Good
+				want = reducer.ResultGood
 			case 503, 500:
-				want = reducer.Errored
+				want = reducer.ResultAppError
 			}
 			if c.shed {
-				want = reducer.Shed
+				want = reducer.ResultShed
 			}
 			status = c.status
 		}
@@ -184,8 +184,8 @@
 				t.Errorf("%.60q: the load report was forwarded to the client", c.response)
 			}
 		}
-		if status != c.status || e.Result != want || e.Reuse != c.reuse || !slices.Equal(e.Report, c.report) ||
-			e.Written != reducer.Whole {
+		if status != c.status || e.Result != want || e.Reusable != c.reuse || !slices.Equal(e.Report, c.report) ||
+			e.Written != reducer.WroteAll {
 			t.Errorf("%.60q: status %d, result %+v", c.response, status, e)
 		}
 	}
@@ -199,7 +199,7 @@
 		t.Fatal(err)
 	}
 	k.nodeConn.Close()
-	if e := k.waitExchanged(); e.Written != reducer.Partly || e.Result != reducer.Broke {
+	if e := k.waitExchanged(); e.Written != reducer.WrotePart || e.Result != reducer.ResultBroken {
 		t.Errorf("%+v", e)
 	}
 }
@@ -213,7 +213,7 @@
 		t.Fatal(err)
 	}
 	io.WriteString(k.nodeConn, "HTTP/1.1 503 Full\r\nContent-Length: 0\r\nX-Not-Run: 1\r\n\r\n")
-	if e := k.waitExchanged(); e.Result != reducer.Shed || e.Reuse || e.Written != reducer.Partly {
+	if e := k.waitExchanged(); e.Result != reducer.ResultShed || e.Reusable || e.Written != reducer.WrotePart {
 		t.Errorf("%+v", e)
 	}
 }
@@ -231,7 +231,7 @@
 			t.Fatalf("no Lost event for connection 1: %+v", lost)
 		}
 		k.send(nil)
-		if e := k.waitExchanged(); e.Written != reducer.Nothing {
+		if e := k.waitExchanged(); e.Written != reducer.WroteNothing {
 			t.Errorf("%+v", e)
 		}
 	}
@@ -250,7 +250,7 @@
 	c.mu.Unlock()
 	io.WriteString(k.nodeConn, previous)
 	close(ex.writerDone)
-	if e := k.waitExchanged(); e.Err == nil || e.Written != reducer.Nothing {
+	if e := k.waitExchanged(); e.Err == nil || e.Written != reducer.WroteNothing {
 		t.Errorf("%+v", e)
 	}
 	l, err := net.Listen("tcp", "127.0.0.1:0")
@@ -287,7 +287,7 @@
 	}
 	l.Close()
 	events := make(chan reducer.Event, 1)
-	c := New(func(e reducer.Event) { events <- e }, nil, Bounds{})
+	c := New(func(e reducer.Event) { events <- e }, nil, Limits{})
 	c.Dial(reducer.Dial{Conn: 1, Address: l.Addr().String(), Timeout: 10 * time.Second})
 	if d, ok := (<-events).(reducer.Dialed); !ok || d.Err == nil {
 		t.Errorf("%+v", d)
@@ -299,12 +299,12 @@
 func TestNothingIsWrittenAfterClientLeft(t *testing.T) {
 	for _, upload := range []bool{false, true} {
 		k := newTestConn(t)
-		call := &message.Call{Left: func() bool { return true }}
+		call := &message.Call{ClientDisconnected: func() bool { return true }}
 		if upload {
 			call.Upload = flow.NewUpload(strings.NewReader("skip"), 4, 10, time.Hour, time.Now, func(time.Time) {}, func(time.Time) {})
 		}
 		k.sendCall(call)
-		if e := k.waitExchanged(); e.Written != reducer.Nothing || e.Result != reducer.Left || e.Reuse || e.Spent {
+		if e := k.waitExchanged(); e.Written != reducer.WroteNothing || e.Result != reducer.ResultClientLeft || e.Reusable || e.BodyUsed {
 			t.Errorf("%+v", e)
 		}
 		k.connections.Close(reducer.Close{Conn: 1})
@@ -313,7 +313,7 @@
 		}
 	}
 	k := newTestConn(t)
-	k.sendCall(&message.Call{Left: func() bool { return false }})
+	k.sendCall(&message.Call{ClientDisconnected: func() bool { return false }})
 	if _, err := http.ReadRequest(k.nodeReader); err != nil {
 		t.Error(err)
 	}
--- a/internal/delegation/flow_test.go
+++ b/internal/delegation/flow_test.go
@@ -57,7 +57,7 @@
 			k.t.Fatalf("%+v", ev)
 		}
 		a := f.Message.(*message.Answer)
-		a.Flow.Open()
+		a.Flow.MarkOpened()
 		return a
 	case <-time.After(20 * time.Second):
 		k.t.Fatal("no Flowing event within 20 s")
@@ -68,7 +68,7 @@
 // checkNothingLent fails the test if memory is still lent.
 func (k *testConn) checkNothingLent() {
 	k.t.Helper()
-	if now, _ := k.room.Lent(); now != 0 {
+	if now, _ := k.room.Usage(); now != 0 {
 		k.t.Errorf("%d bytes still lent", now)
 	}
 }
@@ -99,7 +99,7 @@
 // For every framing, and for sizes around each buffer limit, the client receives every byte and the trailers, and a
 // connection is reused only if the framing proves the end of the body.
 func TestAnswerSizesAndFramings(t *testing.T) {
-	for _, n := range []int{0, 1, unknownLengthBuffer - 1, unknownLengthBuffer + 1, flow.Hold - 1, flow.Hold, flow.Hold + 1, 300 << 10, 1 << 20} {
+	for _, n := range []int{0, 1, unknownLengthBuffer - 1, unknownLengthBuffer + 1, flow.MaxBufferedBytes - 1, flow.MaxBufferedBytes, flow.MaxBufferedBytes + 1, 300 << 10, 1 << 20} {
 		body := randomBody(n)
 		for name, c := range map[string]struct {
 			text  string
@@ -116,7 +116,7 @@
 			k.respond(c.text, c.close)
 			var a *message.Answer
 			var got []byte
-			flows := n > flow.Hold || n > unknownLengthBuffer && name != "length" && name != "interim"
+			flows := n > flow.MaxBufferedBytes || n > unknownLengthBuffer && name != "length" && name != "interim"
 			if flows {
 				a = k.waitCommit()
 				var err error
@@ -130,7 +130,7 @@
 				a = e.Message.(*message.Answer)
 				got = a.Body
 			}
-			if e.Result != reducer.Good || e.Reuse == c.close || !bytes.Equal(got, []byte(body)) {
+			if e.Result != reducer.ResultGood || e.Reusable == c.close || !bytes.Equal(got, []byte(body)) {
 				t.Errorf("%s, %d: %d bytes, %+v", name, n, len(got), e)
 			}
 			if name == "chunked" && (a.Trailer.Get("X-Sum") != "5" || a.Trailer.Get("X-Other") != "6") {
@@ -154,21 +154,21 @@
 		commit   bool
 		want     reducer.Result
 	}{
-		"cut after the head":             {length, true, false, reducer.Broke},
-		"cut at the commit":              {length + body[:1], true, true, reducer.Broke},
-		"cut after the commit":           {length + body[:200<<10], true, true, reducer.Broke},
-		"cut at the last byte":           {length + body[:len(body)-1], true, true, reducer.Broke},
-		"chunks, cut early":              {part[:unknownLengthBuffer/2], true, false, reducer.Broke},
-		"chunks, cut late":               {part, true, true, reducer.Broke},
-		"chunks, no last chunk":          {chunked(body, "")[:len(chunked(body, ""))-5], true, true, reducer.Broke},
-		"chunks over the limit":          {chunked(strings.Repeat(body, 5), ""), false, true, reducer.Broke}, // over the limit of 1 MiB
-		"stalls before the commit":       {part[:unknownLengthBuffer/2], false, false, reducer.Stalled},
-		"stalls after the commit":        {length + body[:200<<10], false, true, reducer.Stalled},
-		"chunks, stall after the commit": {part, false, true, reducer.Stalled},
+		"cut after the head":             {length, true, false, reducer.ResultBroken},
+		"cut at the commit":              {length + body[:1], true, true, reducer.ResultBroken},
+		"cut after the commit":           {length + body[:200<<10], true, true, reducer.ResultBroken},
+		"cut at the last byte":           {length + body[:len(body)-1], true, true, reducer.ResultBroken},
+		"chunks, cut early":              {part[:unknownLengthBuffer/2], true, false, reducer.ResultBroken},
+		"chunks, cut late":               {part, true, true, reducer.ResultBroken},
+		"chunks, no last chunk":          {chunked(body, "")[:len(chunked(body, ""))-5], true, true, reducer.ResultBroken},
+		"chunks over the limit":          {chunked(strings.Repeat(body, 5), ""), false, true, reducer.ResultBroken}, // over the limit of 1 MiB
+		"stalls before the commit":       {part[:unknownLengthBuffer/2], false, false, reducer.ResultStalled},
+		"stalls after the commit":        {length + body[:200<<10], false, true, reducer.ResultStalled},
+		"chunks, stall after the commit": {part, false, true, reducer.ResultStalled},
 	} {
 		t.Run(name, func(t *testing.T) {
 			k := newTestConn(t)
-			if c.want == reducer.Stalled {
+			if c.want == reducer.ResultStalled {
 				if k.readTimeout = 40 * time.Millisecond; c.commit {
 					k.readTimeout, k.flowReadTimeout = k.flowReadTimeout, k.readTimeout
 				}
@@ -183,7 +183,7 @@
 				}
 				a.Flow.Close()
 			}
-			if e := k.waitExchanged(); e.Result != c.want || e.Err == nil || e.Reuse || e.Written != reducer.Whole {
+			if e := k.waitExchanged(); e.Result != c.want || e.Err == nil || e.Reusable || e.Written != reducer.WroteAll {
 				t.Errorf("%+v", e)
 			}
 			k.checkNothingLent()
@@ -207,7 +207,7 @@
 		}()
 		if byClient {
 			a.Flow.Close()
-			if e := k.waitExchanged(); e.Result != reducer.Left || e.Reuse {
+			if e := k.waitExchanged(); e.Result != reducer.ResultClientLeft || e.Reusable {
 				t.Errorf("%+v", e)
 			}
 		}
@@ -236,22 +236,22 @@
 }
 
 // While all memory is lent, a large answer waits for it. It is streamed once memory is returned, and otherwise reported
-// as NoRoom.
+// as ResultNoMemory.
 func TestLargeAnswerWithoutMemory(t *testing.T) {
 	for _, released := range []bool{true, false} {
 		k := newTestConn(t)
-		other, err := k.room.Take(nil, time.Second)
+		other, err := k.room.Acquire(nil, time.Second)
 		if err != nil {
 			t.Fatal(err)
 		}
 		if !released {
-			k.connections.bounds.Wait = 30 * time.Millisecond
+			k.connections.bounds.MemoryWait = 30 * time.Millisecond
 		}
 		k.send([]byte("skip"))
 		k.readRequest()
 		k.respond(fmt.Sprintf("HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s", 100<<10, randomBody(100<<10)), false)
 		if !released {
-			if e := k.waitExchanged(); e.Result != reducer.NoRoom || e.Reuse {
+			if e := k.waitExchanged(); e.Result != reducer.ResultNoMemory || e.Reusable {
 				t.Errorf("%+v", e)
 			}
 			other.Release()
@@ -262,7 +262,7 @@
 		a := k.waitCommit()
 		got, err := io.ReadAll(a.Flow)
 		a.Flow.Close()
-		if e := k.waitExchanged(); string(got) != randomBody(100<<10) || err != nil || e.Result != reducer.Good {
+		if e := k.waitExchanged(); string(got) != randomBody(100<<10) || err != nil || e.Result != reducer.ResultGood {
 			t.Errorf("%d bytes, %v, %+v", len(got), err, e)
 		}
 	}
@@ -303,7 +303,7 @@
 	}
 	got, err := io.ReadAll(r.Body)
 	k.respond("HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n", false)
-	if e := k.waitExchanged(); string(got) != body || err != nil || e.Result != reducer.Good || !e.Reuse || !e.Spent || e.Written != reducer.Whole {
+	if e := k.waitExchanged(); string(got) != body || err != nil || e.Result != reducer.ResultGood || !e.Reusable || !e.BodyUsed || e.Written != reducer.WroteAll {
 		t.Errorf("%d bytes, %v, %+v", len(got), err, e)
 	}
 
@@ -312,7 +312,7 @@
 	k.sendCall(&message.Call{Upload: half.Upload})
 	k.readBodyStart()
 	k.respond("HTTP/1.1 409 Booked\r\nContent-Length: 0\r\n\r\n", false)
-	if e := k.waitExchanged(); e.Result != reducer.Unusable || e.Reuse || !e.Spent || e.Written != reducer.Partly {
+	if e := k.waitExchanged(); e.Result != reducer.ResultInvalidCall || e.Reusable || !e.BodyUsed || e.Written != reducer.WrotePart {
 		t.Errorf("early answer: %+v", e)
 	}
 	<-half.interrupted
@@ -322,21 +322,21 @@
 	k.sendCall(&message.Call{Upload: half.Upload})
 	k.readBodyStart()
 	k.nodeConn.Close()
-	if e := k.waitExchanged(); e.Result != reducer.Broke || !e.Spent || e.Written != reducer.Partly {
+	if e := k.waitExchanged(); e.Result != reducer.ResultBroken || !e.BodyUsed || e.Written != reducer.WrotePart {
 		t.Errorf("the app node closes: %+v", e)
 	}
 
 	k = newTestConn(t) // the client sends less than it declared
 	short := flow.NewUpload(strings.NewReader(body[:100<<10]), int64(len(body)), 1<<30, time.Hour, time.Now, func(time.Time) {}, func(time.Time) {})
 	k.sendCall(&message.Call{Upload: short})
-	if e := k.waitExchanged(); e.Result != reducer.Left || !e.Spent || e.Written != reducer.Partly {
+	if e := k.waitExchanged(); e.Result != reducer.ResultClientLeft || !e.BodyUsed || e.Written != reducer.WrotePart {
 		t.Errorf("short upload: %+v", e)
 	}
 
 	k = newTestConn(t) // the reducer closes while the writer waits for the client
 	half = newStallingUpload(strings.NewReader(""), 9)
 	k.sendCall(&message.Call{Upload: half.Upload})
-	for until := time.Now().Add(20 * time.Second); !half.Touched(); time.Sleep(time.Millisecond) {
+	for until := time.Now().Add(20 * time.Second); !half.Started(); time.Sleep(time.Millisecond) {
 		if time.Now().After(until) {
 			t.Fatal("the body was not read within 20 s")
 		}
@@ -380,7 +380,7 @@
 		t.Fatalf("%d bytes, %v", len(got), err)
 	}
 	k.respond("HTTP/1.1 500 Internal Server Error\r\nContent-Length: 0\r\n\r\n", false)
-	if e := k.waitExchanged(); e.Written != reducer.Whole || e.Result != reducer.Errored || !e.Spent {
+	if e := k.waitExchanged(); e.Written != reducer.WroteAll || e.Result != reducer.ResultAppError || !e.BodyUsed {
 		t.Errorf("%+v", e)
 	}
 }
--- a/internal/delegation/read.go
+++ b/internal/delegation/read.go
@@ -21,8 +21,8 @@
 	// maxInterimAnswers bounds the 1xx answers before the final one.
 	maxInterimAnswers = 4
 	// unknownLengthBuffer is how much of a body without a declared length is buffered before the answer is streamed, in
-	// bytes. It is smaller than flow.Hold because the client of a long answer waits for its first bytes, and an app node
-	// that writes slowly may take seconds to fill flow.Hold.
+	// bytes. It is smaller than flow.MaxBufferedBytes because the client of a long answer waits for its first bytes, and
+	// an app node that writes slowly may take seconds to fill flow.MaxBufferedBytes.
 	unknownLengthBuffer = 2 << 10
 )
 
@@ -88,9 +88,9 @@
 				return
 			}
 			<-ex.writerDone // the writer has written nothing
-			e := reducer.Exchanged{Conn: k.id, Written: reducer.Nothing, Err: errNotWritten}
+			e := reducer.Exchanged{Conn: k.id, Written: reducer.WroteNothing, Err: errNotWritten}
 			if ex.clientLeft {
-				e.Result = reducer.Left
+				e.Result = reducer.ResultClientLeft
 			}
 			k.connections.post(e)
 			return
@@ -117,20 +117,20 @@
 		}
 		// An answer can arrive before the writer has noted its last byte. A call that may have run must not count as one
 		// that cannot have run.
-		e.Spent = ex.upload.hasStarted()
-		e.Written = reducer.Partly
-		if ex.complete || e.Spent && ex.call.Upload.LastByteRead() {
-			e.Written = reducer.Whole
+		e.BodyUsed = ex.upload.hasStarted()
+		e.Written = reducer.WrotePart
+		if ex.complete || e.BodyUsed && ex.call.Upload.LastByteRead() {
+			e.Written = reducer.WroteAll
 		}
-		if e.Err != nil && e.Spent && ex.call.Upload.Failed() {
-			e.Result = reducer.Left // the client failed, not the app node
+		if e.Err != nil && e.BodyUsed && ex.call.Upload.Failed() {
+			e.Result = reducer.ResultClientLeft // the client failed, not the app node
 		}
 		k.mu.Lock()
-		e.Reuse = e.Reuse && ex.complete
-		k.current, k.flow, k.readerDone = nil, nil, !e.Reuse
+		e.Reusable = e.Reusable && ex.complete
+		k.current, k.flow, k.readerDone = nil, nil, !e.Reusable
 		k.mu.Unlock()
 		k.connections.post(e)
-		if !e.Reuse {
+		if !e.Reusable {
 			return
 		}
 	}
@@ -165,27 +165,27 @@
 	result := classify(resp)
 	k.in.startBody(ex.readTimeout)
 	held, lease, err := k.readHeld(resp)
-	e.Pause = k.in.longestPause
+	e.LongestPause = k.in.longestPause
 	a := &message.Answer{Status: resp.StatusCode, Header: resp.Header, Trailer: &resp.Trailer, Body: held}
 	switch {
 	case err == flow.ErrMemoryLimit:
-		e.Result = reducer.NoRoom
+		e.Result = reducer.ResultNoMemory
 	case errors.Is(err, os.ErrDeadlineExceeded):
-		e.Result, e.Err = reducer.Stalled, fmt.Errorf("delegation: no more of the answer for %v", ex.readTimeout)
+		e.Result, e.Err = reducer.ResultStalled, fmt.Errorf("delegation: no more of the answer for %v", ex.readTimeout)
 	case err != nil:
 		e.Err = err
 	case lease == nil:
 		e.Result, e.Message = result, a
 		// The body is not closed: Close would read to its end, however long it is, and it holds no resources.
-		e.Reuse = !resp.Close && k.br.Buffered() == 0
-	case result != reducer.Good && result != reducer.Unusable: // the rest is not wanted
+		e.Reusable = !resp.Close && k.br.Buffered() == 0
+	case result != reducer.ResultGood && result != reducer.ResultInvalidCall: // the rest is not wanted
 		lease.Release()
 		e.Result = result
 	default:
 		a.Body = nil
-		a.Flow = flow.New(lease, held, resp.Body, k.connections.bounds.Largest-int64(len(held)))
+		a.Flow = flow.New(lease, held, resp.Body, k.connections.bounds.MaxAnswerBytes-int64(len(held)))
 		k.stream(ex, result, a, e)
-		e.Reuse = e.Result == reducer.Good && !resp.Close && k.br.Buffered() == 0
+		e.Reusable = e.Result == reducer.ResultGood && !resp.Close && k.br.Buffered() == 0
 	}
 }
 
@@ -200,7 +200,7 @@
 		case resp.StatusCode == http.StatusSwitchingProtocols:
 			return nil, errUnexpectedInterim // no request of ours asks for an upgrade
 		case resp.StatusCode < 200:
-		case resp.ContentLength > k.connections.bounds.Largest && resp.Body != http.NoBody: // too long to be forwarded
+		case resp.ContentLength > k.connections.bounds.MaxAnswerBytes && resp.Body != http.NoBody: // too long to be forwarded
 			return nil, flow.ErrBodyTooLarge
 		default:
 			return resp, nil
@@ -213,13 +213,13 @@
 func classify(resp *http.Response) reducer.Result {
 	switch s := resp.StatusCode; {
 	case s < 400:
-		return reducer.Good
+		return reducer.ResultGood
 	case (s == http.StatusServiceUnavailable || s == http.StatusGatewayTimeout) && resp.Header.Get("X-Not-Run") == "1":
-		return reducer.Shed
+		return reducer.ResultShed
 	case s < 500 && s != http.StatusRequestTimeout && s != http.StatusTooManyRequests:
-		return reducer.Unusable // another app node would give the same answer
+		return reducer.ResultInvalidCall // another app node would give the same answer
 	}
-	return reducer.Errored
+	return reducer.ResultAppError
 }
 
 // readHeld reads the part of a body that is buffered. A nil lease means that held is the whole body; otherwise more may
@@ -228,7 +228,7 @@
 	if resp.Body == http.NoBody { // HEAD, 204, 304, or a length of 0
 		return nil, nil, nil
 	}
-	if n := resp.ContentLength; n >= 0 && n <= flow.Hold {
+	if n := resp.ContentLength; n >= 0 && n <= flow.MaxBufferedBytes {
 		held = make([]byte, n)
 		_, err = io.ReadFull(resp.Body, held)
 		return held, nil, err
@@ -244,10 +244,10 @@
 			return nil, nil, err
 		}
 	}
-	if lease, err = k.connections.bounds.Room.Take(k.closed, k.connections.bounds.Wait); err != nil {
+	if lease, err = k.connections.bounds.Memory.Acquire(k.closed, k.connections.bounds.MemoryWait); err != nil {
 		return nil, nil, err
 	}
-	buffer := append(lease.Held(), held...)
+	buffer := append(lease.Buffer(), held...)
 	if len(buffer) == 0 { // declared as large: its first bytes are enough to begin
 		buffer, err = readOnce(resp.Body, buffer)
 	}
@@ -284,11 +284,11 @@
 	<-a.Flow.Ended()
 	switch err := a.Flow.Err(); {
 	case err == io.EOF:
-		e.Result, e.Pause = reducer.Good, k.in.longestPause
+		e.Result, e.LongestPause = reducer.ResultGood, k.in.longestPause
 	case err == flow.ErrStopped:
-		e.Result = reducer.Left
+		e.Result = reducer.ResultClientLeft
 	case errors.Is(err, os.ErrDeadlineExceeded):
-		e.Result, e.Err = reducer.Stalled, fmt.Errorf("delegation: no more of the answer for %v", ex.flowReadTimeout)
+		e.Result, e.Err = reducer.ResultStalled, fmt.Errorf("delegation: no more of the answer for %v", ex.flowReadTimeout)
 	default:
 		e.Err = err
 	}
--- a/internal/delegation/write.go
+++ b/internal/delegation/write.go
@@ -22,7 +22,7 @@
 	if k == nil {
 		return
 	}
-	ex := &exchange{call: e.Call.Message.(*message.Call), readTimeout: e.Stall, flowReadTimeout: e.FlowStall,
+	ex := &exchange{call: e.Call.Message.(*message.Call), readTimeout: e.ReadTimeout, flowReadTimeout: e.FlowReadTimeout,
 		writerDone: make(chan struct{})}
 	if upload := ex.call.Upload; upload != nil {
 		ex.upload = &uploadReader{upload: upload}
@@ -34,10 +34,10 @@
 	}
 	k.mu.Unlock()
 	if readerDone { // the app node closed while the reducer picked this connection
-		go c.post(reducer.Exchanged{Conn: e.Conn, Written: reducer.Nothing, Err: io.EOF})
+		go c.post(reducer.Exchanged{Conn: e.Conn, Written: reducer.WroteNothing, Err: io.EOF})
 		return
 	}
-	go k.write(ex, e.Wait)
+	go k.write(ex, e.TimeLeft)
 }
 
 // write sends a call: a buffered body together with the header in one write, an upload as the client sends it. wait is
@@ -53,7 +53,7 @@
 	k.mu.Lock()
 	// Last check for the client: the call may have waited for a connection or for the scheduler, and the event of the
 	// client's disconnect may still be queued.
-	ex.clientLeft = ex.call.Left != nil && ex.call.Left()
+	ex.clientLeft = ex.call.ClientDisconnected != nil && ex.call.ClientDisconnected()
 	ex.sending = err == nil && !ex.clientLeft && !k.readerDone && k.quiet()
 	sending := ex.sending
 	k.mu.Unlock()
@@ -92,7 +92,7 @@
 
 func (r *uploadReader) Read(p []byte) (int, error) {
 	r.mu.Lock()
-	if r.stopped && !r.upload.Whole() { // net/http reads a complete upload once more to see io.EOF
+	if r.stopped && !r.upload.Complete() { // net/http reads a complete upload once more to see io.EOF
 		defer r.mu.Unlock()
 		return 0, flow.ErrStopped
 	}
